--- a/src/controller/capacity.rs
+++ b/src/controller/capacity.rs
@@ -28,7 +28,7 @@
         }
         let now = self.now.steady;
         for id in &gone {
-            led.workers.bury(id);
+            led.workers.bury(now, id);
             led.roll.remove(now, id);
             led.hired.remove(id);
         }
@@ -65,7 +65,7 @@
         for id in &vanished {
             led.roll.remove(t, id);
             log::info!("{id} is gone without a word");
-            led.workers.let_go(id);
+            led.workers.let_go(t, id);
             led.hired.remove(id);
         }
         // Returning a silent machine proves that its tasks are gone long before its lease would,
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -4,24 +4,26 @@
 //! still in flight, a session that moved on, a machine that is returned or failed, or a lease
 //! that is surely over. That a task or a machine is missing from some list proves nothing.
 
+mod departed;
 mod machine;
 mod orders;
 mod reports;
 
 use crate::clock::{MILLI, Micros, Now, SECOND, from_secs, surely_over};
 use crate::layout::can_name;
-use crate::maps::{HashMap, HashSet};
+use crate::maps::HashMap;
 use crate::net::{Outcome, Output, Ticket};
 use crate::planted::{Bug, planted};
 use crate::recovery::{Tally, Told};
 use crate::service::Stop;
 use crate::wire::{JobSpec, Order, Orders, Report};
 use compact_str::CompactString;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::ops::Bound;
 use std::sync::Arc;
 
+pub use departed::{Departed, REMEMBERED_FOR};
 pub use machine::{CARRIED_FIRST, Entry, Machine, State};
 use machine::{Delivery, Halt, OpenCall};
 use orders::DirectWay;
@@ -31,7 +33,6 @@
 const FENCE_BITS: u32 = 24;
 /// Reports list everything until it is reaped; an answer needs a bound all the same.
 const MAX_ORDERS: usize = 300;
-const BURIED_MAX: usize = 4096;
 /// How often all machines are looked at for what only time makes due.
 const SCAN: Micros = 250 * MILLI;
 /// Of a large fleet a scan looks at that part only: what is repeated at all is repeated after seconds,
@@ -101,10 +102,9 @@
     lease: Micros,
     report_period: Micros,
     pub machines: BTreeMap<Arc<str>, Machine>,
-    buried: HashSet<Arc<str>>,
+    buried: Departed<()>,
     /// Session and count of the last report of machines that went without a word.
-    last_words: HashMap<Arc<str>, (u64, u64)>,
-    buried_order: VecDeque<Arc<str>>,
+    last_words: Departed<(u64, u64)>,
     calls: HashMap<Ticket, Arc<str>>,
     peers: Vec<SocketAddr>,
     next_attempt: u64,
@@ -149,9 +149,8 @@
             lease,
             report_period,
             machines: BTreeMap::new(),
-            buried: HashSet::default(),
-            last_words: HashMap::default(),
-            buried_order: VecDeque::new(),
+            buried: Departed::new("machines returned or failed"),
+            last_words: Departed::new("machines gone without a word"),
             calls: HashMap::default(),
             peers,
             // An attempt number is used once: the term makes it new, the count keeps it so.
@@ -508,27 +507,20 @@
     }
 
     /// The machine is surely gone: returned with 200, or listed as failed.
-    pub fn bury(&mut self, id: &Arc<str>) {
+    pub fn bury(&mut self, now: Micros, id: &Arc<str>) {
+        let fleet = self.machines.len();
         self.clear(id, MACHINE_GONE);
         self.machines.remove(id);
-        if self.buried.insert(id.clone()) {
-            self.buried_order.push_back(id.clone());
-            if self.buried_order.len() > BURIED_MAX
-                && let Some(old) = self.buried_order.pop_front()
-            {
-                self.buried.remove(&old);
-            }
-        }
+        self.buried.insert(now, fleet, id.clone(), ());
     }
 
     /// A machine that nobody lists and whose lease is long over leaves the ledger. Were it to come back, it
     /// would be taken as a new one, by what it says from now on.
-    pub fn let_go(&mut self, id: &Arc<str>) {
+    pub fn let_go(&mut self, now: Micros, id: &Arc<str>) {
+        let fleet = self.machines.len();
         if let Some(m) = self.machines.remove(id) {
-            if self.last_words.len() >= BURIED_MAX {
-                self.last_words.clear();
-            }
-            self.last_words.insert(id.clone(), (m.session, m.seq));
+            let last = (m.session, m.seq);
+            self.last_words.insert(now, fleet, id.clone(), last);
         }
         self.changed.insert(id.clone());
     }
--- a/tests/suite/load.rs
+++ b/tests/suite/load.rs
@@ -97,7 +97,7 @@
                 w.outcome(2 * SECOND, tickets, &Outcome::Lost, &mut table);
             }
             if case == 5 {
-                w.bury(&id);
+                w.bury(3 * SECOND, &id);
             }
             let again = report(tally, parts);
             let now = 4 * SECOND;
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -5,6 +5,7 @@
 mod hands;
 mod holds;
 mod known;
+mod limits;
 mod load;
 mod looks;
 mod lost;
