--- a/src/net.rs
+++ b/src/net.rs
@@ -668,6 +668,10 @@
                 let (status, body) = match outcome {
                     Outcome::NotSent | Outcome::Refused => (FRAME_NOT_SENT, Vec::new()),
                     Outcome::Lost => (FRAME_LOST, Vec::new()),
+                    // What was asked may have been done; only its answer can't be told.
+                    Outcome::Reply { body, .. } if !Self::fits_frame(KIND_ANSWER, "", &body) => {
+                        (FRAME_LOST, Vec::new())
+                    }
                     Outcome::Reply { status, body } => (status, body),
                 };
                 self.write_frame(conn, KIND_ANSWER, status, ticket, 0, "", &body);
@@ -702,6 +706,10 @@
                 body,
                 timeout,
             } => {
+                if !Self::fits_frame(kind, &addr, &body) {
+                    let outcome = Outcome::NotSent;
+                    return self.push(Input::Outcome { ticket, outcome });
+                }
                 let Some(id) = self.open(ticket, Dest::Peer(dest), timeout) else {
                     return;
                 };
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -48,6 +48,16 @@
         true
     }
 
+    /// Whether a frame takes that much. Its receiver would close the link over a longer one, and with it all
+    /// calls and heartbeats on it: what does not fit is refused here.
+    pub(super) fn fits_frame(kind: u16, addr: &str, body: &[u8]) -> bool {
+        let length = addr.len() + body.len();
+        if length > FRAME_MAX {
+            log::error!("not sent: {length} bytes of kind {kind}, a frame takes {FRAME_MAX}");
+        }
+        length <= FRAME_MAX
+    }
+
     #[allow(clippy::too_many_arguments)]
     pub(super) fn write_frame(
         &mut self,
--- a/tests/suite/sockets.rs
+++ b/tests/suite/sockets.rs
@@ -5,6 +5,7 @@
 use dewramp::load::Shed;
 use dewramp::net::{Input, Net, Outcome, Output};
 use dewramp::unanswered::OVERDUE;
+use dewramp::wire::{FRAME_MAX, KIND_INSPECT};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -210,6 +211,65 @@
     assert!(s.net.next_input().is_none());
 }
 
+/// What does not fit a frame is refused by whoever would send it, call or answer; the link and all else on it stay.
+#[test]
+fn what_does_not_fit_a_frame_costs_no_link() {
+    let mut leader = side(100, true);
+    let mut asking = side(100, true);
+    let call = |ticket, body: Vec<u8>| Output::PeerCall {
+        ticket,
+        dest: leader.addr,
+        kind: KIND_INSPECT,
+        addr: "jobs".to_owned(),
+        body,
+        timeout: 5 * SECOND,
+    };
+    // A heartbeat that waits for its answer, a call that does not fit, and one whose answer does not.
+    asking.net.perform(call(1, Vec::new()));
+    asking.net.perform(call(2, vec![0; FRAME_MAX]));
+    asking.net.perform(call(3, vec![0; FRAME_MAX - 4]));
+    for _ in 0..40 {
+        asking.turn();
+        leader.turn();
+    }
+    let mut heard = Vec::new();
+    while let Some(Input::PeerRequest { conn, ticket, .. }) = leader.net.next_input() {
+        heard.push((conn, ticket));
+    }
+    assert_eq!(heard.iter().map(|h| h.1).collect::<Vec<_>>(), [1, 3]);
+    let answer = |leader: &mut Side, n: usize, length: usize| {
+        let (conn, ticket) = heard[n];
+        let body = vec![b' '; length];
+        let outcome = Outcome::Reply { status: 200, body };
+        leader.net.perform(Output::PeerRespond {
+            conn,
+            ticket,
+            outcome,
+        });
+    };
+    answer(&mut leader, 1, FRAME_MAX + 1);
+    answer(&mut leader, 0, 2);
+    for _ in 0..4 {
+        leader.turn();
+        asking.turn();
+    }
+    let mut ended = Vec::new();
+    while let Some(Input::Outcome { ticket, outcome }) = asking.net.next_input() {
+        ended.push((ticket, outcome));
+    }
+    let body = b"  ".to_vec();
+    assert_eq!(
+        ended,
+        [
+            (2, Outcome::NotSent),
+            (3, Outcome::Lost),
+            (1, Outcome::Reply { status: 200, body })
+        ]
+    );
+    assert_eq!(asking.net.traffic.connected, 1, "the same link");
+    assert_eq!(leader.net.traffic.accepted, 1);
+}
+
 /// The outcomes on which the ledger relies: refused is surely not sent, silence is lost.
 #[test]
 fn a_call_that_is_refused_differs_from_one_that_gets_no_answer() {
