--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::recovery::Phase;
-use crate::wire::{AnswerRow, AskRow, Glance, Orders, ReportRow, SEND_WHOLE};
+use crate::wire::{AnswerRow, AskRow, FRAME_MAX, Glance, Orders, ReportRow, SEND_WHOLE};
 use crate::workers::{Repeat, first_token};
 use zerocopy::FromBytes;
 
@@ -19,6 +19,9 @@
 const CARRIERS: usize = 2;
 /// So many workers to be asked go in a frame.
 const ASKED_AT_ONCE: usize = 512;
+/// Answers to many reports go in one frame: past that many bytes the other reports of it are not taken yet. One
+/// answer, of at most some hundred orders, is shorter than what is left.
+const ANSWERS_BYTES: usize = FRAME_MAX - 128 * 1024;
 /// How often a leader is asked whether it takes many reports in a frame.
 const FRAMES_AGAIN: Micros = 500 * MILLI;
 
@@ -405,7 +408,15 @@
                 break;
             };
             rest = after;
-            let answer = if text.is_empty() {
+            let full = told.len() > ANSWERS_BYTES;
+            if full && !text.is_empty() {
+                // Not taken: its worker reports elsewhere.
+                continue;
+            }
+            let answer = if full {
+                // Not taken: it comes again, whole, in another frame.
+                Told::Unknown
+            } else if text.is_empty() {
                 self.take_repeat(&row, via)
             } else {
                 self.take_whole(text, Some(row.digest.get()), via)
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -1,11 +1,14 @@
 //! Bounds on what grows with machines, jobs and connections, reached at 6,000 machines (docs/limits.md).
 
+use crate::world::World;
 use dewramp::clock::{Micros, SECOND};
 use dewramp::jobs::Table;
-use dewramp::wire::Report;
+use dewramp::net::{Input, Outcome, Output};
+use dewramp::wire::{AnswerRow, FRAME_MAX, Glance, KIND_REPORTS, Report, SEND_WHOLE};
 use dewramp::workers::{Departed, REMEMBERED_FOR, Workers};
-use serde_json::json;
+use serde_json::{Value, json};
 use std::sync::Arc;
+use zerocopy::{FromBytes, IntoBytes};
 
 const FLEET: usize = 6_000;
 const LEASE: Micros = 30 * SECOND;
@@ -93,3 +96,65 @@
     let left = (0..bound + 1).filter(|n| departed.contains(&name(3 * FLEET + n)));
     assert_eq!(left.count(), bound);
 }
+
+/// As many reports as a frame takes, each answered with many orders: the answers fit a frame as well, and whoever
+/// gets none yet is asked for its report once more, of which nothing was taken.
+#[test]
+fn answers_to_a_frame_of_reports_fit_a_frame() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    let parts: Vec<Value> = (0..12)
+        .map(|n| json!({"part": format!("wk-900000/{n}"), "try": n + 1, "status": "running"}))
+        .collect();
+    let said = |n: usize, tally: u64| {
+        json!({"host": name(n), "addr": "10.9.0.1:9000", "build": "small", "paddock": "a", "loaners": false,
+            "stint": 1, "tally": tally, "baton": 0, "parts": parts})
+        .to_string()
+        .into_bytes()
+    };
+    const ROWS: usize = 2_000;
+    for n in 0..ROWS {
+        w.send_bytes(leader, "POST", "/checkin", said(n, 1));
+    }
+    w.step(20_000);
+    let mut frame = Vec::new();
+    for n in 0..ROWS {
+        let body = said(n, 2);
+        let mut row = Glance::at(&body).and_then(|g| g.row()).expect("a row");
+        row.slot = (n as u32).into();
+        frame.extend_from_slice(row.as_bytes());
+    }
+    let now = w.now;
+    let node = w.nodes[leader].as_mut().expect("it leads");
+    node.handle(
+        now,
+        Input::PeerRequest {
+            conn: 1 << 40,
+            ticket: 1,
+            kind: KIND_REPORTS,
+            patience: SECOND,
+            addr: "n-2".to_owned(),
+            body: frame,
+        },
+    );
+    let answer = node.tick(now).into_iter().find_map(|o| match o {
+        Output::PeerRespond {
+            outcome: Outcome::Reply { body, .. },
+            ..
+        } => Some(body),
+        _ => None,
+    });
+    let answer = answer.expect("an answer");
+    assert!(answer.len() <= FRAME_MAX, "{} bytes", answer.len());
+    let (mut with_orders, mut again) = (0, 0);
+    let mut rest = answer.as_slice();
+    while let Ok((row, after)) = AnswerRow::read_from_prefix(rest) {
+        match row.status.get() {
+            200 if row.len.get() > 0 => with_orders += 1,
+            SEND_WHOLE => again += 1,
+            status => panic!("status {status}"),
+        }
+        rest = &after[row.len.get() as usize..];
+    }
+    assert_eq!(with_orders + again, ROWS);
+    assert!(with_orders > 500 && again > 500, "{with_orders}, {again}");
+}
