--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -328,7 +328,13 @@
             let done = j.spec.tasks - j.remaining();
             ProgressRow::new(&j.spec.uid, done as u32, j.places.len() as u32)
         });
-        let body = rows.collect::<Vec<_>>().as_bytes().to_vec();
+        let (body, left_out) = Progress::frame(rows);
+        let minute = |at: Micros| at / (60 * SECOND);
+        if left_out > 0 && minute(t) != minute(t.saturating_sub(TELL_EVERY)) {
+            log::warn!(
+                "{left_out} live jobs do not fit the frame on progress: their polls are read"
+            );
+        }
         let peers: Vec<SocketAddr> = self.settings.others.iter().map(|p| p.endpoint).collect();
         for peer in peers {
             let about = (KIND_PROGRESS, self.settings.label.clone());
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -4,14 +4,14 @@
 use crate::layout::Layout;
 use crate::maps::HashMap;
 use crate::store::raw;
-use crate::wire::{JobSpec, Priority, ProgressRow, Shape};
+use crate::wire::{FRAME_MAX, JobSpec, Priority, ProgressRow, Shape};
 use crate::workers::{Directory, TaskKey};
 use rangemap::RangeSet;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use zerocopy::FromBytes;
+use zerocopy::{FromBytes, IntoBytes};
 
 pub const LIVE: &str = "job/";
 pub const OVER: &str = "over/";
@@ -483,7 +483,19 @@
     rows: Vec<ProgressRow>,
 }
 
+/// The most rows of a progress frame: what a frame takes, less the sender's name.
+const PROGRESS_ROWS: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
+
 impl Progress {
+    /// What the leader tells of its live jobs, and of how many more there is no room in a frame. Polls of those
+    /// are answered from the state service.
+    pub fn frame(rows: impl Iterator<Item = ProgressRow>) -> (Vec<u8>, usize) {
+        let mut rows: Vec<ProgressRow> = rows.collect();
+        let left_out = rows.len().saturating_sub(PROGRESS_ROWS);
+        rows.truncate(PROGRESS_ROWS);
+        (rows.as_bytes().to_vec(), left_out)
+    }
+
     /// Takes the leader's word; what does not fit the layout says nothing.
     pub fn replace(&mut self, body: &[u8]) {
         self.rows.clear();
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -2,9 +2,9 @@
 
 use crate::world::World;
 use dewramp::clock::{Micros, SECOND};
-use dewramp::jobs::Table;
+use dewramp::jobs::{Progress, Table};
 use dewramp::net::{Input, Outcome, Output};
-use dewramp::wire::{AnswerRow, FRAME_MAX, Glance, KIND_REPORTS, Report, SEND_WHOLE};
+use dewramp::wire::{AnswerRow, FRAME_MAX, Glance, KIND_REPORTS, ProgressRow, Report, SEND_WHOLE};
 use dewramp::workers::{Departed, REMEMBERED_FOR, Workers};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -158,3 +158,19 @@
     assert_eq!(with_orders + again, ROWS);
     assert!(with_orders > 500 && again > 500, "{with_orders}, {again}");
 }
+
+/// More live jobs than a frame on progress takes: the others are left out, and told to be.
+#[test]
+fn a_frame_on_progress_takes_what_fits() {
+    let uid = |n: usize| format!("wk-{n:06}");
+    let rows = |n| (0..n).filter_map(|n| ProgressRow::new(&format!("wk-{n:06}"), 1, 2));
+    let (frame, left_out) = Progress::frame(rows(5 * FLEET));
+    assert_eq!((frame.len(), left_out), (5 * FLEET * 32, 0));
+    let (frame, left_out) = Progress::frame(rows(7 * FLEET));
+    assert!(frame.len() + 1024 <= FRAME_MAX && left_out > 0);
+    let mut progress = Progress::default();
+    progress.replace(&frame);
+    assert_eq!(progress.get(&uid(0)), Some((1, 2)));
+    assert_eq!(progress.get(&uid(7 * FLEET - left_out - 1)), Some((1, 2)));
+    assert_eq!(progress.get(&uid(7 * FLEET - left_out)), None);
+}
