--- a/src/controller.rs
+++ b/src/controller.rs
@@ -852,11 +852,7 @@
                 self.acknowledge(conn, ticket);
             }
             KIND_INSPECT => {
-                let body = self.inspect_leader(&addr.split('/').collect::<Vec<_>>());
-                let outcome = Outcome::Reply {
-                    status: 200,
-                    body: body.to_string().into_bytes(),
-                };
+                let outcome = self.inspected_through(addr, &body);
                 self.out.push(Output::PeerRespond {
                     conn,
                     ticket,
--- a/src/controller/users.rs
+++ b/src/controller/users.rs
@@ -133,7 +133,7 @@
     }
 
     pub(super) fn request(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
-        let path = path.split('?').next().unwrap_or("");
+        let (path, query) = path.split_once('?').unwrap_or((path, ""));
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, parts.as_slice()) {
             ("GET", ["up"]) => {
@@ -154,7 +154,7 @@
             ("GET", ["work", uid]) => self.poll(conn, uid),
             ("POST", ["work", uid, "cancel"]) => self.cancel(conn, uid),
             ("POST", ["checkin"]) => self.checkin(conn, body),
-            ("GET", ["inspect", rest @ ..]) => self.inspect(conn, rest),
+            ("GET", ["inspect", rest @ ..]) => self.inspect(conn, rest, query),
             (
                 _,
                 ["up" | "work" | "checkin"] | ["work", _] | ["work", _, "cancel"] | ["inspect", ..],
--- a/src/inspect.rs
+++ b/src/inspect.rs
@@ -1,5 +1,7 @@
 //! The read-only commands: they ask a running node and print what it says.
 
+use serde_json::Value;
+use std::collections::BTreeSet;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -32,6 +34,49 @@
     }
 }
 
+/// Begins the query of a page: of the rows after that key.
+pub const AFTER: &str = "after=";
+
+/// Asks for a list, page after page as each answer's `next` says, and returns the first answer with the rows of
+/// all. `list` names the rows in it; a row that comes again, as from a leader of the version before, counts once.
+pub fn ask_all(
+    path: &str,
+    list: &str,
+    mut ask: impl FnMut(&str) -> Result<String, String>,
+) -> Result<String, String> {
+    let read = |body: &str| {
+        serde_json::from_str::<Value>(body).map_err(|e| format!("the answer is no JSON: {e}"))
+    };
+    let mut all = read(&ask(path)?)?;
+    let mut after = next_key(&mut all);
+    while let Some(key) = after {
+        let mut page = read(&ask(&format!("{path}?{AFTER}{key}"))?)?;
+        after = next_key(&mut page);
+        if after.as_ref().is_some_and(|next| *next <= key) {
+            return Err(format!("the page after {key} does not lead on"));
+        }
+        add_rows(&mut all[list], page[list].take());
+    }
+    Ok(all.to_string())
+}
+
+fn next_key(page: &mut Value) -> Option<String> {
+    let next = page.as_object_mut()?.remove("next")?;
+    Some(next.as_str()?.to_owned())
+}
+
+fn add_rows(all: &mut Value, more: Value) {
+    match (all, more) {
+        (Value::Object(all), Value::Object(more)) => all.extend(more),
+        (Value::Array(all), Value::Array(more)) => {
+            let uid = |row: &Value| row["uid"].as_str().map(str::to_owned);
+            let known: BTreeSet<_> = all.iter().map(uid).collect();
+            all.extend(more.into_iter().filter(|row| !known.contains(&uid(row))));
+        }
+        _ => {}
+    }
+}
+
 /// The answer, laid out for reading.
 pub fn pretty(body: &str) -> String {
     serde_json::from_str::<serde_json::Value>(body)
--- a/src/main.rs
+++ b/src/main.rs
@@ -81,6 +81,11 @@
         );
         Ok(())
     };
+    let list = |path: String, list: &str| -> Result<(), String> {
+        let all = inspect::ask_all(&path, list, |page| inspect::ask(settings.listen, page))?;
+        println!("{}", inspect::pretty(&all));
+        Ok(())
+    };
     match cli.command {
         None => serve(clock, settings, props),
         Some(Command::Check) => {
@@ -92,9 +97,9 @@
         }
         Some(Command::Status) => show("/inspect/status".to_owned()),
         Some(Command::Job { uid }) => show(format!("/inspect/job/{uid}")),
-        Some(Command::Jobs { team: None }) => show("/inspect/jobs".to_owned()),
-        Some(Command::Jobs { team: Some(t) }) => show(format!("/inspect/jobs/{t}")),
-        Some(Command::Workers { machine: None }) => show("/inspect/workers".to_owned()),
+        Some(Command::Jobs { team: None }) => list("/inspect/jobs".to_owned(), "jobs"),
+        Some(Command::Jobs { team: Some(t) }) => list(format!("/inspect/jobs/{t}"), "jobs"),
+        Some(Command::Workers { machine: None }) => list("/inspect/workers".to_owned(), "workers"),
         Some(Command::Workers { machine: Some(m) }) => show(format!("/inspect/workers/{m}")),
     }
 }
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -1,10 +1,13 @@
 //! Bounds on what grows with machines, jobs and connections, reached at 6,000 machines (docs/limits.md).
 
-use crate::world::World;
+use crate::world::{World, job};
 use dewramp::clock::{Micros, SECOND};
+use dewramp::inspect::ask_all;
 use dewramp::jobs::{Progress, Table};
 use dewramp::net::{Input, Outcome, Output};
-use dewramp::wire::{AnswerRow, FRAME_MAX, Glance, KIND_REPORTS, ProgressRow, Report, SEND_WHOLE};
+use dewramp::wire::{
+    AnswerRow, FRAME_MAX, Glance, KIND_INSPECT, KIND_REPORTS, ProgressRow, Report, SEND_WHOLE,
+};
 use dewramp::workers::{Departed, REMEMBERED_FOR, Workers};
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -97,6 +100,124 @@
     assert_eq!(left.count(), bound);
 }
 
+/// All rows of a list as an operator's command reads them at a node; each answer fits a frame with much to spare.
+fn listed(w: &mut World, node: usize, path: &str, list: &str) -> (Value, usize) {
+    let mut pages = 0;
+    let all = ask_all(path, list, |page| {
+        pages += 1;
+        let (status, body) = w.ask(node, "GET", page, Value::Null);
+        let text = body.to_string();
+        assert!(text.len() < FRAME_MAX / 4, "{} bytes", text.len());
+        (status == 200).then_some(text).ok_or(format!("{status}"))
+    });
+    let all = serde_json::from_str(&all.expect("all pages")).expect("JSON");
+    (all, pages)
+}
+
+/// An operator sees each of 6,000 machines, at the leader and through another controller.
+#[test]
+fn all_of_6000_machines_can_be_looked_at() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    for n in 0..FLEET {
+        let report = json!({"host": name(n), "addr": "10.9.0.1:9000", "build": "small", "paddock": "a",
+            "loaners": false, "stint": 1, "tally": 1, "baton": 0, "parts": []});
+        w.send(leader, "POST", "/checkin", report);
+    }
+    for node in [leader, (leader + 1) % 3] {
+        let (all, pages) = listed(&mut w, node, "/inspect/workers", "workers");
+        assert_eq!(all["workers"].as_object().map(|m| m.len()), Some(FLEET + 2));
+        assert!(all["next"].is_null() && pages > 2, "{pages} pages");
+        let one = w
+            .ask(node, "GET", "/inspect/workers/m-005999", Value::Null)
+            .1;
+        assert_eq!(one["workers"]["m-005999"]["zone"], "a");
+    }
+    // Who does not ask for pages, as the version before, gets the first and is told that it is not all.
+    let first = w.ask(leader, "GET", "/inspect/workers", Value::Null).1;
+    assert!(first["next"].is_string());
+}
+
+/// The same of 6,000 live jobs, of all teams or of one.
+#[test]
+fn all_of_6000_jobs_can_be_looked_at() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    let follower = (leader + 1) % 3;
+    for n in 0..FLEET {
+        let mut body = job(&format!("wk-{n:06}"));
+        body["team"] = json!("blue");
+        w.send(follower, "POST", "/work", body);
+        if n % 4 == 0 {
+            w.step(20_000);
+        }
+    }
+    w.run(3.0);
+    for node in [leader, follower] {
+        for path in ["/inspect/jobs", "/inspect/jobs/blue"] {
+            let (all, pages) = listed(&mut w, node, path, "jobs");
+            let jobs = all["jobs"].as_array().expect("rows");
+            let uids: Vec<&str> = jobs.iter().filter_map(|j| j["uid"].as_str()).collect();
+            assert!(uids.is_sorted() && pages > 2);
+            assert_eq!(uids.len(), FLEET);
+        }
+        let none = w.ask(node, "GET", "/inspect/jobs/red", Value::Null).1;
+        assert_eq!(none["jobs"], json!([]));
+    }
+}
+
+/// A leader of the version before reads no page: it is asked by the same words as ever, the page stands beside them.
+#[test]
+fn a_page_does_not_change_what_a_leader_of_the_version_before_reads() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    let follower = (leader + 1) % 3;
+    let asked = |w: &mut World, path: &str| {
+        let now = w.now;
+        let node = w.nodes[follower].as_mut().expect("it runs");
+        let input = Input::Request {
+            conn: 1 << 40,
+            method: "GET".to_owned(),
+            path: path.to_owned(),
+            body: Vec::new(),
+        };
+        node.handle(now, input);
+        let found = node.tick(now).into_iter().find_map(|o| match o {
+            Output::PeerCall {
+                kind: KIND_INSPECT,
+                addr,
+                body,
+                ..
+            } => Some((addr, body)),
+            _ => None,
+        });
+        found.expect("the leader is asked")
+    };
+    for path in ["workers", "jobs", "jobs/blue"] {
+        let whole = asked(&mut w, &format!("/inspect/{path}"));
+        assert_eq!(whole, (path.to_owned(), Vec::new()));
+        let page = asked(&mut w, &format!("/inspect/{path}?after=m-7"));
+        assert_eq!(page, (path.to_owned(), b"m-7".to_vec()));
+    }
+}
+
+/// Between two pages the lead goes to a controller of the version before, which answers whole: each row is told once.
+#[test]
+fn a_list_goes_on_at_a_leader_that_knows_no_pages() {
+    let row = |n: usize| json!({ "uid": name(n) });
+    let pages = |path: &str| {
+        Ok(match path {
+            "/inspect/jobs" => json!({"jobs": [row(0), row(1)], "next": name(1)}),
+            "/inspect/jobs?after=m-000001" => json!({"jobs": [row(0), row(1), row(2), row(3)]}),
+            other => return Err(other.to_owned()),
+        }
+        .to_string())
+    };
+    let all = ask_all("/inspect/jobs", "jobs", pages).expect("all");
+    let all: Value = serde_json::from_str(&all).expect("JSON");
+    assert_eq!(all, json!({"jobs": [row(0), row(1), row(2), row(3)]}));
+    // An answer that leads nowhere ends the list with an error instead of never.
+    let circle = |_: &str| Ok(json!({"jobs": [row(0)], "next": name(0)}).to_string());
+    assert!(ask_all("/inspect/jobs", "jobs", circle).is_err());
+}
+
 /// As many reports as a frame takes, each answered with many orders: the answers fit a frame as well, and whoever
 /// gets none yet is asked for its report once more, of which nothing was taken.
 #[test]
