--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod maps;
 pub mod mirror;
 pub mod net;
+pub mod open_files;
 pub mod pipelines;
 pub mod planted;
 pub mod recovery;
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,6 +7,7 @@
 use dewramp::inspect;
 use dewramp::load::{Load, Spent, Work};
 use dewramp::net::Net;
+use dewramp::open_files;
 use dewramp::settings::{Properties, Settings};
 use rand::{Rng, SeedableRng};
 use std::path::PathBuf;
@@ -125,6 +126,9 @@
     if let Some(warning) = settings.warning() {
         log::warn!("{warning}");
     }
+    if let Some(warning) = open_files::secure(settings.settings.machine_limits.max_connections) {
+        log::warn!("{warning}");
+    }
     let now = clock.now();
     let run = run_number(&settings.label, now.wall);
     dewramp::maps::seed(run);
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -5,6 +5,7 @@
 use dewramp::inspect::ask_all;
 use dewramp::jobs::{Progress, Table};
 use dewramp::net::{Input, Outcome, Output};
+use dewramp::open_files::{Plan, plan};
 use dewramp::wire::{
     AnswerRow, FRAME_MAX, Glance, KIND_INSPECT, KIND_REPORTS, ProgressRow, Report, SEND_WHOLE,
 };
@@ -218,6 +219,29 @@
     assert!(ask_all("/inspect/jobs", "jobs", circle).is_err());
 }
 
+/// Connections for 6,000 machines and open files: what the process may raise by itself, and what it has to tell.
+#[test]
+fn open_files_are_raised_or_what_is_missing_is_told() {
+    let connections = 2 * FLEET;
+    let needed = connections as u64 + 64;
+    for (soft, hard, expected) in [
+        (None, None, Plan::Enough),
+        (Some(needed), Some(needed), Plan::Enough),
+        (Some(1024), None, Plan::Raise { to: needed }),
+        (Some(1024), Some(needed), Plan::Raise { to: needed }),
+        (
+            Some(1024),
+            Some(4096),
+            Plan::Short {
+                to: 4096,
+                missing: needed - 4096,
+            },
+        ),
+    ] {
+        assert_eq!(plan(connections, soft, hard), expected);
+    }
+}
+
 /// As many reports as a frame takes, each answered with many orders: the answers fit a frame as well, and whoever
 /// gets none yet is asked for its report once more, of which nothing was taken.
 #[test]
