--- a/src/hearing.rs
+++ b/src/hearing.rs
@@ -2,7 +2,7 @@
 //! that a new term's token is shown within a second or two and not within a report period. Owns what
 //! it knows of those workers, a hint: a token that is not the highest does nothing at the worker.
 
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLI, Micros, SECOND};
 use crate::maps::{HashMap, HashSet};
 use crate::net::{Output, Ticket};
 use crate::wire::{AskRow, Orders, report_addr, report_head, reports_nothing};
@@ -16,7 +16,8 @@
 /// A node that is that far behind asks nobody: most workers report by themselves soon enough.
 const LAG: Micros = 60 * MILLI;
 const CALL_TIME: Micros = 1_500 * MILLI;
-/// Workers come and go; past that many, what is known is forgotten.
+/// Workers come and go; past that many, those not heard for so long are forgotten, and only then all.
+const FORGOTTEN: Micros = 60 * SECOND;
 const MOST_KNOWN: usize = 1 << 15;
 
 struct Carried {
@@ -59,6 +60,11 @@
             return;
         };
         if self.carried.len() >= MOST_KNOWN {
+            let since = now.saturating_sub(FORGOTTEN);
+            self.carried.retain(|_, c| c.at >= since);
+        }
+        if self.carried.len() >= MOST_KNOWN {
+            log::warn!("more than {MOST_KNOWN} workers reported here within a minute");
             self.carried.clear();
         }
         let known = Carried {
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -2,6 +2,7 @@
 
 use crate::world::{World, job};
 use dewramp::clock::{Micros, SECOND};
+use dewramp::hearing::Hearing;
 use dewramp::inspect::ask_all;
 use dewramp::jobs::{Progress, Table};
 use dewramp::net::{Input, Outcome, Output};
@@ -319,3 +320,34 @@
     assert_eq!(progress.get(&uid(7 * FLEET - left_out - 1)), Some((1, 2)));
     assert_eq!(progress.get(&uid(7 * FLEET - left_out)), None);
 }
+
+/// Machines come and go: the 6,000 that report here now are all asked for a new leader, however many did before.
+#[test]
+fn all_of_6000_workers_are_asked_after_thousands_that_left() {
+    let mut hearing = Hearing::default();
+    let body = |n| {
+        serde_json::to_vec(
+            &json!({"host": name(n), "stint": 1, "addr": "10.9.0.1:9000", "parts": []}),
+        )
+    };
+    for n in 0..5 * FLEET {
+        hearing.carries(SECOND, &body(n).expect("JSON"));
+    }
+    let now = 100 * SECOND;
+    for n in 5 * FLEET..6 * FLEET {
+        hearing.carries(now, &body(n).expect("JSON"));
+    }
+    assert!(hearing.begin(now + SECOND, 2, 2 << 24, now - 6 * SECOND));
+    let (mut tickets, mut asked) = (0, 0);
+    while let Some(at) = hearing.wake_at() {
+        let mut out = Vec::new();
+        hearing.tick(at, 0, &mut tickets, &mut out);
+        asked += out.len();
+        for output in out {
+            if let Output::Call { ticket, .. } = output {
+                hearing.answered(ticket);
+            }
+        }
+    }
+    assert_eq!(asked, FLEET);
+}
