--- a/src/pipelines.rs
+++ b/src/pipelines.rs
@@ -18,6 +18,8 @@
 /// Passing backwards stops after so many steps: only accepted jobs are named, so there are no
 /// cycles, but a stored value might say otherwise.
 const MOST_STEPS: usize = 10_000;
+/// Where more jobs wait, so many steps for each of them.
+const STEPS_PER_WAITING: usize = 16;
 
 #[derive(Default)]
 struct Waiting {
@@ -162,11 +164,12 @@
     /// through others. Each edge above the job is looked at as often as something changes there.
     pub fn pass_back(&self, table: &mut Table, from: &Arc<str>, run: impl Fn(&JobSpec) -> Micros) {
         let mut changed = vec![from.clone()];
+        let most = MOST_STEPS.max(STEPS_PER_WAITING * self.waiting.len());
         let mut steps = 0;
         while let Some(uid) = changed.pop() {
             for need in self.unmet(&uid) {
                 steps += 1;
-                if steps > MOST_STEPS {
+                if steps > most {
                     return log::error!("the jobs above {from} need each other in a circle");
                 }
                 let asked = self.wanted(table, &need, &run);
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -4,11 +4,13 @@
 use dewramp::clock::{Micros, SECOND};
 use dewramp::hearing::Hearing;
 use dewramp::inspect::ask_all;
-use dewramp::jobs::{Progress, Table};
+use dewramp::jobs::{Progress, Record, Table};
 use dewramp::net::{Input, Outcome, Output};
 use dewramp::open_files::{Plan, plan};
+use dewramp::pipelines::Pipelines;
 use dewramp::wire::{
-    AnswerRow, FRAME_MAX, Glance, KIND_INSPECT, KIND_REPORTS, ProgressRow, Report, SEND_WHOLE,
+    AnswerRow, FRAME_MAX, Glance, JobSpec, KIND_INSPECT, KIND_REPORTS, Priority, ProgressRow,
+    Report, SEND_WHOLE,
 };
 use dewramp::workers::{Departed, REMEMBERED_FOR, Workers};
 use serde_json::{Value, json};
@@ -351,3 +353,26 @@
     }
     assert_eq!(asked, FLEET);
 }
+
+/// A pipeline of 12,000 steps: what its last job asks for reaches the first.
+#[test]
+fn priority_passes_back_through_a_pipeline_of_12000_jobs() {
+    let mut table = Table::default();
+    let mut graph = Pipelines::default();
+    let steps = 2 * FLEET;
+    for n in 0..steps {
+        let mut body = job(&format!("wk-{n}"));
+        body["urgency"] = json!(if n + 1 < steps { "low" } else { "high" });
+        if n > 0 {
+            body["waitsOn"] = json!([format!("wk-{}", n - 1)]);
+        }
+        let spec = JobSpec::parse(body.to_string().as_bytes()).expect("a job");
+        table.add(&Record::new(spec.clone(), SECOND, "n-1"), 1);
+        if n > 0 {
+            graph.add(&spec, SECOND, |_| true);
+            graph.pass_back(&mut table, &spec.uid, |_| SECOND);
+        }
+    }
+    let first = table.get("wk-0").expect("it is live");
+    assert_eq!(first.priority(), Priority::High);
+}
