--- a/crates/drill/src/day.rs
+++ b/crates/drill/src/day.rs
@@ -666,7 +666,9 @@
         self.pools.iter().map(|p| p.most).sum()
     }
 
-    /// The same day with about that many machines; the work and the teams' shares go with them.
+    /// The same day with about that many machines. The work and the teams' shares go with them, and with a fleet
+    /// that grows the budgets of state service and cloud, since both are asked for each job and machine; a day that
+    /// is cut down keeps its budgets. Processor time, the size of values and transactions, delays stay.
     pub fn with_machines(mut self, machines: usize) -> Day {
         let by = machines as f64 / self.machines().max(1) as f64;
         let scaled = |n: usize| (n as f64 * by).round().max(f64::from(u8::from(n > 0))) as usize;
@@ -682,6 +684,11 @@
             c.rate *= by;
             c.initial = scaled(c.initial);
         }
+        let grown = by.max(1.0);
+        self.state.rps *= grown;
+        self.state.write_rps *= grown;
+        self.state.kept = (self.state.kept as f64 * grown) as usize;
+        self.cloud.rps *= grown;
         for count in self.failures.iter_mut().filter(|f| f.whom.is_none()) {
             if count.kind != Kind::NodeCrash {
                 count.count = count.count.map(scaled);
--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -46,7 +46,7 @@
     /// That many controllers, whatever the day says.
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u16).range(1..=200))]
     controllers: Option<u16>,
-    /// About that many machines; work and limits go with them.
+    /// About that many machines; work, limits and, for a larger fleet, the budgets of state service and cloud go with them.
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u16).range(1..=9000))]
     machines: Option<u16>,
     /// Plant a bug in the controllers, or `all` of them one after the other.
