--- a/crates/drill/tests/fleet.rs
+++ b/crates/drill/tests/fleet.rs
@@ -1,6 +1,31 @@
-//! A fleet of thousands of machines: what a day of that size is given.
+//! A fleet of thousands of machines: one day with a change of leader, bounded in time.
 
-use drill::day::Day;
+use drill::day::{Day, Failure, Kind, Whom};
+use drill::play;
+
+const MACHINES: usize = 4_000;
+
+/// The example day at 4,000 machines, cut to what shows a takeover of all of them: most are up from the start, the
+/// leader ends when work fills the fleet, and what was accepted is done at the end.
+#[test]
+fn a_day_of_4000_machines_with_a_failover_breaks_no_rule() {
+    let mut day = Day::example().expect("the example is a day");
+    day.duration_s = 110.0;
+    day.settle_s = 50.0;
+    day.failures = vec![Failure::new(40.0, Kind::NodeCrash).hits(Whom::Leader)];
+    let day = day.with_machines(MACHINES);
+    assert!(day.machines() >= MACHINES - 10);
+    let outcome = play(&day);
+    assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
+    assert!(outcome.failed.is_empty(), "{:?}", outcome.failed);
+    let lead = outcome.leads.iter().find(|l| l.at_s > 40.0);
+    let lead = lead.expect("another leads");
+    assert!(lead.silent_s < 6.0, "{lead:?}");
+    assert!(outcome.tasks_started > 10_000, "{}", outcome.tasks_started);
+    assert_eq!(outcome.given_up, 0);
+    let budget = day.state.write_rps * day.duration_s;
+    assert!((outcome.state_changes as f64) < 0.2 * budget);
+}
 
 /// Budgets grow with the fleet and do not shrink with it; what does not depend on it stays.
 #[test]
