--- a/src/controller.rs
+++ b/src/controller.rs
@@ -988,7 +988,7 @@
         }
         if t >= led.upkeep_at {
             led.upkeep_at = t + 250 * MILLI;
-            if self.resign_when_deaf() {
+            if self.resign_when_deaf() || self.resign_when_numbers_run_out() {
                 return;
             }
             self.upkeep();
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -432,6 +432,13 @@
         })
     }
 
+    /// Passes over attempt numbers of a leader, for tests of their end.
+    pub fn skip_attempts(&mut self, count: u64) {
+        if let Some(led) = &mut self.led {
+            led.workers.skip_attempts(count);
+        }
+    }
+
     /// Makes what this node follows wrong in one stamp; for tests of what finds that.
     pub fn spoil_mirror(&mut self) -> bool {
         self.following.mirror.spoil()
--- a/src/controller/takeover.rs
+++ b/src/controller/takeover.rs
@@ -91,6 +91,20 @@
         true
     }
 
+    /// A leader whose numbers of attempts or fences reach those of the next term goes on under a new one, as does
+    /// one that fell behind.
+    pub(super) fn resign_when_numbers_run_out(&mut self) -> bool {
+        let out = |led: &Led| led.workers.numbers_run_out();
+        if !self.led.as_ref().is_some_and(out) {
+            return false;
+        }
+        log::warn!(
+            "the numbers of attempts or fences of this term run out; going on under a new one"
+        );
+        self.resign(0);
+        true
+    }
+
     /// A leader whose grant is renewed and whose questions for changes are not answered can't act for long;
     /// another may be told.
     pub(super) fn resign_when_untold(&mut self) -> bool {
--- a/src/workers.rs
+++ b/src/workers.rs
@@ -31,6 +31,11 @@
 
 /// Bits of the token below the leader's term: the fence against lost direct commands.
 const FENCE_BITS: u32 = 24;
+/// Bits of an attempt number below the leader's term.
+const ATTEMPT_BITS: u32 = 32;
+/// With no more than that many numbers left below those of the next term, a leader goes on under that.
+const ATTEMPTS_LEFT: u64 = 1 << 24;
+const FENCES_LEFT: u64 = 1 << 12;
 /// Reports list everything until it is reaped; an answer needs a bound all the same.
 const MAX_ORDERS: usize = 300;
 /// How often all machines are looked at for what only time makes due.
@@ -108,6 +113,8 @@
     calls: HashMap<Ticket, Arc<str>>,
     peers: Vec<SocketAddr>,
     next_attempt: u64,
+    /// The highest fence of any machine.
+    highest_fence: u64,
     pub events: Vec<Event>,
     /// Machines whose tasks or fitness changed since the scheduler last looked.
     changed: BTreeSet<Arc<str>>,
@@ -157,8 +164,9 @@
             next_attempt: if planted(Bug::AttemptReused) {
                 0
             } else {
-                term << 32
+                term << ATTEMPT_BITS
             },
+            highest_fence: 0,
             events: Vec::new(),
             changed: BTreeSet::new(),
             hot: BTreeSet::new(),
@@ -319,6 +327,19 @@
         self.next_attempt
     }
 
+    /// Whether the attempt numbers, or the fences of some machine, are about to reach those of the next term. Past
+    /// them a number would stand for two attempts, and a command that was given up could not be told from a new one.
+    pub fn numbers_run_out(&self) -> bool {
+        let attempts = self.next_attempt & ((1 << ATTEMPT_BITS) - 1);
+        attempts >= (1 << ATTEMPT_BITS) - ATTEMPTS_LEFT
+            || self.highest_fence >= (1 << FENCE_BITS) - FENCES_LEFT
+    }
+
+    /// Passes over attempt numbers, for tests of their end.
+    pub fn skip_attempts(&mut self, count: u64) {
+        self.next_attempt += count;
+    }
+
     /// Takes the room; nothing is sent before `confirm`.
     pub fn plan(
         &mut self,
--- a/src/workers/orders.rs
+++ b/src/workers/orders.rs
@@ -327,6 +327,7 @@
             // It may be executed minutes later: from now on only a higher token counts, and
             // once the worker has shown that one, the lost call is dead.
             m.fence = (m.fence + 1).min((1 << FENCE_BITS) - 1);
+            self.highest_fence = self.highest_fence.max(m.fence);
             m.in_doubt = true;
         }
         // When the direct way has just failed, another controller may still reach the machine.
--- a/src/workers/reports.rs
+++ b/src/workers/reports.rs
@@ -173,6 +173,7 @@
         // that it does, by a token that only an answer or a command of now can have told it.
         if session_moved && m.heard && now < m.answered_at + self.lease {
             m.fence = (m.fence + 1).min((1 << FENCE_BITS) - 1);
+            self.highest_fence = self.highest_fence.max(m.fence);
             m.in_doubt = true;
         }
         m.session = r.session;
@@ -204,6 +205,7 @@
         if r.token > base + m.fence && r.token < base + (1 << FENCE_BITS) {
             // Only possible if this node lost count; a later term's token is never taken over.
             m.fence = r.token - base;
+            self.highest_fence = self.highest_fence.max(m.fence);
         }
         // What is stored as here and not proven, against what this report tells for the first time.
         let unproven = first || !m.heard;
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -376,3 +376,35 @@
     let first = table.get("wk-0").expect("it is live");
     assert_eq!(first.priority(), Priority::High);
 }
+
+/// The attempt numbers of a term come to an end: the leader goes on under the next, without a number used twice and
+/// with all that runs left alone.
+#[test]
+fn a_leader_whose_attempt_numbers_run_out_goes_on_under_a_new_term() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    assert_eq!(w.submit(leader, "wk-1", json!({})).0, 201);
+    w.run(2.0);
+    let term = |w: &mut World| {
+        let leader = w.leader().expect("one leads");
+        let status = w.ask(leader, "GET", "/inspect/status", Value::Null).1;
+        status["term"].as_u64().expect("a term")
+    };
+    let before = term(&mut w);
+    let node = w.nodes[leader].as_mut().expect("it leads");
+    node.skip_attempts((1 << 32) - (1 << 25));
+    w.run(2.0);
+    assert_eq!(term(&mut w), before, "there are enough left");
+    let node = w.nodes[leader].as_mut().expect("it leads");
+    node.skip_attempts(1 << 24);
+    w.run(5.0);
+    assert_eq!(term(&mut w), before + 1);
+    assert_eq!((w.starts("wk-1/0"), w.copies("wk-1/0")), (1, 1));
+    let leader = w.leader().expect("one leads");
+    assert_eq!(w.submit(leader, "wk-2", json!({})).0, 201);
+    w.run(3.0);
+    assert_eq!((w.starts("wk-2/0"), w.copies("wk-2/0")), (1, 1));
+    let attempts = w.workers.iter().flat_map(|x| &x.started).map(|s| s.1 >> 32);
+    let mut terms: Vec<u64> = attempts.collect();
+    terms.sort_unstable();
+    assert_eq!(terms, [before, before + 1]);
+}
