--- a/src/controller.rs
+++ b/src/controller.rs
@@ -944,6 +944,10 @@
                 body["leader"] = told.unwrap_or_else(|| json!("the leader does not answer"));
                 self.respond(conn, 200, &body);
             }
+            // An operator's question says nothing of the link: its answer may just have been late.
+            Relay::Inspect { conn } if !matches!(outcome, Outcome::Reply { .. }) => {
+                self.error(conn, 503, "the leader does not answer");
+            }
             Relay::Report { conn } | Relay::Inspect { conn } => match outcome {
                 Outcome::Reply { status, body } => {
                     let retry_after = None;
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -202,6 +202,44 @@
     }
 }
 
+/// A question that the leader does not answer in time is told as such. It used to rest the link, and to send the
+/// workers that report here elsewhere.
+#[test]
+fn a_look_that_gets_no_answer_rests_no_link() {
+    let (mut w, leader) = World::led(&["a", "b"]);
+    let follower = (leader + 1) % 3;
+    let now = w.now;
+    let node = w.nodes[follower].as_mut().expect("it runs");
+    let request = |conn, method: &str, path: &str, body: &str| Input::Request {
+        conn,
+        method: method.to_owned(),
+        path: path.to_owned(),
+        body: body.as_bytes().to_vec(),
+    };
+    node.handle(now, request(1 << 40, "GET", "/inspect/jobs", ""));
+    let asked = node.tick(now).into_iter().find_map(|o| match o {
+        Output::PeerCall {
+            ticket,
+            kind: KIND_INSPECT,
+            ..
+        } => Some(ticket),
+        _ => None,
+    });
+    let outcome = Outcome::Lost;
+    let ticket = asked.expect("the leader is asked");
+    node.handle(now, Input::Outcome { ticket, outcome });
+    let told = node.tick(now).into_iter().find_map(|o| match o {
+        Output::Respond { conn, status, .. } if conn == 1 << 40 => Some(status),
+        _ => None,
+    });
+    assert_eq!(told, Some(503));
+    // A report that comes now is passed on.
+    w.run(0.2);
+    let report = json!({"host": "m-9", "addr": "10.9.0.1:9000", "build": "small", "paddock": "a",
+        "loaners": false, "stint": 1, "tally": 1, "baton": 0, "parts": []});
+    assert_eq!(w.ask(follower, "POST", "/checkin", report).0, 200);
+}
+
 /// Between two pages the lead goes to a controller of the version before, which answers whole: each row is told once.
 #[test]
 fn a_list_goes_on_at_a_leader_that_knows_no_pages() {
