--- a/crates/drill/src/users.rs
+++ b/crates/drill/src/users.rs
@@ -263,7 +263,10 @@
         let swing = 1.0 + c.swing * (phase * std::f64::consts::TAU).sin();
         let rate = c.rate * swing * burst.and_then(|f| f.factor).unwrap_or(1.0);
         // Each tenth of a second by itself, so that a burst begins and ends in time.
-        if self.users.rng.random::<f64>() < rate * 0.1 {
+        // A fleet of thousands may have several in a step.
+        let expected = rate * 0.1;
+        let more = self.users.rng.random::<f64>() < expected.fract();
+        for _ in 0..expected as usize + usize::from(more) {
             let job = self.new_job(class);
             self.user(job, Step::Submit);
         }
