--- a/src/controller.rs
+++ b/src/controller.rs
@@ -30,7 +30,7 @@
     controller_key, piece_key, split_piece,
 };
 use crate::leadership::{Change, LEADER_KEY, Leadership, Step};
-use crate::load::{Load, Shed};
+use crate::load::{Load, Room, Shed};
 use crate::maps::HashMap;
 use crate::mirror::{Mirror, Sum, Want};
 use crate::net::{ConnId, Input, Outcome, Output, Ticket};
@@ -92,7 +92,7 @@
 const PLACE_PER_MACHINE: Micros = 30;
 /// After a pass this many times what it took goes to other things.
 const PASS_REST: Micros = 3;
-const PASS_REST_MAX: Micros = SECOND;
+const PASS_REST_MAX: Micros = 4 * SECOND;
 const SAVE_PER_JOB: Micros = 30;
 const SAVE_SCAN: Micros = 100 * MILLI;
 const SAVE_AFTER: Micros = 1_500 * MILLI;
@@ -823,7 +823,10 @@
                 self.progress_at = self.now.steady;
                 // Only what is probed gets users: a node may be cut off from the load balancer.
                 let probed = self.now.steady < self.probed_at + SERVING_FRESH;
-                let serves = probed && !self.cloud.types.is_empty() && !self.store.failing();
+                // A full node is handed no workers: each would cost another its connection.
+                let room = self.load.room == Room::Enough;
+                let serves =
+                    probed && room && !self.cloud.types.is_empty() && !self.store.failing();
                 self.out.push(Output::PeerRespond {
                     conn,
                     ticket,
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -9,6 +9,12 @@
 /// A link over which a call failed is not used for that long.
 const LINK_REST: Micros = 4 * SECOND;
 
+/// A report may wait that long for the leader's answer. Its worker gives it 4 s: were it given up before
+/// that, a leader that is 2 s behind would see every worker come anew, which puts it further behind.
+const REPORT_TIME: Micros = 3 * SECOND;
+/// A leader that has spoken to this controller so lately is there, and the link to it too: it is slow.
+const SPOKE_LATELY: Micros = 4 * SECOND;
+
 /// The same while it is in doubt whether there is a leader at its other end.
 const LINK_AGAIN: Micros = 400 * MILLI;
 /// Of so many workers that can't be served by way of here, all but one are sent straight to a leader
@@ -61,11 +67,14 @@
             return;
         };
         let (label, endpoint) = (peer.label.clone(), peer.endpoint);
+        if self.hands_back() {
+            return self.respond(conn, 421, &json!({"boss": label}));
+        }
         if self.link_bad(endpoint) {
-            if !self.leader_in_doubt(endpoint)
+            if !self.may_answer_yet(endpoint)
                 || self.desk.take(self.now.steady, conn, body).is_err()
             {
-                self.misdirect(conn, &label);
+                self.send_elsewhere(conn, &label);
             }
             return;
         }
@@ -101,6 +110,17 @@
         Some(label)
     }
 
+    /// Whether a worker that reports to this controller, which does not lead and has no connections left, is
+    /// sent to the leader: one at a time, and the leader hands none to a controller that is crowded.
+    fn hands_back(&mut self) -> bool {
+        let t = self.now.steady;
+        let due = self.load.room == Room::Full && t >= self.hand_over_at;
+        if due {
+            self.hand_over_at = t + HAND_OVER_EVERY;
+        }
+        due
+    }
+
     /// After a change of leader: asks the workers whose reports come here, for whoever leads now.
     pub(super) fn ask_carried(&mut self) {
         let t = self.now.steady;
@@ -192,7 +212,7 @@
     /// Passes a report on by itself.
     fn relay_report(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
         let about = (KIND_REPORT, self.settings.label.clone());
-        self.call_peer(Relay::Report { conn }, dest, about, body, RELAY_TIME);
+        self.call_peer(Relay::Report { conn }, dest, about, body, REPORT_TIME);
     }
 
     /// Whether the leader takes many reports in a frame; if that is not known, it is asked.
@@ -239,13 +259,13 @@
         };
         let (label, dest) = (peer.label.clone(), peer.endpoint);
         if self.link_bad(dest) {
-            let over = if self.leader_in_doubt(dest) {
+            let over = if self.may_answer_yet(dest) {
                 self.desk.park(now)
             } else {
                 self.desk.drain().into_iter().map(|w| w.0).collect()
             };
             for conn in over {
-                self.misdirect(conn, &label);
+                self.send_elsewhere(conn, &label);
             }
             return;
         }
@@ -266,7 +286,7 @@
                 kind: KIND_REPORTS,
                 addr: self.settings.label.clone(),
                 body,
-                timeout: RELAY_TIME,
+                timeout: REPORT_TIME,
             });
         }
     }
@@ -282,7 +302,7 @@
                 self.link_refused.remove(&dest);
             } else {
                 self.link_fails(dest, outcome);
-                doubtful = self.leader_in_doubt(dest);
+                doubtful = self.may_answer_yet(dest);
             }
         }
         let now = self.now.steady;
@@ -316,7 +336,28 @@
         if let Some(dest) = self.leader_peer().map(|p| p.endpoint) {
             self.link_fails(dest, outcome);
         }
-        self.misdirect(conn, &leader);
+        self.send_elsewhere(conn, &leader);
+    }
+
+    /// Whether the leader was heard so lately that it must be slow where it does not answer.
+    fn leader_speaks(&self) -> bool {
+        let heard = self.hint.as_ref();
+        heard.is_some_and(|h| self.now.steady < h.1 + SPOKE_LATELY)
+    }
+
+    /// Whether a leader over whose link a call failed may answer the next: reports wait for that.
+    fn may_answer_yet(&self, dest: SocketAddr) -> bool {
+        self.leader_in_doubt(dest) || self.leader_speaks()
+    }
+
+    /// A worker can't be served by way of here. While the leader is only slow no other controller serves it
+    /// either: named one, it would come there at once, be named this one, and each time over a new connection.
+    /// Told of no other it takes a second, which bounds how many come.
+    fn send_elsewhere(&mut self, conn: ConnId, leader: &str) {
+        if self.leader_speaks() {
+            return self.error(conn, 503, "the leader does not answer in time");
+        }
+        self.misdirect(conn, leader);
     }
 
     /// A call over this link failed: it rests.
@@ -326,7 +367,7 @@
             self.link_refused.insert(dest, now);
         }
         self.link_failed.entry(dest).or_insert(now);
-        let rest = if self.leader_in_doubt(dest) {
+        let rest = if self.may_answer_yet(dest) {
             LINK_AGAIN
         } else {
             LINK_REST
--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -14,6 +14,9 @@
 /// What a grant's length allows for: so many times what an answer takes, and what this process stops.
 const SLOW_TIMES: f64 = 6.0;
 const STOP_TIMES: f64 = 2.0;
+/// A process that stands still for long needs a longer grant than the settings' longest, up to so many times
+/// that: the next takeover finds it with even more to do, and costs all workers new connections.
+const STOPPED_TIMES: Micros = 2;
 const STOP_HALF_LIFE: Micros = 10 * SECOND;
 /// Between two tries to get a longer grant.
 const LONGER_AGAIN: Micros = 5 * SECOND;
@@ -187,8 +190,9 @@
     /// long enough that neither a late answer nor a usual stop of this process costs the lead.
     fn wanted_ttl(&self) -> Micros {
         let (least, most) = self.ttl_bounds;
-        let spare = SLOW_TIMES * self.slow + STOP_TIMES * self.stop;
-        (least + spare as Micros).min(most)
+        let stops = (STOP_TIMES * self.stop) as Micros;
+        let usual = (least + (SLOW_TIMES * self.slow) as Micros + stops).min(most);
+        usual.max((least + stops).min(STOPPED_TIMES * most))
     }
 
     /// How long others are let go first when a leader is gone.
--- a/src/load.rs
+++ b/src/load.rs
@@ -37,12 +37,25 @@
     }
 }
 
+/// How far the connections that others may have to a node are taken.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Room {
+    #[default]
+    Enough,
+    /// It wants no more workers handed to it.
+    Crowded,
+    /// It hands some to the leader.
+    Full,
+}
+
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
     lag: f64,
     at: Micros,
     /// The highest lag of this run.
     pub worst: Micros,
+    /// How far its connections are taken.
+    pub room: Room,
 }
 
 impl Load {
--- a/src/main.rs
+++ b/src/main.rs
@@ -130,6 +130,7 @@
         settings.settings.machine_limits.max_connections,
     );
     net.set_now(now.steady);
+    net.set_report_period(settings.report_period());
     net.listen(settings.listen, false)
         .map_err(|e| format!("listening on {}: {e}", settings.listen))?;
     net.listen(settings.cluster_listen, true)
@@ -179,6 +180,7 @@
             net.set_now(before.steady);
             load.note(before.steady, net.oldest().max(before.steady - looked));
             net.set_shed(load.shed(), load.retry_after(0));
+            load.room = net.room();
             node.set_load(load);
             now = before;
             let outputs = node.tick(now);
--- a/src/net.rs
+++ b/src/net.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::{Micros, SECOND};
 use crate::lanes::Lanes;
-use crate::load::Shed;
+use crate::load::{Room, Shed};
 use crate::maps::HashMap;
 use crate::unanswered::Unanswered;
 use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, MAX_BODY};
@@ -117,6 +117,14 @@
 const CONNECT_TIME: Micros = SECOND;
 /// So many calls in a row that got no answer end a link between controllers.
 const LINK_MISSES: u32 = 8;
+/// A connection that rests for longer than this many report periods belongs to somebody who is gone; without
+/// the period, for so long.
+const GONE_PERIODS: Micros = 2;
+const GONE_AFTER: Micros = 16 * SECOND;
+/// With this share of its connections taken a node wants no more workers handed to it, and with that
+/// share it sends some to the leader.
+const CROWDED_PART: f64 = 0.9;
+const FULL_PART: f64 = 0.95;
 /// So many connections are taken at a time.
 const ACCEPT_AT_ONCE: usize = 32;
 const MAX_PENDING_OUT: usize = 4 << 20;
@@ -154,6 +162,20 @@
     missed: u32,
     /// When it is closed unless something happens first.
     deadline: Micros,
+    /// Since when it rests between two requests.
+    resting: Option<Micros>,
+}
+
+impl Conn {
+    /// Whether its last request is answered and nothing of the next has come.
+    fn rests(&self) -> bool {
+        self.role == Role::Server
+            && self.served
+            && !self.busy
+            && !self.close_after
+            && self.input.is_empty()
+            && self.output.is_empty()
+    }
 }
 
 struct Call {
@@ -169,6 +191,10 @@
     calls: HashMap<Ticket, Call>,
     deadlines: BTreeSet<(Micros, Ticket)>,
     conn_deadlines: BTreeSet<(Micros, ConnId)>,
+    /// The connections to us that rest between two requests, and since when.
+    resting: BTreeSet<(Micros, ConnId)>,
+    /// Who has not come again for so long is gone.
+    gone_after: Micros,
     idle: HashMap<Dest, Vec<ConnId>>,
     next_conn: ConnId,
     servers: usize,
@@ -198,6 +224,8 @@
     pub events: u64,
     /// Connections taken, and those made for our own calls.
     pub accepted: u64,
+    /// Connections that rested and were closed to make room for those.
+    pub evicted: u64,
     pub connected: u64,
     pub reads: u64,
     pub writes: u64,
@@ -211,6 +239,7 @@
         let Traffic {
             events,
             accepted,
+            evicted,
             connected,
             reads,
             writes,
@@ -219,7 +248,7 @@
         } = self;
         write!(
             f,
-            "{events} ready, {accepted} accepted, {connected} connected, {reads} reads, {writes} writes, \
+            "{events} ready, {accepted} accepted, {evicted} evicted, {connected} connected, {reads} reads, {writes} writes, \
              {requests} requests, {frames} frames"
         )
     }
@@ -234,6 +263,8 @@
             calls: HashMap::default(),
             deadlines: BTreeSet::new(),
             conn_deadlines: BTreeSet::new(),
+            resting: BTreeSet::new(),
+            gone_after: GONE_AFTER,
             idle: HashMap::default(),
             next_conn: 1,
             servers: 0,
@@ -290,6 +321,21 @@
         (self.shed, self.retry_after) = (shed, retry_after);
     }
 
+    /// How often a worker reports.
+    pub fn set_report_period(&mut self, period: Micros) {
+        self.gone_after = GONE_PERIODS * period;
+    }
+
+    /// How far the connections that others may have to this node are taken.
+    pub fn room(&self) -> Room {
+        let taken = self.servers as f64 / self.server_cap.max(1) as f64;
+        match taken {
+            taken if taken > FULL_PART => Room::Full,
+            taken if taken > CROWDED_PART => Room::Crowded,
+            _ => Room::Enough,
+        }
+    }
+
     /// Sets the time; what came in meanwhile counts as having come now.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
@@ -373,9 +419,9 @@
             match accept_with(listener, flags) {
                 Ok(stream) => {
                     let stream = TcpStream::from(stream);
-                    // At the cap the connection that has rested longest has to go: after a pause
-                    // or a cut many are left over whose other ends are gone. Were the new one
-                    // refused instead, workers would not get through until their leases are over.
+                    // At the cap a connection that rests has to go: after a pause or a cut many are left
+                    // over whose other ends are gone. Were the new one refused instead, workers
+                    // would not get through until their leases are over.
                     if self.servers >= self.server_cap && !self.close_resting() {
                         continue;
                     }
@@ -414,19 +460,40 @@
         }
     }
 
-    /// Closes the connection to us that has rested longest; false when none rests.
+    /// Closes a connection to us that rests; false when none does. One that has rested for longer than
+    /// anybody who is still there would is the first to go. After those the one that rests for the shortest
+    /// time: all come again in turn, so it is needed last. Were the oldest closed, as for caches whose use
+    /// has no period, a few callers too many would cost each caller its connection just before it is used
+    /// again, and every request would need a new one, for ever.
     fn close_resting(&mut self) -> bool {
-        let rests = |id: &ConnId| {
-            let conn = self.conns.get(id);
-            conn.is_some_and(|c| c.served && !c.busy && c.input.is_empty())
-        };
-        let found = self.conn_deadlines.iter().map(|d| d.1).find(rests);
+        let oldest = self.resting.first();
+        let gone = oldest.filter(|(since, _)| self.now >= since + self.gone_after);
+        let found = gone.or(self.resting.last()).map(|r| r.1);
         if let Some(id) = found {
+            self.traffic.evicted += 1;
             self.close(id);
         }
         found.is_some()
     }
 
+    /// Notes whether a connection to us rests now.
+    fn note_rest(&mut self, id: ConnId) {
+        let Some(c) = self.conns.get_mut(&id) else {
+            return;
+        };
+        match (c.rests(), c.resting) {
+            (true, None) => {
+                c.resting = Some(self.now);
+                self.resting.insert((self.now, id));
+            }
+            (false, Some(since)) => {
+                c.resting = None;
+                self.resting.remove(&(since, id));
+            }
+            _ => {}
+        }
+    }
+
     fn add(
         &mut self,
         stream: TcpStream,
@@ -466,6 +533,7 @@
                 close_after: false,
                 missed: 0,
                 deadline,
+                resting: None,
             },
         );
         Some(id)
@@ -485,6 +553,9 @@
         };
         self.handle.remove(c.token);
         self.conn_deadlines.remove(&(c.deadline, id));
+        if let Some(since) = c.resting {
+            self.resting.remove(&(since, id));
+        }
         match c.role {
             Role::Server | Role::PeerServer => {
                 self.servers -= 1;
@@ -548,6 +619,7 @@
         if readiness.readable || readiness.error {
             self.read(id);
         }
+        self.note_rest(id);
     }
 
     fn read(&mut self, id: ConnId) {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -96,6 +96,7 @@
         let body = c.input[head..head + length].to_vec();
         c.input.drain(..head + length);
         c.busy = true;
+        self.note_rest(id);
         self.set_deadline(id, self.now + IDLE_SERVER);
         if self.refuse_user(id, &path) {
             return false;
@@ -281,5 +282,6 @@
         self.set_deadline(id, self.now + limit);
         self.flush(id);
         self.consume(id);
+        self.note_rest(id);
     }
 }
--- a/src/workers/orders.rs
+++ b/src/workers/orders.rs
@@ -20,6 +20,9 @@
 /// A node that is that far behind asks no machine how it is: each probe costs it more than a report,
 /// and nearly all machines report by themselves within their period.
 const PROBE_LAG: Micros = 300 * MILLI;
+/// One that is that far behind sends starts in the answers to reports alone: a call of their own, mostly over
+/// a new connection, costs it as much as a report, and the reports that keep leases wait behind them.
+const START_LAG: Micros = 500 * MILLI;
 
 /// Whether this node reaches workers at all. A node can lose all of them while its peers still
 /// see them; then each start would first fail on the direct way.
@@ -144,6 +147,7 @@
     pub fn flush(&mut self, now: Micros, tickets: &mut Ticket, out: &mut Vec<Output>) {
         let base = self.base_token();
         let mut hot = std::mem::take(&mut self.hot);
+        let calls_for_starts = self.lag <= START_LAG;
         let mut probes = match self.lag {
             lag if lag > PROBE_LAG => 0,
             lag if lag > PROBE_LAG / 3 => PROBES_MIN,
@@ -182,7 +186,7 @@
             let mut starts = Vec::new();
             let probe = probes > 0 && m.to_probe(now, self.took_over, self.report_period);
             Self::collect_stops(now, m, &mut orders, false);
-            if !m.in_doubt && m.heard && m.in_roll && !m.quiet_stored {
+            if calls_for_starts && !m.in_doubt && m.heard && m.in_roll && !m.quiet_stored {
                 for ((key, attempt), e) in &mut m.tasks {
                     if e.state == State::Ready && orders.len() < MAX_ORDERS {
                         orders.push(start(&e.uid, key.part, *attempt));
--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -9,6 +9,7 @@
 mod looks;
 mod lost;
 mod meetings;
+mod overload;
 mod pages;
 mod pipelines;
 mod recovery;
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -12,7 +12,7 @@
 use dewramp::maps::HashMap;
 use dewramp::net::{ConnId, Input, Outcome, Output, Ticket};
 use dewramp::settings::Properties;
-use dewramp::wire::KIND_CANCELLED;
+use dewramp::wire::{KIND_CANCELLED, KIND_REPORT, KIND_REPORTS};
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
@@ -66,6 +66,10 @@
     runs: u64,
     /// Each input costs its node time, and waits until the node has it; see `work_off`.
     pub slow_nodes: bool,
+    /// Reports that one controller passes to another get no answer in time; all else does.
+    pub slow_reports: bool,
+    /// How often a worker was named another controller.
+    pub named: usize,
     desks: Vec<Slow>,
     /// Users' requests that a node refused without looking at them.
     pub shed: usize,
@@ -138,6 +142,8 @@
             next_report: 0,
             runs: 0,
             slow_nodes: false,
+            slow_reports: false,
+            named: 0,
             desks: (0..nodes).map(|_| Slow::default()).collect(),
             shed: 0,
             hints: false,
@@ -514,6 +520,7 @@
                         let boss = value["boss"].as_str().and_then(|b| b.strip_prefix("n-"));
                         let named = boss.and_then(|b| b.parse::<usize>().ok());
                         let named = named.filter(|n| (1..=self.nodes.len()).contains(n));
+                        self.named += usize::from(named.is_some());
                         let next = (worker.node + 1) % self.nodes.len();
                         worker.node = named.map_or(next, |n| n - 1);
                     }
@@ -604,6 +611,10 @@
                 {
                     return self.give(n, ticket, Outcome::NotSent);
                 }
+                if self.slow_reports && (kind == KIND_REPORT || kind == KIND_REPORTS) {
+                    let at = self.now.steady + timeout;
+                    return self.hanging.push((at, n, ticket));
+                }
                 let conn = self.conn();
                 self.peer_calls.insert((to, conn), (n, ticket));
                 let input = Input::PeerRequest {
