--- a/src/leadership.rs
+++ b/src/leadership.rs
@@ -190,9 +190,9 @@
     /// long enough that neither a late answer nor a usual stop of this process costs the lead.
     fn wanted_ttl(&self) -> Micros {
         let (least, most) = self.ttl_bounds;
-        let stops = (STOP_TIMES * self.stop) as Micros;
-        let usual = (least + (SLOW_TIMES * self.slow) as Micros + stops).min(most);
-        usual.max((least + stops).min(STOPPED_TIMES * most))
+        let stops = STOP_TIMES * self.stop;
+        let usual = (least + (SLOW_TIMES * self.slow + stops) as Micros).min(most);
+        usual.max((least + stops as Micros).min(STOPPED_TIMES * most))
     }
 
     /// How long others are let go first when a leader is gone.
