--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -9,8 +9,9 @@
 /// A link over which a call failed is not used for that long.
 const LINK_REST: Micros = 4 * SECOND;
 
-/// A report may wait that long for the leader's answer. Its worker gives it 4 s: were it given up before
-/// that, a leader that is 2 s behind would see every worker come anew, which puts it further behind.
+/// At a controller short of connections a report may wait that long for the leader's answer. Its worker gives it
+/// 4 s: were it given up before that, a leader that is 2 s behind would see every worker come anew, which puts it
+/// further behind.
 const REPORT_TIME: Micros = 3 * SECOND;
 /// A leader that has spoken to this controller so lately is there, and the link to it too: it is slow.
 const SPOKE_LATELY: Micros = 4 * SECOND;
@@ -212,7 +213,13 @@
     /// Passes a report on by itself.
     fn relay_report(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
         let about = (KIND_REPORT, self.settings.label.clone());
-        self.call_peer(Relay::Report { conn }, dest, about, body, REPORT_TIME);
+        self.call_peer(
+            Relay::Report { conn },
+            dest,
+            about,
+            body,
+            self.report_time(),
+        );
     }
 
     /// Whether the leader takes many reports in a frame; if that is not known, it is asked.
@@ -286,7 +293,7 @@
                 kind: KIND_REPORTS,
                 addr: self.settings.label.clone(),
                 body,
-                timeout: REPORT_TIME,
+                timeout: self.report_time(),
             });
         }
     }
@@ -339,10 +346,26 @@
         self.send_elsewhere(conn, &leader);
     }
 
-    /// Whether the leader was heard so lately that it must be slow where it does not answer.
+    /// Whether this controller is short of connections: each worker that comes anew costs it more than a late
+    /// answer then.
+    fn is_crowded(&self) -> bool {
+        self.load.room != Room::Enough
+    }
+
+    /// How long a report may wait for the leader's answer.
+    fn report_time(&self) -> Micros {
+        if self.is_crowded() {
+            REPORT_TIME
+        } else {
+            RELAY_TIME
+        }
+    }
+
+    /// Whether this controller is short of connections and the leader was heard so lately that it must be slow
+    /// where it does not answer.
     fn leader_speaks(&self) -> bool {
         let heard = self.hint.as_ref();
-        heard.is_some_and(|h| self.now.steady < h.1 + SPOKE_LATELY)
+        self.is_crowded() && heard.is_some_and(|h| self.now.steady < h.1 + SPOKE_LATELY)
     }
 
     /// Whether a leader over whose link a call failed may answer the next: reports wait for that.
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -4,6 +4,7 @@
 use crate::world::World;
 use calloop::EventLoop;
 use dewramp::clock::{MILLI, Micros, SECOND};
+use dewramp::load::{Load, Room};
 use dewramp::net::{Input, Net, Output};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -157,19 +158,32 @@
     }
 }
 
-/// A leader that is there and behind: the others send no worker from one to the other, since neither can
-/// serve it, and each would come over a new connection at once. Both did so to all that reported to them.
-#[test]
-fn workers_are_not_sent_around_while_the_leader_is_only_slow() {
+/// Twelve workers at three controllers whose connections are taken that far; for 30 s the leader answers no report in
+/// time that another controller passes on.
+fn slow_leader(room: Room) -> World {
     let mut w = World::new(3);
     for n in 0..12 {
         let at = w.worker(&format!("m-{n:06}"), "small", "a");
         w.workers[at].node = n % 3;
     }
     w.run(10.0);
+    let mut load = Load::default();
+    load.room = room;
+    for node in w.nodes.iter_mut().flatten() {
+        node.set_load(load);
+    }
     w.named = 0;
     w.slow_reports = true;
     w.run(30.0);
+    w
+}
+
+/// A leader that is there and behind: where connections are short the others send no worker from one to the other,
+/// since neither can serve it, and each would come over a new connection at once. Both did so to all that reported
+/// to them.
+#[test]
+fn workers_are_not_sent_around_while_the_leader_is_only_slow() {
+    let mut w = slow_leader(Room::Crowded);
     assert_eq!(w.named, 0);
     w.slow_reports = false;
     w.run(12.0);
@@ -179,3 +193,9 @@
         .filter(|x| w.now.steady < x.answered + 9 * SECOND);
     assert_eq!(heard.count(), 12);
 }
+
+/// With connections to spare another controller, which may reach the leader, is named at once.
+#[test]
+fn with_connections_to_spare_workers_are_named_another_controller() {
+    assert!(slow_leader(Room::Enough).named > 0);
+}
