--- a/src/controller.rs
+++ b/src/controller.rs
@@ -456,6 +456,8 @@
     /// What a pass of the scheduler lately took of this node's time.
     pass_cost: Micros,
     passed: bool,
+    /// Until then this controller counts as overloaded.
+    overloaded_until: Micros,
     fatal: Option<String>,
     out: Vec<Output>,
 }
@@ -519,6 +521,7 @@
             load: Load::default(),
             pass_cost: 0,
             passed: false,
+            overloaded_until: 0,
             fatal: None,
             out: Vec::new(),
             now: Now::default(),
@@ -546,6 +549,7 @@
         }
         self.lead.note_stop(self.now.steady, load.lag());
         self.load = load;
+        self.note_overload();
     }
 
     /// What the last `tick` took of this node's time. Where processor time is short a pass costs
--- a/src/controller/reports.rs
+++ b/src/controller/reports.rs
@@ -9,10 +9,14 @@
 /// A link over which a call failed is not used for that long.
 const LINK_REST: Micros = 4 * SECOND;
 
-/// At a controller short of connections a report may wait that long for the leader's answer. Its worker gives it
+/// At an overloaded controller a report may wait that long for the leader's answer. Its worker gives it
 /// 4 s: were it given up before that, a leader that is 2 s behind would see every worker come anew, which puts it
 /// further behind.
 const REPORT_TIME: Micros = 3 * SECOND;
+/// A controller whose inputs wait for longer than that is overloaded; for a while after it the rules against workers
+/// that come anew hold.
+const OVERLOAD_LAG: Micros = 100 * MILLI;
+const OVERLOADED_FOR: Micros = 30 * SECOND;
 /// A leader that has spoken to this controller so lately is there, and the link to it too: it is slow.
 const SPOKE_LATELY: Micros = 4 * SECOND;
 
@@ -346,26 +350,33 @@
         self.send_elsewhere(conn, &leader);
     }
 
-    /// Whether this controller is short of connections: each worker that comes anew costs it more than a late
-    /// answer then.
-    fn is_crowded(&self) -> bool {
-        self.load.room != Room::Enough
+    /// Whether this controller was overloaded a moment ago: each worker that comes anew costs more
+    /// than a late answer then.
+    fn was_overloaded(&self) -> bool {
+        self.now.steady < self.overloaded_until
+    }
+
+    /// Notes that this controller falls behind or is short of connections.
+    pub(super) fn note_overload(&mut self) {
+        if self.load.lag() > OVERLOAD_LAG || self.load.room != Room::Enough {
+            self.overloaded_until = self.now.steady + OVERLOADED_FOR;
+        }
     }
 
     /// How long a report may wait for the leader's answer.
     fn report_time(&self) -> Micros {
-        if self.is_crowded() {
+        if self.was_overloaded() {
             REPORT_TIME
         } else {
             RELAY_TIME
         }
     }
 
-    /// Whether this controller is short of connections and the leader was heard so lately that it must be slow
+    /// Whether this controller was overloaded and the leader was heard so lately that it must be slow
     /// where it does not answer.
     fn leader_speaks(&self) -> bool {
         let heard = self.hint.as_ref();
-        self.is_crowded() && heard.is_some_and(|h| self.now.steady < h.1 + SPOKE_LATELY)
+        self.was_overloaded() && heard.is_some_and(|h| self.now.steady < h.1 + SPOKE_LATELY)
     }
 
     /// Whether a leader over whose link a call failed may answer the next: reports wait for that.
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -169,12 +169,14 @@
     w.run(10.0);
     let mut load = Load::default();
     load.room = room;
-    for node in w.nodes.iter_mut().flatten() {
-        node.set_load(load);
-    }
     w.named = 0;
     w.slow_reports = true;
-    w.run(30.0);
+    for _ in 0..30 {
+        for node in w.nodes.iter_mut().flatten() {
+            node.set_load(load);
+        }
+        w.run(1.0);
+    }
     w
 }
 
