--- a/src/inspect.rs
+++ b/src/admin_client.rs
@@ -35,7 +35,7 @@
 }
 
 /// Begins the query of a page: of the rows after that key.
-pub const AFTER: &str = "after=";
+pub const PAGE_QUERY_PREFIX: &str = "after=";
 
 /// Asks for a list, page after page as each answer's `next` says, and returns the first answer with the rows of
 /// all. `list` names the rows in it; a row that comes again, as from a leader of the version before, counts once.
@@ -50,7 +50,7 @@
     let mut all = read(&ask(path)?)?;
     let mut after = next_key(&mut all);
     while let Some(key) = after {
-        let mut page = read(&ask(&format!("{path}?{AFTER}{key}"))?)?;
+        let mut page = read(&ask(&format!("{path}?{PAGE_QUERY_PREFIX}{key}"))?)?;
         after = next_key(&mut page);
         if after.as_ref().is_some_and(|next| *next <= key) {
             return Err(format!("the page after {key} does not lead on"));
--- a/src/workers/departed.rs
+++ b/src/worker_ledger/departed.rs
@@ -5,19 +5,19 @@
 //! still arrive. The bound on memory is far above what a fleet loses in that time, and is told when it is reached.
 
 use crate::clock::{Micros, SECOND};
-use crate::maps::HashMap;
+use crate::seeded_hash::HashMap;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 /// Messages can arrive minutes late; nothing is forgotten before it is older than that.
 pub const REMEMBERED_FOR: Micros = 3600 * SECOND;
 /// So many are remembered at any age, and so many times the largest fleet seen.
-const AT_ANY_AGE: usize = 4096;
+const REMEMBERED_MIN: usize = 4096;
 /// The bound on all that are remembered: that many, or so many times the largest fleet seen.
-const BOUND: usize = 1 << 16;
-const BOUND_FLEETS: usize = 16;
+const REMEMBERED_MAX: usize = 1 << 16;
+const REMEMBERED_FLEETS_MAX: usize = 16;
 /// The bound is told at most that often.
-const TOLD_EVERY: Micros = 60 * SECOND;
+const LOG_INTERVAL: Micros = 60 * SECOND;
 
 /// Names of machines that left, each with the last that is known of it.
 pub struct Departed<T> {
@@ -61,8 +61,8 @@
     }
 
     fn forget(&mut self, now: Micros) {
-        let at_any_age = AT_ANY_AGE.max(self.largest_fleet);
-        let bound = BOUND.max(BOUND_FLEETS * self.largest_fleet);
+        let at_any_age = REMEMBERED_MIN.max(self.largest_fleet);
+        let bound = REMEMBERED_MAX.max(REMEMBERED_FLEETS_MAX * self.largest_fleet);
         while let Some((at, id)) = self.order.front() {
             let newest = self.known.get(id).is_some_and(|k| k.0 == *at);
             let old = now > *at + REMEMBERED_FOR;
@@ -82,7 +82,7 @@
     }
 
     fn tell(&mut self, now: Micros, bound: usize) {
-        if self.told_at.is_some_and(|at| now < at + TOLD_EVERY) {
+        if self.told_at.is_some_and(|at| now < at + LOG_INTERVAL) {
             return;
         }
         self.told_at = Some(now);
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -1,18 +1,18 @@
 //! Bounds on what grows with machines, jobs and connections, reached at 6,000 machines (docs/limits.md).
 
 use crate::world::{World, job};
+use dewramp::admin_client::ask_all;
 use dewramp::clock::{Micros, SECOND};
-use dewramp::hearing::Hearing;
-use dewramp::inspect::ask_all;
-use dewramp::jobs::{Progress, Record, Table};
+use dewramp::dependency_graph::DependencyGraph;
+use dewramp::jobs::{JobRecord, JobTable, Progress};
 use dewramp::net::{Input, Outcome, Output};
 use dewramp::open_files::{Plan, plan};
-use dewramp::pipelines::Pipelines;
 use dewramp::wire::{
-    AnswerRow, FRAME_MAX, Glance, JobSpec, KIND_INSPECT, KIND_REPORTS, Priority, ProgressRow,
-    Report, SEND_WHOLE,
+    AnswerRow, FRAME_MAX, Heartbeat, HeartbeatSummary, JobSpec, KIND_ADMIN_QUERY,
+    KIND_HEARTBEAT_BATCH, Priority, ProgressRow, SEND_FULL_HEARTBEAT,
 };
-use dewramp::workers::{Departed, REMEMBERED_FOR, Workers};
+use dewramp::worker_ledger::{Departed, REMEMBERED_FOR, WorkerLedger};
+use dewramp::worker_probe::WorkerProbe;
 use serde_json::{Value, json};
 use std::sync::Arc;
 use zerocopy::{FromBytes, IntoBytes};
@@ -20,7 +20,7 @@
 const FLEET: usize = 6_000;
 const LEASE: Micros = 30 * SECOND;
 
-fn said(host: &str, tally: u64) -> Report {
+fn said(host: &str, tally: u64) -> Heartbeat {
     let report = json!({"host": host, "addr": "10.1.0.1:9000", "build": "small", "paddock": "a", "loaners": true,
         "stint": 3, "tally": tally, "baton": 1 << 24, "parts": []});
     serde_json::from_value(report).expect("a report")
@@ -31,10 +31,10 @@
 }
 
 /// A ledger of 6,000 machines that have all spoken.
-fn heard_fleet(table: &mut Table) -> Workers {
-    let mut workers = Workers::new(1, SECOND, LEASE, 3 * SECOND, Vec::new());
+fn heard_fleet(table: &mut JobTable) -> WorkerLedger {
+    let mut workers = WorkerLedger::new(1, SECOND, LEASE, 3 * SECOND, Vec::new());
     for n in 0..FLEET {
-        workers.report(SECOND, said(&name(n), 9), None, None, table);
+        workers.take_heartbeat(SECOND, said(&name(n), 9), None, None, table);
     }
     assert_eq!(workers.machines.len(), FLEET);
     workers
@@ -43,37 +43,40 @@
 /// A fleet whose machines were all taken away: a late copy of what any of them said is no news.
 #[test]
 fn no_last_word_of_6000_machines_is_forgotten() {
-    let mut table = Table::default();
+    let mut table = JobTable::default();
     let mut workers = heard_fleet(&mut table);
     let gone = 200 * SECOND;
     for n in 0..FLEET {
-        workers.let_go(gone, &name(n));
+        workers.forget(gone, &name(n));
     }
     for n in 0..FLEET {
-        workers.report(gone + SECOND, said(&name(n), 8), None, None, &mut table);
+        workers.take_heartbeat(gone + SECOND, said(&name(n), 8), None, None, &mut table);
         let machine = &workers.machines[&name(n)];
-        assert_eq!((machine.session, machine.seq), (3, 9), "{n}");
-        assert!(!machine.heard, "{n}: a copy is no word of the machine");
+        assert_eq!((machine.agent_epoch, machine.sequence), (3, 9), "{n}");
+        assert!(
+            !machine.term_confirmed,
+            "{n}: a copy is no word of the machine"
+        );
     }
 }
 
 /// Machines that were returned stay known as such, whatever is returned after them, while their messages can come.
 #[test]
 fn no_returned_machine_of_6000_is_forgotten() {
-    let mut table = Table::default();
+    let mut table = JobTable::default();
     let mut workers = heard_fleet(&mut table);
     for n in 0..FLEET {
-        workers.bury(200 * SECOND, &name(n));
+        workers.add_tombstone(200 * SECOND, &name(n));
     }
     // And as many again that were rented in their place.
     for n in FLEET..2 * FLEET {
         let later = 300 * SECOND;
-        workers.report(later, said(&name(n), 9), None, None, &mut table);
-        workers.bury(later, &name(n));
+        workers.take_heartbeat(later, said(&name(n), 9), None, None, &mut table);
+        workers.add_tombstone(later, &name(n));
     }
     for n in 0..2 * FLEET {
-        let copy = workers.report(400 * SECOND, said(&name(n), 8), None, None, &mut table);
-        assert!(copy.is_none() && workers.is_buried(&name(n)), "{n}");
+        let copy = workers.take_heartbeat(400 * SECOND, said(&name(n), 8), None, None, &mut table);
+        assert!(copy.is_none() && workers.is_tombstoned(&name(n)), "{n}");
     }
 }
 
@@ -121,7 +124,7 @@
 /// An operator sees each of 6,000 machines, at the leader and through another controller.
 #[test]
 fn all_of_6000_machines_can_be_looked_at() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     for n in 0..FLEET {
         let report = json!({"host": name(n), "addr": "10.9.0.1:9000", "build": "small", "paddock": "a",
             "loaners": false, "stint": 1, "tally": 1, "baton": 0, "parts": []});
@@ -144,7 +147,7 @@
 /// The same of 6,000 live jobs, of all teams or of one.
 #[test]
 fn all_of_6000_jobs_can_be_looked_at() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     let follower = (leader + 1) % 3;
     for n in 0..FLEET {
         let mut body = job(&format!("wk-{n:06}"));
@@ -171,7 +174,7 @@
 /// A leader of the version before reads no page: it is asked by the same words as ever, the page stands beside them.
 #[test]
 fn a_page_does_not_change_what_a_leader_of_the_version_before_reads() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     let follower = (leader + 1) % 3;
     let asked = |w: &mut World, path: &str| {
         let now = w.now;
@@ -185,7 +188,7 @@
         node.handle(now, input);
         let found = node.tick(now).into_iter().find_map(|o| match o {
             Output::PeerCall {
-                kind: KIND_INSPECT,
+                kind: KIND_ADMIN_QUERY,
                 addr,
                 body,
                 ..
@@ -206,7 +209,7 @@
 /// workers that report here elsewhere.
 #[test]
 fn a_look_that_gets_no_answer_rests_no_link() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     let follower = (leader + 1) % 3;
     let now = w.now;
     let node = w.nodes[follower].as_mut().expect("it runs");
@@ -220,7 +223,7 @@
     let asked = node.tick(now).into_iter().find_map(|o| match o {
         Output::PeerCall {
             ticket,
-            kind: KIND_INSPECT,
+            kind: KIND_ADMIN_QUERY,
             ..
         } => Some(ticket),
         _ => None,
@@ -287,7 +290,7 @@
 /// gets none yet is asked for its report once more, of which nothing was taken.
 #[test]
 fn answers_to_a_frame_of_reports_fit_a_frame() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     let parts: Vec<Value> = (0..12)
         .map(|n| json!({"part": format!("wk-900000/{n}"), "try": n + 1, "status": "running"}))
         .collect();
@@ -305,7 +308,9 @@
     let mut frame = Vec::new();
     for n in 0..ROWS {
         let body = said(n, 2);
-        let mut row = Glance::at(&body).and_then(|g| g.row()).expect("a row");
+        let mut row = HeartbeatSummary::of(&body)
+            .and_then(|g| g.row())
+            .expect("a row");
         row.slot = (n as u32).into();
         frame.extend_from_slice(row.as_bytes());
     }
@@ -316,7 +321,7 @@
         Input::PeerRequest {
             conn: 1 << 40,
             ticket: 1,
-            kind: KIND_REPORTS,
+            kind: KIND_HEARTBEAT_BATCH,
             patience: SECOND,
             addr: "n-2".to_owned(),
             body: frame,
@@ -336,7 +341,7 @@
     while let Ok((row, after)) = AnswerRow::read_from_prefix(rest) {
         match row.status.get() {
             200 if row.len.get() > 0 => with_orders += 1,
-            SEND_WHOLE => again += 1,
+            SEND_FULL_HEARTBEAT => again += 1,
             status => panic!("status {status}"),
         }
         rest = &after[row.len.get() as usize..];
@@ -364,20 +369,20 @@
 /// Machines come and go: the 6,000 that report here now are all asked for a new leader, however many did before.
 #[test]
 fn all_of_6000_workers_are_asked_after_thousands_that_left() {
-    let mut hearing = Hearing::default();
+    let mut hearing = WorkerProbe::default();
     let body = |n| {
         serde_json::to_vec(
             &json!({"host": name(n), "stint": 1, "addr": "10.9.0.1:9000", "parts": []}),
         )
     };
     for n in 0..5 * FLEET {
-        hearing.carries(SECOND, &body(n).expect("JSON"));
+        hearing.note_heartbeat(SECOND, &body(n).expect("JSON"));
     }
     let now = 100 * SECOND;
     for n in 5 * FLEET..6 * FLEET {
-        hearing.carries(now, &body(n).expect("JSON"));
+        hearing.note_heartbeat(now, &body(n).expect("JSON"));
     }
-    assert!(hearing.begin(now + SECOND, 2, 2 << 24, now - 6 * SECOND));
+    assert!(hearing.begin_term(now + SECOND, 2, 2 << 24, now - 6 * SECOND));
     let (mut tickets, mut asked) = (0, 0);
     while let Some(at) = hearing.wake_at() {
         let mut out = Vec::new();
@@ -395,8 +400,8 @@
 /// A pipeline of 12,000 steps: what its last job asks for reaches the first.
 #[test]
 fn priority_passes_back_through_a_pipeline_of_12000_jobs() {
-    let mut table = Table::default();
-    let mut graph = Pipelines::default();
+    let mut table = JobTable::default();
+    let mut graph = DependencyGraph::default();
     let steps = 2 * FLEET;
     for n in 0..steps {
         let mut body = job(&format!("wk-{n}"));
@@ -405,10 +410,10 @@
             body["waitsOn"] = json!([format!("wk-{}", n - 1)]);
         }
         let spec = JobSpec::parse(body.to_string().as_bytes()).expect("a job");
-        table.add(&Record::new(spec.clone(), SECOND, "n-1"), 1);
+        table.add(&JobRecord::new(spec.clone(), SECOND, "n-1"), 1);
         if n > 0 {
             graph.add(&spec, SECOND, |_| true);
-            graph.pass_back(&mut table, &spec.uid, |_| SECOND);
+            graph.propagate_back(&mut table, &spec.uid, |_| SECOND);
         }
     }
     let first = table.get("wk-0").expect("it is live");
@@ -419,7 +424,7 @@
 /// with all that runs left alone.
 #[test]
 fn a_leader_whose_attempt_numbers_run_out_goes_on_under_a_new_term() {
-    let (mut w, leader) = World::led(&["a", "b"]);
+    let (mut w, leader) = World::leader_state(&["a", "b"]);
     assert_eq!(w.submit(leader, "wk-1", json!({})).0, 201);
     w.run(2.0);
     let term = |w: &mut World| {
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -3,8 +3,8 @@
 
 use crate::world::World;
 use calloop::EventLoop;
-use dewramp::clock::{MILLI, Micros, SECOND};
-use dewramp::load::{Load, Room};
+use dewramp::clock::{MILLISECOND, Micros, SECOND};
+use dewramp::load_shedding::{ConnectionPressure, LoadMonitor};
 use dewramp::net::{Input, Net, Output};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,12 +12,12 @@
 
 /// What a node's work takes of its time, ten times as much as on a controller of a large fleet, which has ten
 /// times as many callers and connections.
-const CONNECTION_COST: Micros = 25 * MILLI;
-const REQUEST_COST: Micros = 8 * MILLI;
+const CONNECTION_COST: Micros = 25 * MILLISECOND;
+const REQUEST_COST: Micros = 8 * MILLISECOND;
 const PERIOD: Micros = 8 * SECOND;
 const PATIENCE: Micros = 4 * SECOND;
 const PAUSE: Micros = SECOND;
-const STEP: Micros = 50 * MILLI;
+const STEP: Micros = 50 * MILLISECOND;
 /// Two thirds of these are for callers.
 const MAX_CONNECTIONS: usize = 360;
 const CALLERS: usize = 260;
@@ -160,20 +160,20 @@
 
 /// Twelve workers at three controllers whose connections are taken that far; for 30 s the leader answers no report in
 /// time that another controller passes on.
-fn slow_leader(room: Room) -> World {
+fn slow_leader(room: ConnectionPressure) -> World {
     let mut w = World::new(3);
     for n in 0..12 {
         let at = w.worker(&format!("m-{n:06}"), "small", "a");
         w.workers[at].node = n % 3;
     }
     w.run(10.0);
-    let mut load = Load::default();
-    load.room = room;
+    let mut load = LoadMonitor::default();
+    load.connection_pressure = room;
     w.named = 0;
     w.slow_reports = true;
     for _ in 0..30 {
         for node in w.nodes.iter_mut().flatten() {
-            node.set_load(load);
+            node.set_loop_load(load);
         }
         w.run(1.0);
     }
@@ -185,7 +185,7 @@
 /// to them.
 #[test]
 fn workers_are_not_sent_around_while_the_leader_is_only_slow() {
-    let mut w = slow_leader(Room::Crowded);
+    let mut w = slow_leader(ConnectionPressure::High);
     assert_eq!(w.named, 0);
     w.slow_reports = false;
     w.run(12.0);
@@ -199,5 +199,5 @@
 /// With connections to spare another controller, which may reach the leader, is named at once.
 #[test]
 fn with_connections_to_spare_workers_are_named_another_controller() {
-    assert!(slow_leader(Room::Enough).named > 0);
+    assert!(slow_leader(ConnectionPressure::Low).named > 0);
 }
