--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -4,8 +4,9 @@
 use dewramp::admin_client::ask_all;
 use dewramp::clock::{Micros, SECOND};
 use dewramp::dependency_graph::DependencyGraph;
-use dewramp::jobs::{JobRecord, JobTable, Progress};
-use dewramp::net::{Input, Outcome, Output};
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::{JobTable, Progress};
+use dewramp::messages::{Input, Outcome, Output};
 use dewramp::open_files::{Plan, plan};
 use dewramp::wire::{
     AnswerRow, FRAME_MAX, Heartbeat, HeartbeatSummary, JobSpec, KIND_ADMIN_QUERY,
