--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -2,110 +2,115 @@
 //! that they name.
 
 use super::*;
-use crate::store::Raw;
-use crate::wire::Shape;
+use crate::state_client::Raw;
+use crate::wire::JobKind;
 
 /// A need that ends just now leads to another look, so many times.
-const MOST_TRIES: u32 = 4;
+const DEPENDENCY_RETRIES_MAX: u32 = 4;
 /// What reading a long list may take longer than a user's request otherwise: for each job named,
 /// and at most. Users wait 5 s.
-const NEED_PATIENCE: Micros = 25 * MILLI;
-const NEEDS_PATIENCE: Micros = SECOND;
+const TIMEOUT_PER_DEPENDENCY: Micros = 25 * MILLISECOND;
+const DEPENDENCIES_TIMEOUT_MAX: Micros = SECOND;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Need {
-    Asked,
+enum DependencyState {
+    Requested,
     Live,
     Done,
     Cancelled,
 }
 
-fn patience(needs: usize) -> Micros {
-    USER_PATIENCE + (NEED_PATIENCE * needs as Micros).min(NEEDS_PATIENCE)
+fn dependency_timeout(needs: usize) -> Micros {
+    CLIENT_REQUEST_TIMEOUT
+        + (TIMEOUT_PER_DEPENDENCY * needs as Micros).min(DEPENDENCIES_TIMEOUT_MAX)
 }
 
 /// A submission that names other jobs.
 pub(super) struct Submission {
     conn: ConnId,
     spec: JobSpec,
-    needs: BTreeMap<Arc<str>, Need>,
+    dependencies: BTreeMap<Arc<str>, DependencyState>,
     /// Why it is to be refused.
-    refused: Option<String>,
-    tries: u32,
+    rejection: Option<String>,
+    attempts: u32,
 }
 
-impl Node {
+impl Controller {
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(reason) => return self.error(conn, 400, &reason),
+            Err(reason) => return self.respond_error(conn, 400, &reason),
         };
         let uid = spec.uid.clone();
-        if self.answer_final(conn, &uid) {
+        if self.answer_from_final_state(conn, &uid) {
             return;
         }
         if self.cloud.types.is_empty() {
-            return self.error(conn, 503, "the machine types are not known yet");
+            return self.respond_error(conn, 503, "the machine types are not known yet");
         }
-        if let Some(reason) = never_runs(&spec, &self.cloud.types, &self.settings) {
-            if !self.cloud.told() {
+        if let Some(reason) = impossible_reason(&spec, &self.cloud.types, &self.settings) {
+            if !self.cloud.types_confirmed() {
                 // What is stored may be older than what the cloud offers.
-                return self.error(conn, 503, "the machine types are being asked for");
+                return self.respond_error(conn, 503, "the machine types are being asked for");
             }
             // What was accepted when the cloud offered more stays accepted.
-            return self.refuse_unknown(conn, uid, false, reason);
+            return self.reject_unless_known(conn, uid, false, reason);
         }
         let odd = |n: &&Arc<str>| !valid_uid(n) || **n == uid;
         if let Some(need) = spec.waits_on.iter().find(odd) {
             let shown: String = need.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
-            return self.error(conn, 422, &reason);
+            return self.respond_error(conn, 422, &reason);
         }
-        if self.passed_on(conn, "POST", "/work".to_owned(), body) {
+        if self.forward_if_needed(conn, "POST", "/work".to_owned(), body) {
             return;
         }
-        if let Some(reason) = self.too_large(&spec) {
+        if let Some(reason) = self.size_violation(&spec) {
             // A job accepted under larger limits stays accepted.
-            return self.refuse_unknown(conn, uid, false, reason);
+            return self.reject_unless_known(conn, uid, false, reason);
         }
         if spec.waits_on.is_empty() {
             let value = self.new_record(spec);
-            let mut txn = Txn::default()
-                .require(live_key(&uid), 0)
+            let mut txn = Transaction::default()
+                .require_revision(live_key(&uid), 0)
                 .set_raw(live_key(&uid), value);
             // A job that is over is live no more: carried out late, after a repeat was accepted and done,
             // this would else bring it back.
-            if !planted(Bug::AbsenceTrusted) {
-                txn = txn.require(over_key(&uid), 0);
+            if !fault_injected(InjectedFault::AbsenceTrusted) {
+                txn = txn.require_revision(finished_key(&uid), 0);
             }
-            return self.ask(For::Accept { conn, uid }, Op::Txn(txn), USER_PATIENCE);
+            return self.request_state(
+                StateRequest::AcceptJob { conn, uid },
+                Op::Transaction(txn),
+                CLIENT_REQUEST_TIMEOUT,
+            );
         }
         let submission = Submission {
             conn,
             spec,
-            needs: BTreeMap::new(),
-            refused: None,
-            tries: 0,
+            dependencies: BTreeMap::new(),
+            rejection: None,
+            attempts: 0,
         };
-        self.look_up(submission);
+        self.read_dependencies(submission);
     }
 
     /// A new job is one small value in the layout that every version reads.
     fn new_record(&self, spec: JobSpec) -> Raw {
-        let record = Record::new(spec, self.now.wall, &self.settings.label);
-        layout::old::write(&record, usize::MAX).unwrap_or_else(|| raw(&()))
+        let record = JobRecord::new(spec, self.now.wall, &self.settings.name);
+        schema::version_1::encode_job(&record, usize::MAX).unwrap_or_else(|| raw(&()))
     }
 
     /// Why no layout can hold a job of this description, if so.
-    fn too_large(&self, spec: &JobSpec) -> Option<String> {
-        let limits = self.settings.settings.state.tightest();
-        let layout = Layout {
-            format: FORMAT,
+    fn size_violation(&self, spec: &JobSpec) -> Option<String> {
+        let limits = self.settings.deployment.state.tightest();
+        let layout = Schema {
+            version: SCHEMA_VERSION,
             value_bytes: limits.value_bytes(),
             txn_ops: limits.txn_ops,
         };
-        if !layout.holds(spec) {
-            let most = layout.spec_bytes();
+        if !layout.can_store(spec) {
+            let most = layout.spec_bytes_max();
             return Some(format!(
                 "the description is too long to be stored: at most {most} bytes"
             ));
@@ -116,138 +121,151 @@
     }
 
     /// Reads what is stored of each job named; "never accepted" needs a fresh answer.
-    fn look_up(&mut self, mut s: Submission) {
+    fn read_dependencies(&mut self, mut s: Submission) {
         self.next_submission += 1;
         let id = self.next_submission;
-        s.needs.clear();
+        s.dependencies.clear();
         let mut asks = Vec::new();
         for need in &s.spec.waits_on {
-            let known = self.finals.get(need).and_then(|f| f["status"].as_str());
+            let known = self
+                .final_states
+                .get(need)
+                .and_then(|f| f["status"].as_str());
             let state = match known {
-                Some("done") => Need::Done,
-                Some("cancelled") => Need::Cancelled,
+                Some("done") => DependencyState::Done,
+                Some("cancelled") => DependencyState::Cancelled,
                 _ => {
                     asks.push(need.clone());
-                    Need::Asked
+                    DependencyState::Requested
                 }
             };
-            s.needs.insert(need.clone(), state);
+            s.dependencies.insert(need.clone(), state);
         }
         self.submissions.insert(id, s);
-        let patience = patience(asks.len());
+        let patience = dependency_timeout(asks.len());
         for uid in asks {
             let key = live_key(&uid);
-            let purpose = For::Need {
+            let purpose = StateRequest::ReadDependency {
                 submission: id,
                 uid,
                 over: false,
             };
-            self.ask(purpose, Op::Get(key), patience);
+            self.request_state(purpose, Op::Get(key), patience);
         }
-        self.look_on(id);
+        self.continue_submission(id);
     }
 
-    pub(super) fn need_read(&mut self, id: u64, uid: Arc<str>, over: bool, reply: Reply) {
+    pub(super) fn dependency_read(&mut self, id: u64, uid: Arc<str>, over: bool, reply: Reply) {
         let Some(s) = self.submissions.get_mut(&id) else {
             return;
         };
-        let mut state = Need::Live;
+        let mut state = DependencyState::Live;
         match reply {
-            Reply::Item(item) if !over => match layout::read(&item.value) {
-                Ok((record, _)) if record.spec.shape == Shape::Daemon => {
-                    s.refused = Some(format!("waitsOn: {uid} is a service, which is never done"));
+            Reply::Item(item) if !over => match schema::decode_job(&item.value) {
+                Ok((record, _)) if record.spec.kind == JobKind::Service => {
+                    s.rejection = Some(format!("waitsOn: {uid} is a service, which is never done"));
                 }
                 Ok(_) => {}
                 Err(e) => {
                     log::error!("{} can't be read: {e}", item.path);
-                    return self.give_up(id, "a job named in waitsOn can't be read");
+                    return self.abandon_submission(id, "a job named in waitsOn can't be read");
                 }
             },
-            Reply::Item(item) => match serde_json::from_str::<Final>(item.value.get()) {
+            Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => {
-                    self.finals.put(&uid, final_body(&uid, &end));
+                    self.final_states.put(&uid, final_body(&uid, &end));
                     state = if end.is_done() {
-                        Need::Done
+                        DependencyState::Done
                     } else {
-                        Need::Cancelled
+                        DependencyState::Cancelled
                     };
                 }
                 Err(e) => {
                     log::error!("{} can't be read: {e}", item.path);
-                    return self.give_up(id, "a job named in waitsOn can't be read");
+                    return self.abandon_submission(id, "a job named in waitsOn can't be read");
                 }
             },
             // Live first, then over: a job moves only in that direction.
             Reply::Absent if !over => {
-                let key = over_key(&uid);
-                let purpose = For::Need {
+                let key = finished_key(&uid);
+                let purpose = StateRequest::ReadDependency {
                     submission: id,
                     uid,
                     over: true,
                 };
-                let patience = patience(s.needs.len());
-                return self.ask(purpose, Op::Get(key), patience);
+                let patience = dependency_timeout(s.dependencies.len());
+                return self.request_state(purpose, Op::Get(key), patience);
             }
             Reply::Absent => {
-                s.refused = Some(format!("waitsOn: {uid} was never accepted"));
+                s.rejection = Some(format!("waitsOn: {uid} was never accepted"));
             }
             _ => {
                 let conn = s.conn;
                 self.submissions.remove(&id);
-                return self.no_answer(conn);
+                return self.state_unavailable(conn);
             }
         }
         if let Some(s) = self.submissions.get_mut(&id) {
-            s.needs.insert(uid, state);
+            s.dependencies.insert(uid, state);
         }
-        self.look_on(id);
+        self.continue_submission(id);
     }
 
-    fn give_up(&mut self, id: u64, reason: &str) {
+    fn abandon_submission(&mut self, id: u64, reason: &str) {
         if let Some(s) = self.submissions.remove(&id) {
-            self.error(s.conn, 503, reason);
+            self.respond_error(s.conn, 503, reason);
         }
     }
 
     /// Accepts the job once all that it names is known.
-    fn look_on(&mut self, id: u64) {
+    fn continue_submission(&mut self, id: u64) {
         let Some(s) = self.submissions.get(&id) else {
             return;
         };
-        if s.needs.values().any(|n| *n == Need::Asked) {
+        if s.dependencies
+            .values()
+            .any(|n| *n == DependencyState::Requested)
+        {
             return;
         }
         let uid = s.spec.uid.clone();
-        if let Some(reason) = s.refused.clone() {
+        if let Some(reason) = s.rejection.clone() {
             let conn = s.conn;
             self.submissions.remove(&id);
-            return self.refuse_unknown(conn, uid, false, reason);
+            return self.reject_unless_known(conn, uid, false, reason);
         }
-        let mut txn = Txn::default()
-            .require(live_key(&uid), 0)
-            .require(over_key(&uid), 0);
-        let gone = s.needs.iter().find(|n| *n.1 == Need::Cancelled);
+        let mut txn = Transaction::default()
+            .require_revision(live_key(&uid), 0)
+            .require_revision(finished_key(&uid), 0);
+        let gone = s
+            .dependencies
+            .iter()
+            .find(|n| *n.1 == DependencyState::Cancelled);
         let cancelled = gone.is_some();
         if let Some((root, _)) = gone {
-            let record = Record::new(s.spec.clone(), self.now.wall, &self.settings.label);
+            let record = JobRecord::new(s.spec.clone(), self.now.wall, &self.settings.name);
             let mut end = record.finish("cancelled", self.now.wall);
-            end.because = Some(root.to_string());
-            txn = txn.set(over_key(&uid), &end);
+            end.cancelled_with = Some(root.to_string());
+            txn = txn.set(finished_key(&uid), &end);
         } else {
             // Whoever writes last sees the other: a cancellation in between makes this one fail.
-            for (need, _) in s.needs.iter().filter(|n| *n.1 == Need::Live) {
-                txn = txn.require(over_key(need), 0);
+            for (need, _) in s
+                .dependencies
+                .iter()
+                .filter(|n| *n.1 == DependencyState::Live)
+            {
+                txn = txn.require_revision(finished_key(need), 0);
             }
             txn = txn.set_raw(live_key(&uid), self.new_record(s.spec.clone()));
         }
-        let purpose = For::AcceptAfter {
+        let purpose = StateRequest::AcceptDependentJob {
             submission: id,
             cancelled,
         };
-        self.ask(purpose, Op::Txn(txn), USER_PATIENCE);
+        self.request_state(purpose, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
     }
 
-    pub(super) fn accepted_after(&mut self, id: u64, cancelled: bool, reply: Reply) {
+    pub(super) fn dependent_job_accepted(&mut self, id: u64, cancelled: bool, reply: Reply) {
         let Some(mut s) = self.submissions.remove(&id) else {
             return;
         };
@@ -261,44 +279,48 @@
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { failed } => {
-                let own = [live_key(&uid), over_key(&uid)];
+                let own = [live_key(&uid), finished_key(&uid)];
                 if failed.iter().any(|f| own.contains(f)) {
                     let key = live_key(&uid);
-                    let purpose = For::Known {
+                    let purpose = StateRequest::ReadExistingJob {
                         conn,
                         uid,
                         over: false,
                     };
-                    self.ask(purpose, Op::Get(key), USER_PATIENCE);
-                } else if s.tries < MOST_TRIES {
-                    s.tries += 1;
-                    self.look_up(s);
+                    self.request_state(purpose, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
+                } else if s.attempts < DEPENDENCY_RETRIES_MAX {
+                    s.attempts += 1;
+                    self.read_dependencies(s);
                 } else {
-                    self.no_answer(conn);
+                    self.state_unavailable(conn);
                 }
             }
             Reply::Refused(reason) => {
                 log::error!("the state service refused job {uid}: {reason}");
-                self.error(conn, 503, "the state service refused the job");
+                self.respond_error(conn, 503, "the state service refused the job");
             }
-            _ => self.no_answer(conn),
+            _ => self.state_unavailable(conn),
         }
     }
 
     /// Reads whether a submission to be refused repeats one that was accepted.
-    fn refuse_unknown(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reason: String) {
-        let key = if over { over_key(&uid) } else { live_key(&uid) };
-        let purpose = For::Refuse {
+    fn reject_unless_known(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reason: String) {
+        let key = if over {
+            finished_key(&uid)
+        } else {
+            live_key(&uid)
+        };
+        let purpose = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
             over,
             reason,
         };
-        self.ask(purpose, Op::Get(key), USER_PATIENCE);
+        self.request_state(purpose, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
     }
 
     /// Refuses a submission, unless it repeats one that was accepted.
-    pub(super) fn refuse(
+    pub(super) fn reject_submission(
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
@@ -307,10 +329,10 @@
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) => self.tell_state(conn, &uid, over, item),
-            Reply::Absent if !over => self.refuse_unknown(conn, uid, true, reason),
-            Reply::Absent => self.error(conn, 422, &reason),
-            _ => self.no_answer(conn),
+            Reply::Item(item) => self.respond_stored_state(conn, &uid, over, item),
+            Reply::Absent if !over => self.reject_unless_known(conn, uid, true, reason),
+            Reply::Absent => self.respond_error(conn, 422, &reason),
+            _ => self.state_unavailable(conn),
         }
     }
 }
--- a/src/pipelines.rs
+++ b/src/dependency_graph.rs
@@ -3,102 +3,108 @@
 //! is over was read from the state service, or written there by this leader.
 
 use crate::clock::{Micros, SECOND, from_secs};
-use crate::jobs::{Job, Table};
-use crate::maps::{HashMap, HashSet};
+use crate::jobs::{Job, JobTable};
+use crate::seeded_hash::{HashMap, HashSet};
 use crate::wire::{JobSpec, Priority};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// What an unreadable or missing final state is asked for again after.
-const LOOK_AGAIN: Micros = SECOND;
+const OUTCOME_RETRY_INTERVAL: Micros = SECOND;
 /// So many final states are asked for at once.
-const LOOKS: usize = 16;
+const OUTCOME_READS_MAX: usize = 16;
 /// What a step takes beside its run: starts, reports, saving its end.
-const STEP: Micros = SECOND;
+const STEP_OVERHEAD: Micros = SECOND;
 /// Passing backwards stops after so many steps: only accepted jobs are named, so there are no
 /// cycles, but a stored value might say otherwise.
-const MOST_STEPS: usize = 10_000;
+const PROPAGATION_STEPS_MAX: usize = 10_000;
 
 #[derive(Default)]
-struct Waiting {
+struct WaitingJob {
     unmet: BTreeSet<Arc<str>>,
     /// The latest end of the needed jobs known so far.
-    ready: Micros,
+    ready_at: Micros,
 }
 
 #[derive(Default)]
-pub struct Pipelines {
-    waiting: HashMap<Arc<str>, Waiting>,
+pub struct DependencyGraph {
+    waiting: HashMap<Arc<str>, WaitingJob>,
     /// By needed job, those that still wait for it.
-    needed_by: HashMap<Arc<str>, BTreeSet<Arc<str>>>,
+    dependents_by_job: HashMap<Arc<str>, BTreeSet<Arc<str>>>,
     /// Needed jobs that are not live: how they ended is to be read, not before that time.
-    to_look: BTreeMap<Arc<str>, Micros>,
-    looking: HashSet<Arc<str>>,
+    outcomes_to_read: BTreeMap<Arc<str>, Micros>,
+    outcomes_in_flight: HashSet<Arc<str>>,
 }
 
-impl Pipelines {
+impl DependencyGraph {
     /// A job that waits for others; `live` tells which of them surely are not over.
     pub fn add(&mut self, spec: &JobSpec, accepted: Micros, live: impl Fn(&str) -> bool) {
         let unmet: BTreeSet<_> = spec.waits_on.iter().cloned().collect();
         for need in &unmet {
-            let dependents = self.needed_by.entry(need.clone()).or_default();
+            let dependents = self.dependents_by_job.entry(need.clone()).or_default();
             dependents.insert(spec.uid.clone());
-            if !live(need) && !self.looking.contains(need) {
-                self.to_look.insert(need.clone(), 0);
+            if !live(need) && !self.outcomes_in_flight.contains(need) {
+                self.outcomes_to_read.insert(need.clone(), 0);
             }
         }
         let ready = accepted;
-        self.waiting
-            .insert(spec.uid.clone(), Waiting { unmet, ready });
+        self.waiting.insert(
+            spec.uid.clone(),
+            WaitingJob {
+                unmet,
+                ready_at: ready,
+            },
+        );
     }
 
     /// A needed job may be over: how it ended is to be read.
-    pub fn look(&mut self, uid: &Arc<str>) {
-        if self.needed_by.contains_key(uid) && !self.looking.contains(uid) {
-            self.to_look.insert(uid.clone(), 0);
+    pub fn request_outcome(&mut self, uid: &Arc<str>) {
+        if self.dependents_by_job.contains_key(uid) && !self.outcomes_in_flight.contains(uid) {
+            self.outcomes_to_read.insert(uid.clone(), 0);
         }
     }
 
     /// The needed jobs whose end is to be read now.
-    pub fn looks(&mut self, now: Micros) -> Vec<Arc<str>> {
-        let room = LOOKS.saturating_sub(self.looking.len());
-        let due = self.to_look.iter().filter(|l| *l.1 <= now);
+    pub fn take_outcomes_to_read(&mut self, now: Micros) -> Vec<Arc<str>> {
+        let room = OUTCOME_READS_MAX.saturating_sub(self.outcomes_in_flight.len());
+        let due = self.outcomes_to_read.iter().filter(|l| *l.1 <= now);
         let due: Vec<Arc<str>> = due.take(room).map(|l| l.0.clone()).collect();
         for uid in &due {
-            self.to_look.remove(uid);
-            self.looking.insert(uid.clone());
+            self.outcomes_to_read.remove(uid);
+            self.outcomes_in_flight.insert(uid.clone());
         }
         due
     }
 
-    pub fn looks_wait(&self) -> bool {
-        !self.to_look.is_empty()
+    pub fn has_outcomes_to_read(&self) -> bool {
+        !self.outcomes_to_read.is_empty()
     }
 
     /// An answer to a look has come.
-    pub fn looked(&mut self, uid: &str) {
-        self.looking.remove(uid);
+    pub fn outcome_answered(&mut self, uid: &str) {
+        self.outcomes_in_flight.remove(uid);
     }
 
     /// It told nothing.
-    pub fn look_later(&mut self, now: Micros, uid: &Arc<str>) {
-        if self.needed_by.contains_key(uid) {
-            self.to_look.insert(uid.clone(), now + LOOK_AGAIN);
+    pub fn retry_outcome(&mut self, now: Micros, uid: &Arc<str>) {
+        if self.dependents_by_job.contains_key(uid) {
+            self.outcomes_to_read
+                .insert(uid.clone(), now + OUTCOME_RETRY_INTERVAL);
         }
     }
 
     /// A job is stored as done; returns the jobs that need nothing more, and since when.
-    pub fn done(&mut self, uid: &str, at: Micros) -> Vec<(Arc<str>, Micros)> {
-        self.to_look.remove(uid);
+    pub fn dependency_done(&mut self, uid: &str, at: Micros) -> Vec<(Arc<str>, Micros)> {
+        self.outcomes_to_read.remove(uid);
         let mut released = Vec::new();
-        for dependent in self.needed_by.remove(uid).unwrap_or_default() {
+        for dependent in self.dependents_by_job.remove(uid).unwrap_or_default() {
             let Some(w) = self.waiting.get_mut(&dependent) else {
                 continue;
             };
             w.unmet.remove(uid);
-            w.ready = w.ready.max(at);
+            w.ready_at = w.ready_at.max(at);
             if w.unmet.is_empty() {
-                let ready = w.ready;
+                let ready = w.ready_at;
                 self.waiting.remove(&dependent);
                 released.push((dependent, ready));
             }
@@ -107,9 +113,9 @@
     }
 
     /// A job is stored as cancelled; returns the jobs that directly need it.
-    pub fn cancelled(&mut self, uid: &str) -> Vec<Arc<str>> {
-        self.to_look.remove(uid);
-        let dependents = self.needed_by.remove(uid).unwrap_or_default();
+    pub fn dependency_cancelled(&mut self, uid: &str) -> Vec<Arc<str>> {
+        self.outcomes_to_read.remove(uid);
+        let dependents = self.dependents_by_job.remove(uid).unwrap_or_default();
         dependents
             .into_iter()
             .filter(|d| self.waiting.contains_key(d))
@@ -122,29 +128,29 @@
             return;
         };
         for need in w.unmet {
-            if let Some(dependents) = self.needed_by.get_mut(&need) {
+            if let Some(dependents) = self.dependents_by_job.get_mut(&need) {
                 dependents.remove(uid);
                 if dependents.is_empty() {
-                    self.needed_by.remove(&need);
-                    self.to_look.remove(&need);
+                    self.dependents_by_job.remove(&need);
+                    self.outcomes_to_read.remove(&need);
                 }
             }
         }
     }
 
     /// Whether any job waits for this one.
-    pub fn is_needed(&self, uid: &str) -> bool {
-        self.needed_by.contains_key(uid)
+    pub fn has_dependents(&self, uid: &str) -> bool {
+        self.dependents_by_job.contains_key(uid)
     }
 
     /// The jobs that wait for this one.
     pub fn dependents(&self, uid: &str) -> Vec<Arc<str>> {
-        let found = self.needed_by.get(uid);
+        let found = self.dependents_by_job.get(uid);
         found.map_or_else(Vec::new, |d| d.iter().cloned().collect())
     }
 
     /// What a job still waits for.
-    pub fn unmet(&self, uid: &str) -> Vec<Arc<str>> {
+    pub fn unmet_dependencies(&self, uid: &str) -> Vec<Arc<str>> {
         let found = self.waiting.get(uid);
         found.map_or_else(Vec::new, |w| w.unmet.iter().cloned().collect())
     }
@@ -160,21 +166,26 @@
 
     /// Passes priority and deadline backwards from a job to those that it needs, directly or
     /// through others. Each edge above the job is looked at as often as something changes there.
-    pub fn pass_back(&self, table: &mut Table, from: &Arc<str>, run: impl Fn(&JobSpec) -> Micros) {
+    pub fn propagate_back(
+        &self,
+        table: &mut JobTable,
+        from: &Arc<str>,
+        run: impl Fn(&JobSpec) -> Micros,
+    ) {
         let mut changed = vec![from.clone()];
         let mut steps = 0;
         while let Some(uid) = changed.pop() {
-            for need in self.unmet(&uid) {
+            for need in self.unmet_dependencies(&uid) {
                 steps += 1;
-                if steps > MOST_STEPS {
+                if steps > PROPAGATION_STEPS_MAX {
                     return log::error!("the jobs above {from} need each other in a circle");
                 }
-                let asked = self.wanted(table, &need, &run);
+                let asked = self.requirements(table, &need, &run);
                 let Some(job) = table.get_mut(&need) else {
                     continue;
                 };
-                if (job.inherited, job.due) != asked {
-                    (job.inherited, job.due) = asked;
+                if (job.inherited_priority, job.due_at) != asked {
+                    (job.inherited_priority, job.due_at) = asked;
                     changed.push(need);
                 }
             }
@@ -182,13 +193,13 @@
     }
 
     /// What those that need a job ask of it: priority, and the time by which it must be done.
-    fn wanted(
+    fn requirements(
         &self,
-        table: &Table,
+        table: &JobTable,
         uid: &str,
         run: impl Fn(&JobSpec) -> Micros,
     ) -> (Priority, Option<Micros>) {
-        let dependents = self.needed_by.get(uid).into_iter().flatten();
+        let dependents = self.dependents_by_job.get(uid).into_iter().flatten();
         let jobs = dependents.filter_map(|d| table.get(d));
         let (mut priority, mut due) = (Priority::Low, None);
         for job in jobs.filter(|j| !j.cancelled) {
@@ -203,10 +214,10 @@
 
 /// The time of day by which a job must start for its own deadline and those behind it.
 pub fn latest_start(job: &Job, run: Micros) -> Option<Micros> {
-    let own = job.spec.deadline_s.map(|d| job.accepted + from_secs(d));
-    let due = match (own, job.due) {
+    let own = job.spec.deadline_s.map(|d| job.accepted_at + from_secs(d));
+    let due = match (own, job.due_at) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
     };
-    due.map(|d| d.saturating_sub(run + STEP))
+    due.map(|d| d.saturating_sub(run + STEP_OVERHEAD))
 }
--- a/src/planted.rs
+++ b/src/fault_injection.rs
@@ -3,7 +3,7 @@
 
 /// One guard of the service, taken away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Bug {
+pub enum InjectedFault {
     /// A start is sent before its placement is stored.
     StartBeforeStored,
     /// The fence is not raised when the answer to a direct command is lost.
@@ -52,52 +52,55 @@
     PlacementShownEarly,
 }
 
-impl Bug {
+impl InjectedFault {
     /// All of them, by the names they are chosen by.
-    pub const ALL: [(&'static str, Bug); 22] = [
-        ("start-before-stored", Bug::StartBeforeStored),
-        ("fence-not-raised", Bug::FenceNotRaised),
-        ("hold-let-go", Bug::HoldLetGo),
-        ("quota-uncharged", Bug::QuotaUncharged),
-        ("answer-past-grant", Bug::AnswerPastGrant),
-        ("reaped-early", Bug::ReapedEarly),
-        ("attempt-reused", Bug::AttemptReused),
-        ("final-overwritten", Bug::FinalOverwritten),
-        ("hire-reused", Bug::HireReused),
-        ("job-forgotten", Bug::JobForgotten),
-        ("mirror-unchecked", Bug::MirrorUnchecked),
-        ("catch-up-skipped", Bug::CatchUpSkipped),
-        ("tickets-reused", Bug::TicketsReused),
-        ("former-key-kept", Bug::FormerKeyKept),
-        ("former-term-reused", Bug::FormerTermReused),
-        ("former-digests-trusted", Bug::FormerDigestsTrusted),
-        ("knowledge-never-ages", Bug::KnowledgeNeverAges),
-        ("regained-unseen", Bug::RegainedUnseen),
-        ("hearing-assumed", Bug::HearingAssumed),
-        ("copy-taken", Bug::CopyTaken),
-        ("absence-trusted", Bug::AbsenceTrusted),
-        ("placement-shown-early", Bug::PlacementShownEarly),
+    pub const ALL: [(&'static str, InjectedFault); 22] = [
+        ("start-before-stored", InjectedFault::StartBeforeStored),
+        ("fence-not-raised", InjectedFault::FenceNotRaised),
+        ("hold-let-go", InjectedFault::HoldLetGo),
+        ("quota-uncharged", InjectedFault::QuotaUncharged),
+        ("answer-past-grant", InjectedFault::AnswerPastGrant),
+        ("reaped-early", InjectedFault::ReapedEarly),
+        ("attempt-reused", InjectedFault::AttemptReused),
+        ("final-overwritten", InjectedFault::FinalOverwritten),
+        ("hire-reused", InjectedFault::HireReused),
+        ("job-forgotten", InjectedFault::JobForgotten),
+        ("mirror-unchecked", InjectedFault::MirrorUnchecked),
+        ("catch-up-skipped", InjectedFault::CatchUpSkipped),
+        ("tickets-reused", InjectedFault::TicketsReused),
+        ("former-key-kept", InjectedFault::FormerKeyKept),
+        ("former-term-reused", InjectedFault::FormerTermReused),
+        (
+            "former-digests-trusted",
+            InjectedFault::FormerDigestsTrusted,
+        ),
+        ("knowledge-never-ages", InjectedFault::KnowledgeNeverAges),
+        ("regained-unseen", InjectedFault::RegainedUnseen),
+        ("hearing-assumed", InjectedFault::HearingAssumed),
+        ("copy-taken", InjectedFault::CopyTaken),
+        ("absence-trusted", InjectedFault::AbsenceTrusted),
+        ("placement-shown-early", InjectedFault::PlacementShownEarly),
     ];
 }
 
-#[cfg(feature = "planted")]
+#[cfg(feature = "fault-injection")]
 thread_local! {
-    static CHOSEN: std::cell::Cell<Option<Bug>> = const { std::cell::Cell::new(None) };
+    static CHOSEN: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
 /// Plants one bug, or none, in all nodes that this thread drives.
-#[cfg(feature = "planted")]
-pub fn plant(bug: Option<Bug>) {
+#[cfg(feature = "fault-injection")]
+pub fn inject_fault(bug: Option<InjectedFault>) {
     CHOSEN.set(bug);
 }
 
 /// Whether that bug is planted.
-#[cfg(feature = "planted")]
-pub(crate) fn planted(bug: Bug) -> bool {
+#[cfg(feature = "fault-injection")]
+pub(crate) fn fault_injected(bug: InjectedFault) -> bool {
     CHOSEN.get() == Some(bug)
 }
 
-#[cfg(not(feature = "planted"))]
-pub(crate) const fn planted(_: Bug) -> bool {
+#[cfg(not(feature = "fault-injection"))]
+pub(crate) const fn fault_injected(_: InjectedFault) -> bool {
     false
 }
--- a/src/desk.rs
+++ b/src/heartbeat_batch.rs
@@ -2,42 +2,42 @@
 //! says what the last one said goes as a row instead of as text. Owns the reports that wait for
 //! their answer; decides nothing, and knows nothing that the leader does not check again.
 
-use crate::clock::{MILLI, Micros, SECOND};
-use crate::maps::HashMap;
+use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::net::{ConnId, Outcome, Ticket};
-use crate::wire::{AnswerRow, Glance, ReportRow, SEND_WHOLE};
+use crate::seeded_hash::HashMap;
+use crate::wire::{AnswerRow, HeartbeatRow, HeartbeatSummary, SEND_FULL_HEARTBEAT};
 
 use zerocopy::{FromBytes, IntoBytes};
 
 /// A report that says something new waits this long for company.
-const SOON: Micros = 15 * MILLI;
+const BATCH_DELAY: Micros = 15 * MILLISECOND;
 /// While nobody leads, or the new leader still reads what is stored, a report waits this long for
 /// a leader. Its worker would else go to the next node a second later, and again, each time over
 /// a new connection: a thousand of them ask a node as many times a second when it can do least.
 /// With the time of a call to the leader it stays within the 4 s that a worker waits.
-const PARKED: Micros = 2 * SECOND;
-const AGAIN: Micros = 50 * MILLI;
+const LEADERLESS_HOLD: Micros = 2 * SECOND;
+const LEADERLESS_RETRY_INTERVAL: Micros = 50 * MILLISECOND;
 /// One that says nothing new. Its worker gives an answer 4 s, and its lease counts from when it
 /// was sent, so this costs nobody anything.
-const LATER: Micros = 150 * MILLI;
-const MOST_BYTES: usize = 128 * 1024;
+const REPEAT_BATCH_DELAY: Micros = 150 * MILLISECOND;
+const FRAME_BYTES_MAX: usize = 128 * 1024;
 /// Workers come and go; past that many the hints are started anew.
-const MOST_KNOWN: usize = 1 << 16;
+const KNOWN_WORKERS_MAX: usize = 1 << 16;
 
 /// A report that waits for its answer.
-struct Waiting {
+struct PendingHeartbeat {
     conn: ConnId,
-    since: Micros,
-    row: ReportRow,
+    received_at: Micros,
+    row: HeartbeatRow,
     body: Vec<u8>,
-    whole: bool,
+    send_full: bool,
 }
 
 /// What became of a report.
 #[derive(Debug, PartialEq)]
-pub enum Answer {
+pub enum HeartbeatAnswer {
     /// No orders: the token alone.
-    Token(u64),
+    NoCommands(u64),
     Body {
         status: u16,
         body: Vec<u8>,
@@ -49,54 +49,59 @@
 }
 
 #[derive(Default)]
-pub struct Desk {
+pub struct HeartbeatBatch {
     /// The digest of the report that the leader last answered, by worker: a hint that a row will
     /// do. The leader compares it with what it holds.
-    known: HashMap<[u8; 24], u128>,
-    waiting: Vec<Waiting>,
+    leader_digests: HashMap<[u8; 24], u128>,
+    waiting: Vec<PendingHeartbeat>,
     bytes: usize,
-    due: Option<Micros>,
-    sent: HashMap<Ticket, Vec<Waiting>>,
+    due_at: Option<Micros>,
+    in_flight: HashMap<Ticket, Vec<PendingHeartbeat>>,
 }
 
-impl Desk {
+impl HeartbeatBatch {
     /// Takes a report; gives it back when it does not fit the rows.
-    pub fn take(&mut self, now: Micros, conn: ConnId, body: Vec<u8>) -> Result<(), Vec<u8>> {
-        let Some(row) = Glance::at(&body).and_then(|g| g.row()) else {
+    pub fn push(&mut self, now: Micros, conn: ConnId, body: Vec<u8>) -> Result<(), Vec<u8>> {
+        let Some(row) = HeartbeatSummary::of(&body).and_then(|g| g.row()) else {
             return Err(body);
         };
-        let whole = self.known.get(&row.host) != Some(&row.digest.get());
-        let at = now + if whole { SOON } else { LATER };
-        self.due = Some(self.due.map_or(at, |d| d.min(at)));
-        self.bytes += size_of::<ReportRow>() + if whole { body.len() } else { 0 };
-        self.waiting.push(Waiting {
+        let whole = self.leader_digests.get(&row.machine) != Some(&row.digest.get());
+        let at = now
+            + if whole {
+                BATCH_DELAY
+            } else {
+                REPEAT_BATCH_DELAY
+            };
+        self.due_at = Some(self.due_at.map_or(at, |d| d.min(at)));
+        self.bytes += size_of::<HeartbeatRow>() + if whole { body.len() } else { 0 };
+        self.waiting.push(PendingHeartbeat {
             conn,
-            since: now,
+            received_at: now,
             row,
             body,
-            whole,
+            send_full: whole,
         });
         Ok(())
     }
 
     /// When the next frame is to be sent.
-    pub fn due(&self) -> Option<Micros> {
-        if self.bytes >= MOST_BYTES {
+    pub fn due_at(&self) -> Option<Micros> {
+        if self.bytes >= FRAME_BYTES_MAX {
             return Some(0);
         }
-        self.due
+        self.due_at
     }
 
     /// The next frame under this ticket, if it is time.
-    pub fn frame(&mut self, now: Micros, ticket: Ticket) -> Option<Vec<u8>> {
-        if self.due().is_none_or(|d| d > now) {
+    pub fn next_frame(&mut self, now: Micros, ticket: Ticket) -> Option<Vec<u8>> {
+        if self.due_at().is_none_or(|d| d > now) {
             return None;
         }
-        let mut frame = Vec::with_capacity(self.bytes.min(MOST_BYTES));
+        let mut frame = Vec::with_capacity(self.bytes.min(FRAME_BYTES_MAX));
         let mut taken = 0;
         for (slot, w) in self.waiting.iter_mut().enumerate() {
-            let len = if w.whole { w.body.len() } else { 0 };
-            if taken > 0 && frame.len() + len > MOST_BYTES {
+            let len = if w.send_full { w.body.len() } else { 0 };
+            if taken > 0 && frame.len() + len > FRAME_BYTES_MAX {
                 break;
             }
             w.row.slot = (slot as u32).into();
@@ -109,26 +114,26 @@
         let batch = std::mem::replace(&mut self.waiting, rest);
         self.bytes = self.bytes.saturating_sub(frame.len());
         if self.waiting.is_empty() {
-            (self.bytes, self.due) = (0, None);
+            (self.bytes, self.due_at) = (0, None);
         }
-        self.sent.insert(ticket, batch);
+        self.in_flight.insert(ticket, batch);
         Some(frame)
     }
 
     pub fn owns(&self, ticket: Ticket) -> bool {
-        self.sent.contains_key(&ticket)
+        self.in_flight.contains_key(&ticket)
     }
 
     /// The leader's answers. What it wants whole is sent again, and so is, for as long as it may
     /// wait, what it can't answer yet, or where it is in doubt whether it is still there.
-    pub fn outcome(
+    pub fn handle_outcome(
         &mut self,
         now: Micros,
         ticket: Ticket,
         outcome: &Outcome,
         doubtful: bool,
-    ) -> Vec<(ConnId, Answer)> {
-        let Some(batch) = self.sent.remove(&ticket) else {
+    ) -> Vec<(ConnId, HeartbeatAnswer)> {
+        let Some(batch) = self.in_flight.remove(&ticket) else {
             return Vec::new();
         };
         let mut answers: HashMap<usize, (AnswerRow, &[u8])> = HashMap::default();
@@ -147,34 +152,43 @@
         let mut told = Vec::new();
         for (slot, mut w) in batch.into_iter().enumerate() {
             let answer = match answers.get(&slot) {
-                Some((row, _)) if row.status.get() == SEND_WHOLE && !w.whole => {
-                    self.known.remove(&w.row.host);
-                    w.whole = true;
-                    self.bytes += size_of::<ReportRow>() + w.body.len();
-                    self.due = Some(self.due.map_or(now, |d| d.min(now)));
+                Some((row, _)) if row.status.get() == SEND_FULL_HEARTBEAT && !w.send_full => {
+                    self.leader_digests.remove(&w.row.machine);
+                    w.send_full = true;
+                    self.bytes += size_of::<HeartbeatRow>() + w.body.len();
+                    self.due_at = Some(self.due_at.map_or(now, |d| d.min(now)));
                     self.waiting.push(w);
                     continue;
                 }
-                Some((row, [])) if row.status.get() == 200 => Answer::Token(row.token.get()),
-                Some((row, text)) if row.status.get() >= 200 => Answer::Body {
+                Some((row, [])) if row.status.get() == 200 => {
+                    HeartbeatAnswer::NoCommands(row.fencing_token.get())
+                }
+                Some((row, text)) if row.status.get() >= 200 => HeartbeatAnswer::Body {
                     status: row.status.get(),
                     body: text.to_vec(),
                 },
                 // It has the lead, but can't use it yet or at the moment.
-                None if again && now < w.since + PARKED => {
-                    self.bytes += size_of::<ReportRow>() + if w.whole { w.body.len() } else { 0 };
-                    self.due = Some(self.due.map_or(now + AGAIN, |d| d.max(now + AGAIN)));
+                None if again && now < w.received_at + LEADERLESS_HOLD => {
+                    self.bytes +=
+                        size_of::<HeartbeatRow>() + if w.send_full { w.body.len() } else { 0 };
+                    self.due_at = Some(self.due_at.map_or(now + LEADERLESS_RETRY_INTERVAL, |d| {
+                        d.max(now + LEADERLESS_RETRY_INTERVAL)
+                    }));
                     self.waiting.push(w);
                     continue;
                 }
-                None if not_leading => Answer::NoLeader,
-                _ => Answer::Failed,
+                None if not_leading => HeartbeatAnswer::NoLeader,
+                _ => HeartbeatAnswer::Failed,
             };
-            if matches!(answer, Answer::Token(_) | Answer::Body { status: 200, .. }) {
-                if self.known.len() >= MOST_KNOWN {
-                    self.known.clear();
+            if matches!(
+                answer,
+                HeartbeatAnswer::NoCommands(_) | HeartbeatAnswer::Body { status: 200, .. }
+            ) {
+                if self.leader_digests.len() >= KNOWN_WORKERS_MAX {
+                    self.leader_digests.clear();
                 }
-                self.known.insert(w.row.host, w.row.digest.get());
+                self.leader_digests
+                    .insert(w.row.machine, w.row.digest.get());
             }
             told.push((w.conn, answer));
         }
@@ -187,16 +201,16 @@
 
     /// There is nobody to send to at the moment: keeps what may wait for a leader, and gives back
     /// those whose time for that is over.
-    pub fn park(&mut self, now: Micros) -> Vec<ConnId> {
+    pub fn hold_for_leader(&mut self, now: Micros) -> Vec<ConnId> {
         let mut over = Vec::new();
         self.waiting.retain(|w| {
-            let waits = now < w.since + PARKED;
+            let waits = now < w.received_at + LEADERLESS_HOLD;
             if !waits {
                 over.push(w.conn);
             }
             waits
         });
-        self.due = (!self.waiting.is_empty()).then_some(now + AGAIN);
+        self.due_at = (!self.waiting.is_empty()).then_some(now + LEADERLESS_RETRY_INTERVAL);
         if self.waiting.is_empty() {
             self.bytes = 0;
         }
@@ -205,7 +219,7 @@
 
     /// All that waits, to go another way.
     pub fn drain(&mut self) -> Vec<(ConnId, Vec<u8>)> {
-        (self.bytes, self.due) = (0, None);
+        (self.bytes, self.due_at) = (0, None);
         self.waiting.drain(..).map(|w| (w.conn, w.body)).collect()
     }
 }
--- a/src/lanes.rs
+++ b/src/input_queue.rs
@@ -1,87 +1,89 @@
 //! Who is served first: answers, then users, then reports, as long as no worker loses its lease
 //! for it. Owns the inputs that wait; knows nothing of sockets.
 
-use crate::clock::{MILLI, Micros};
+use crate::clock::{MILLISECOND, Micros};
 use crate::net::Input;
-use crate::wire::{KIND_REPORT, KIND_REPORTS, KIND_USER, REPORT_PATH, UP_PATH};
+use crate::wire::{
+    HEALTH_PATH, HEARTBEAT_PATH, KIND_CLIENT_REQUEST, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH,
+};
 use std::collections::VecDeque;
 
 /// Reports that have waited this long, an eighth of what their workers give an answer, no longer
 /// stand behind users.
-const PRESSED: Micros = 500 * MILLI;
+const HEARTBEAT_WAIT_MAX: Micros = 500 * MILLISECOND;
 /// Then so many of them are taken for each request of a user.
-const REPORTS_A_USER: u32 = 4;
+const HEARTBEATS_PER_CLIENT_REQUEST: u32 = 4;
 
-enum Lane {
+enum InputClass {
     Answers,
-    Users,
-    Reports,
+    ClientRequests,
+    Heartbeats,
 }
 
-fn lane(input: &Input) -> Lane {
+fn classify(input: &Input) -> InputClass {
     match input {
-        Input::Request { path, .. } if path == REPORT_PATH => Lane::Reports,
-        Input::Request { path, .. } if path == UP_PATH => Lane::Answers,
-        Input::Request { .. } => Lane::Users,
+        Input::Request { path, .. } if path == HEARTBEAT_PATH => InputClass::Heartbeats,
+        Input::Request { path, .. } if path == HEALTH_PATH => InputClass::Answers,
+        Input::Request { .. } => InputClass::ClientRequests,
         Input::PeerRequest { kind, .. } => match *kind {
-            KIND_REPORT | KIND_REPORTS => Lane::Reports,
-            KIND_USER => Lane::Users,
-            _ => Lane::Answers,
+            KIND_HEARTBEAT | KIND_HEARTBEAT_BATCH => InputClass::Heartbeats,
+            KIND_CLIENT_REQUEST => InputClass::ClientRequests,
+            _ => InputClass::Answers,
         },
-        Input::Outcome { .. } => Lane::Answers,
+        Input::Outcome { .. } => InputClass::Answers,
     }
 }
 
 #[derive(Default)]
-pub struct Lanes {
+pub struct InputQueue {
     now: Micros,
     /// Taken in since the time was last set.
-    fresh: Vec<Input>,
+    unsorted: Vec<Input>,
     /// Answers to our calls, and what other controllers ask for themselves.
     answers: VecDeque<Input>,
     /// Users' requests, and since when they wait.
-    users: VecDeque<(Micros, Input)>,
+    client_requests: VecDeque<(Micros, Input)>,
     /// Workers' reports, also those that peers pass on.
-    reports: VecDeque<(Micros, Input)>,
+    heartbeats: VecDeque<(Micros, Input)>,
     turn: u32,
 }
 
-impl Lanes {
+impl InputQueue {
     /// Sets the time; what came in meanwhile counts as having come now.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
-        for input in std::mem::take(&mut self.fresh) {
-            match lane(&input) {
-                Lane::Answers => self.answers.push_back(input),
-                Lane::Users => self.users.push_back((now, input)),
-                Lane::Reports => self.reports.push_back((now, input)),
+        for input in std::mem::take(&mut self.unsorted) {
+            match classify(&input) {
+                InputClass::Answers => self.answers.push_back(input),
+                InputClass::ClientRequests => self.client_requests.push_back((now, input)),
+                InputClass::Heartbeats => self.heartbeats.push_back((now, input)),
             }
         }
     }
 
     pub fn push(&mut self, input: Input) {
-        self.fresh.push(input);
+        self.unsorted.push(input);
     }
 
     pub fn is_empty(&self) -> bool {
-        self.fresh.is_empty()
+        self.unsorted.is_empty()
             && self.answers.is_empty()
-            && self.users.is_empty()
-            && self.reports.is_empty()
+            && self.client_requests.is_empty()
+            && self.heartbeats.is_empty()
     }
 
     /// How long the input that has waited longest has done so.
-    pub fn oldest(&self) -> Micros {
-        let users = self.users.front().map(|w| w.0);
-        let reports = self.reports.front().map(|w| w.0);
+    pub fn longest_wait(&self) -> Micros {
+        let users = self.client_requests.front().map(|w| w.0);
+        let reports = self.heartbeats.front().map(|w| w.0);
         let since = users.into_iter().chain(reports).min();
         since.map_or(0, |t| self.now.saturating_sub(t))
     }
 
     /// Reports have waited for so long that users wait with them.
-    fn pressed(&self) -> bool {
-        let first = self.reports.front();
-        first.is_some_and(|w| self.now >= w.0 + PRESSED)
+    fn heartbeats_overdue(&self) -> bool {
+        let first = self.heartbeats.front();
+        first.is_some_and(|w| self.now >= w.0 + HEARTBEAT_WAIT_MAX)
     }
 
     /// The next of what goes before reports. After a takeover a thousand reports come within
@@ -95,10 +97,10 @@
         if let Some(input) = self.answers.pop_front() {
             return Some(input);
         }
-        if self.pressed() {
+        if self.heartbeats_overdue() {
             return None;
         }
-        first(&mut self.users, awaited)
+        pop_awaited(&mut self.client_requests, awaited)
     }
 
     /// The next input; reports come last, or, once they have waited long, take turns with users.
@@ -106,17 +108,21 @@
         if let Some(input) = self.next_urgent(&awaited) {
             return Some(input);
         }
-        self.turn = (self.turn + 1) % (REPORTS_A_USER + 1);
+        self.turn = (self.turn + 1) % (HEARTBEATS_PER_CLIENT_REQUEST + 1);
         if self.turn == 0
-            && let Some(input) = first(&mut self.users, &awaited)
+            && let Some(input) = pop_awaited(&mut self.client_requests, &awaited)
         {
             return Some(input);
         }
-        first(&mut self.reports, &awaited).or_else(|| first(&mut self.users, &awaited))
+        pop_awaited(&mut self.heartbeats, &awaited)
+            .or_else(|| pop_awaited(&mut self.client_requests, &awaited))
     }
 }
 
-fn first(line: &mut VecDeque<(Micros, Input)>, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
+fn pop_awaited(
+    line: &mut VecDeque<(Micros, Input)>,
+    awaited: impl Fn(&Input) -> bool,
+) -> Option<Input> {
     while let Some((_, input)) = line.pop_front() {
         if awaited(&input) {
             return Some(input);
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,11 +1,11 @@
 //! Jobs: their stored records, the leader's table of live ones, and how they end.
 
 use crate::clock::Micros;
-use crate::layout::Layout;
-use crate::maps::HashMap;
-use crate::store::raw;
-use crate::wire::{JobSpec, Priority, ProgressRow, Shape};
-use crate::workers::{Directory, TaskKey};
+use crate::schema::Schema;
+use crate::seeded_hash::HashMap;
+use crate::state_client::raw;
+use crate::wire::{JobKind, JobSpec, Priority, ProgressRow};
+use crate::worker_ledger::{JobDirectory, TaskId};
 use rangemap::RangeSet;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -13,33 +13,33 @@
 use std::sync::Arc;
 use zerocopy::FromBytes;
 
-pub const LIVE: &str = "job/";
-pub const OVER: &str = "over/";
+pub const LIVE_PREFIX: &str = "job/";
+pub const FINISHED_PREFIX: &str = "over/";
 /// Cancelled jobs whose tasks may still be on machines, kept until all are gone.
-pub const STOPPING: &str = "stopping/";
+pub const STOPPING_PREFIX: &str = "stopping/";
 
-const MAX_ENDINGS: usize = 12;
+const ENDINGS_MAX: usize = 12;
 /// A worker's own word for why a task ended is kept up to this length.
-const MAX_CAUSE: usize = 80;
+const CAUSE_CHARS_MAX: usize = 80;
 
 /// Names of machines are alike; a long one is taken for all.
-const NAME_BYTES: usize = 12;
+const TYPICAL_MACHINE_NAME_BYTES: usize = 12;
 
 pub fn live_key(uid: &str) -> String {
-    format!("{LIVE}{uid}")
+    format!("{LIVE_PREFIX}{uid}")
 }
 
-pub fn over_key(uid: &str) -> String {
-    format!("{OVER}{uid}")
+pub fn finished_key(uid: &str) -> String {
+    format!("{FINISHED_PREFIX}{uid}")
 }
 
 pub fn stopping_key(uid: &str) -> String {
-    format!("{STOPPING}{uid}")
+    format!("{STOPPING_PREFIX}{uid}")
 }
 
 /// Why a task's attempt ended, for the operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct TaskEnding {
     pub part: u32,
     pub machine: String,
     pub cause: String,
@@ -49,34 +49,37 @@
 
 /// A job as the state service holds it; `layout` says how.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Record {
+pub struct JobRecord {
     pub spec: Arc<JobSpec>,
     /// Time of day of acceptance, in whole microseconds.
-    pub accepted: Micros,
-    pub node: String,
+    pub accepted_at: Micros,
+    pub accepted_by: String,
     /// Time of day when the last job that it needs was done, once the leader has found out.
-    pub ready: Option<Micros>,
+    pub ready_at: Option<Micros>,
     pub done: Vec<(u32, u32)>,
     /// Tasks that may be on machines, stored before their first start.
     pub placed: BTreeMap<Arc<str>, Vec<(u32, u32)>>,
-    pub endings: VecDeque<Ending>,
+    pub endings: VecDeque<TaskEnding>,
 }
 
 /// What is kept of a job for good.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Final {
+pub struct FinalState {
     pub status: String,
     pub done: u64,
-    pub accepted: Micros,
-    pub over: Micros,
+    #[serde(rename = "accepted")]
+    pub accepted_at: Micros,
+    #[serde(rename = "over")]
+    pub finished_at: Micros,
     /// The cancelled job that this one needed, if that is why it was cancelled.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub because: Option<String>,
+    #[serde(rename = "because")]
+    pub cancelled_with: Option<String>,
     #[serde(default)]
-    pub endings: VecDeque<Ending>,
+    pub endings: VecDeque<TaskEnding>,
 }
 
-impl Final {
+impl FinalState {
     pub fn is_done(&self) -> bool {
         self.status == "done"
     }
@@ -96,13 +99,13 @@
     set.iter().map(|r| u64::from(r.end - r.start)).sum()
 }
 
-impl Record {
+impl JobRecord {
     pub fn new(spec: JobSpec, accepted: Micros, node: &str) -> Self {
         Self {
             spec: Arc::new(spec),
-            accepted,
-            node: node.to_owned(),
-            ready: None,
+            accepted_at: accepted,
+            accepted_by: node.to_owned(),
+            ready_at: None,
             done: Vec::new(),
             placed: BTreeMap::new(),
             endings: VecDeque::new(),
@@ -129,17 +132,17 @@
         live_body(&self.spec.uid, self.done_count(), self.placed_count())
     }
 
-    pub fn finish(&self, status: &str, over: Micros) -> Final {
-        Final {
+    pub fn finish(&self, status: &str, over: Micros) -> FinalState {
+        FinalState {
             status: status.to_owned(),
             done: if status == "done" {
                 self.spec.tasks
             } else {
                 self.done_count()
             },
-            accepted: self.accepted,
-            over,
-            because: None,
+            accepted_at: self.accepted_at,
+            finished_at: over,
+            cancelled_with: None,
             endings: self.endings.clone(),
         }
     }
@@ -150,7 +153,7 @@
     json!({"uid": uid, "status": status, "done": done, "running": running})
 }
 
-pub fn final_body(uid: &str, f: &Final) -> Value {
+pub fn final_body(uid: &str, f: &FinalState) -> Value {
     json!({"uid": uid, "status": f.status, "done": f.done, "running": 0})
 }
 
@@ -159,51 +162,51 @@
     pub number: u32,
     pub spec: Arc<JobSpec>,
     spec_bytes: usize,
-    pub accepted: Micros,
-    pub node: String,
-    pub stamp: u64,
+    pub accepted_at: Micros,
+    pub accepted_by: String,
+    pub mod_revision: u64,
     /// Time of day from which its waits count; None while it waits for other jobs.
-    pub ready: Option<Micros>,
+    pub ready_at: Option<Micros>,
     /// The highest priority of the jobs that need it, directly or through others.
-    pub inherited: Priority,
+    pub inherited_priority: Priority,
     /// Time of day by which it must be done for the deadlines of the jobs that need it.
-    pub due: Option<Micros>,
+    pub due_at: Option<Micros>,
     /// How many pieces belong to its stored head.
-    pub pieces: usize,
+    pub chunks: usize,
     pub done: RangeSet<u32>,
     /// What of `done` the state service holds.
     pub stored_done: RangeSet<u32>,
     pub pending: RangeSet<u32>,
     pub pending_count: u64,
     /// Where each task may be: machine and attempt.
-    pub places: BTreeMap<u32, Vec<(Arc<str>, u64)>>,
+    pub placements: BTreeMap<u32, Vec<(Arc<str>, u64)>>,
     /// Planned starts that no save under way has stored.
-    pub unstored: Vec<(Arc<str>, TaskKey, u64)>,
+    pub unsaved_starts: Vec<(Arc<str>, TaskId, u64)>,
     /// Attempts that ended well and that workers still report, until the ending is stored.
-    pub unreaped: Vec<(Arc<str>, u32, u64)>,
-    pub endings: VecDeque<Ending>,
+    pub unacknowledged: Vec<(Arc<str>, u32, u64)>,
+    pub endings: VecDeque<TaskEnding>,
     pub cancelled: bool,
-    pub saving: bool,
-    pub reread: bool,
-    pub dirty: Option<Micros>,
+    pub save_in_flight: bool,
+    pub reread_pending: bool,
+    pub dirty_since: Option<Micros>,
     /// Save at once: a start or the job's end waits for it.
-    pub pressing: bool,
+    pub save_urgent: bool,
     pub errors: BTreeMap<Arc<str>, u32>,
     pub not_before: Micros,
     /// The longest that a task of it ran before it failed.
     pub failed_after: Micros,
     /// How often tries of a suspect job have failed, each followed by a longer wait.
-    pub setbacks: u32,
+    pub failed_trials: u32,
     /// How many tasks of a suspect job may be started now, to see whether they fail again.
-    pub trial: Option<u64>,
+    pub trial_tasks: Option<u64>,
     /// Logarithms of the run times of its tasks that ran in one piece: sum and count.
-    pub runs: (f64, f64),
+    pub run_time_logs: (f64, f64),
     /// Tasks that saved on the way: their last run is not their whole run.
-    pub resumed: BTreeSet<u32>,
+    pub checkpointed_tasks: BTreeSet<u32>,
 }
 
 impl Job {
-    pub fn from_record(number: u32, record: &Record, stamp: u64) -> Self {
+    pub fn from_record(number: u32, record: &JobRecord, mod_revision: u64) -> Self {
         let tasks = record.spec.tasks as u32;
         let mut done = RangeSet::new();
         for (a, b) in &record.done {
@@ -224,39 +227,39 @@
             number,
             spec: record.spec.clone(),
             spec_bytes: raw(&record.spec).get().len(),
-            accepted: record.accepted,
-            node: record.node.clone(),
-            stamp,
-            ready: record.ready.or(free.then_some(record.accepted)),
-            inherited: record.spec.priority,
-            due: None,
-            pieces: 0,
+            accepted_at: record.accepted_at,
+            accepted_by: record.accepted_by.clone(),
+            mod_revision,
+            ready_at: record.ready_at.or(free.then_some(record.accepted_at)),
+            inherited_priority: record.spec.priority,
+            due_at: None,
+            chunks: 0,
             stored_done: done.clone(),
             done,
             pending,
             pending_count,
-            places: BTreeMap::new(),
-            unstored: Vec::new(),
-            unreaped: Vec::new(),
+            placements: BTreeMap::new(),
+            unsaved_starts: Vec::new(),
+            unacknowledged: Vec::new(),
             endings: record.endings.clone(),
             cancelled: false,
-            saving: false,
-            reread: false,
-            dirty: None,
-            pressing: false,
+            save_in_flight: false,
+            reread_pending: false,
+            dirty_since: None,
+            save_urgent: false,
             errors: BTreeMap::new(),
             not_before: 0,
             failed_after: 0,
-            setbacks: 0,
-            trial: None,
-            runs: (0.0, 0.0),
-            resumed: BTreeSet::new(),
+            failed_trials: 0,
+            trial_tasks: None,
+            run_time_logs: (0.0, 0.0),
+            checkpointed_tasks: BTreeSet::new(),
         }
     }
 
-    pub fn record(&self) -> Record {
+    pub fn record(&self) -> JobRecord {
         let mut placed: BTreeMap<Arc<str>, RangeSet<u32>> = BTreeMap::new();
-        for (part, at) in &self.places {
+        for (part, at) in &self.placements {
             for (machine, _) in at {
                 placed
                     .entry(machine.clone())
@@ -264,11 +267,11 @@
                     .insert(*part..*part + 1);
             }
         }
-        Record {
+        JobRecord {
             spec: self.spec.clone(),
-            accepted: self.accepted,
-            node: self.node.clone(),
-            ready: self.ready.filter(|_| !self.spec.waits_on.is_empty()),
+            accepted_at: self.accepted_at,
+            accepted_by: self.accepted_by.clone(),
+            ready_at: self.ready_at.filter(|_| !self.spec.waits_on.is_empty()),
             done: ranges(&self.done),
             placed: placed
                 .into_iter()
@@ -279,51 +282,51 @@
     }
 
     /// Bytes left for placements in the stored values of the job, on the safe side.
-    pub fn bytes_left(&self, layout: &Layout) -> usize {
-        let machines = self.places.values().flatten();
+    pub fn placement_bytes_left(&self, layout: &Schema) -> usize {
+        let machines = self.placements.values().flatten();
         let placed: usize = machines.map(|(m, _)| layout.placement_bytes(m.len())).sum();
         let done = self.done.iter().count() * layout.range_bytes();
         layout
-            .job_bytes(self.spec_bytes)
+            .job_capacity_bytes(self.spec_bytes)
             .saturating_sub(done + placed)
     }
 
     /// Whether it waits for other jobs to be done: nothing of it may start or be charged.
-    pub fn waits(&self) -> bool {
-        self.ready.is_none()
+    pub fn waits_for_dependencies(&self) -> bool {
+        self.ready_at.is_none()
     }
 
     /// Time of day from which its waits count.
-    pub fn since(&self) -> Micros {
-        self.ready.unwrap_or(self.accepted)
+    pub fn waiting_since(&self) -> Micros {
+        self.ready_at.unwrap_or(self.accepted_at)
     }
 
     /// Its own priority or that of a job that needs it.
     pub fn priority(&self) -> Priority {
-        self.inherited.max(self.spec.priority)
+        self.inherited_priority.max(self.spec.priority)
     }
 
     /// Whether it fails wherever it goes.
-    pub fn suspect(&self) -> bool {
+    pub fn is_suspect(&self) -> bool {
         self.errors.len() >= 3 && self.done.is_empty()
     }
 
     /// How many waiting tasks may be started before the record outgrows its values.
-    pub fn startable(&self, layout: &Layout) -> u64 {
-        if self.waits() {
+    pub fn startable_tasks(&self, layout: &Schema) -> u64 {
+        if self.waits_for_dependencies() {
             return 0;
         }
-        let left = self.bytes_left(layout);
+        let left = self.placement_bytes_left(layout);
         self.pending_count
-            .min(self.trial.unwrap_or(u64::MAX))
-            .min((left / layout.placement_bytes(NAME_BYTES)) as u64)
+            .min(self.trial_tasks.unwrap_or(u64::MAX))
+            .min((left / layout.placement_bytes(TYPICAL_MACHINE_NAME_BYTES)) as u64)
     }
 
     pub fn is_done(&self) -> bool {
-        self.spec.shape != Shape::Daemon && count(&self.done) == self.spec.tasks
+        self.spec.kind != JobKind::Service && count(&self.done) == self.spec.tasks
     }
 
-    pub fn remaining(&self) -> u64 {
+    pub fn remaining_tasks(&self) -> u64 {
         self.spec.tasks - count(&self.done)
     }
 
@@ -331,25 +334,25 @@
         self.pending.iter().next().map(|r| r.start)
     }
 
-    pub fn place(&mut self, part: u32, machine: &Arc<str>, attempt: u64) {
+    pub fn add_placement(&mut self, part: u32, machine: &Arc<str>, attempt: u64) {
         if self.pending.contains(&part) {
             self.pending.remove(part..part + 1);
             self.pending_count -= 1;
         }
-        let at = self.places.entry(part).or_default();
+        let at = self.placements.entry(part).or_default();
         at.retain(|(m, a)| !(m == machine && *a == attempt));
         at.push((machine.clone(), attempt));
     }
 
     /// One attempt is surely over; the task is free once no other may be anywhere.
-    pub fn unplace(&mut self, part: u32, machine: &Arc<str>, attempt: u64) {
-        if let Some(at) = self.places.get_mut(&part) {
+    pub fn remove_placement(&mut self, part: u32, machine: &Arc<str>, attempt: u64) {
+        if let Some(at) = self.placements.get_mut(&part) {
             at.retain(|(m, a)| !(m == machine && *a == attempt));
             if at.is_empty() {
-                self.places.remove(&part);
+                self.placements.remove(&part);
             }
         }
-        if !self.places.contains_key(&part)
+        if !self.placements.contains_key(&part)
             && !self.done.contains(&part)
             && u64::from(part) < self.spec.tasks
             && !self.pending.contains(&part)
@@ -359,7 +362,7 @@
         }
     }
 
-    pub fn finish_part(&mut self, part: u32) {
+    pub fn finish_task(&mut self, part: u32) {
         if u64::from(part) < self.spec.tasks {
             self.done.insert(part..part + 1);
             if self.pending.contains(&part) {
@@ -369,31 +372,31 @@
         }
     }
 
-    pub fn note(&mut self, mut ending: Ending) {
-        if let Some((cut, _)) = ending.cause.char_indices().nth(MAX_CAUSE) {
+    pub fn note_ending(&mut self, mut ending: TaskEnding) {
+        if let Some((cut, _)) = ending.cause.char_indices().nth(CAUSE_CHARS_MAX) {
             ending.cause.truncate(cut);
         }
         self.endings.push_back(ending);
-        while self.endings.len() > MAX_ENDINGS {
+        while self.endings.len() > ENDINGS_MAX {
             self.endings.pop_front();
         }
     }
 
-    pub fn touch(&mut self, now: Micros) {
-        self.dirty = self.dirty.or(Some(now));
+    pub fn mark_dirty(&mut self, now: Micros) {
+        self.dirty_since = self.dirty_since.or(Some(now));
     }
 }
 
 /// The leader's live jobs.
 #[derive(Default)]
-pub struct Table {
+pub struct JobTable {
     pub by_number: BTreeMap<u32, Job>,
     numbers: HashMap<Arc<str>, u32>,
-    strangers: HashMap<Arc<str>, u32>,
+    unknown_numbers: HashMap<Arc<str>, u32>,
     next: u32,
 }
 
-impl Table {
+impl JobTable {
     pub fn get(&self, uid: &str) -> Option<&Job> {
         self.by_number.get(self.numbers.get(uid)?)
     }
@@ -402,44 +405,47 @@
         self.by_number.get_mut(self.numbers.get(uid)?)
     }
 
-    pub fn add(&mut self, record: &Record, stamp: u64) -> u32 {
+    pub fn add(&mut self, record: &JobRecord, mod_revision: u64) -> u32 {
         self.next += 1;
         // A task seen before its job was: the same number, so that the ledger fits.
-        let number = self.strangers.remove(&record.spec.uid).unwrap_or(self.next);
+        let number = self
+            .unknown_numbers
+            .remove(&record.spec.uid)
+            .unwrap_or(self.next);
         self.numbers.insert(record.spec.uid.clone(), number);
         self.by_number
-            .insert(number, Job::from_record(number, record, stamp));
+            .insert(number, Job::from_record(number, record, mod_revision));
         number
     }
 
     pub fn remove(&mut self, uid: &str) -> Option<Job> {
         let number = self.numbers.remove(uid)?;
         // What is still reported of it keeps its number until the worker has dropped it.
-        self.strangers.insert(uid.into(), number);
+        self.unknown_numbers.insert(uid.into(), number);
         self.by_number.remove(&number)
     }
 
     /// Forgets numbers of jobs that are over and of which nothing is reported any more.
     pub fn prune(&mut self, used: impl Fn(u32) -> bool) {
-        self.strangers.retain(|_, n| used(*n));
+        self.unknown_numbers.retain(|_, n| used(*n));
     }
 }
 
-impl Directory for Table {
+impl JobDirectory for JobTable {
     fn find(&self, uid: &str) -> Option<(u32, Arc<JobSpec>)> {
         self.get(uid).map(|j| (j.number, j.spec.clone()))
     }
 
-    fn cancelled(&self, job: u32) -> bool {
+    fn is_cancelled(&self, job: u32) -> bool {
         self.by_number.get(&job).is_some_and(|j| j.cancelled)
     }
 
-    fn stranger(&mut self, uid: &str) -> u32 {
-        if let Some(n) = self.strangers.get(uid) {
+    fn number_unknown_job(&mut self, uid: &str) -> u32 {
+        if let Some(n) = self.unknown_numbers.get(uid) {
             return *n;
         }
         self.next += 1;
-        self.strangers.insert(uid.into(), self.next);
+        self.unknown_numbers.insert(uid.into(), self.next);
         self.next
     }
 }
--- a/src/load.rs
+++ b/src/load_shedding.rs
@@ -2,56 +2,57 @@
 //! running goes before new work, and whoever can come again is told so at once: a node that takes
 //! everything answers all of it too late, is asked again, and stays behind when the cause is over.
 
-use crate::clock::{MILLI, Micros, SECOND};
+use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::wire::SUBMIT_PATH;
 
 /// A worker waits that long for the answer to a report (protocol, "Workers -> controller nodes").
-const WORKER_PATIENCE: Micros = 4 * SECOND;
+const WORKER_TIMEOUT: Micros = 4 * SECOND;
 /// Users wait that long for a poll and for a submission (protocol, "Users -> controller nodes").
-const POLL_PATIENCE: Micros = 2 * SECOND;
-const SUBMIT_PATIENCE: Micros = 5 * SECOND;
+const POLL_TIMEOUT: Micros = 2 * SECOND;
+const SUBMIT_TIMEOUT: Micros = 5 * SECOND;
 /// What was measured counts half after this long without a new peak.
-const HALF_LIFE: Micros = 500 * MILLI;
+const LAG_HALF_LIFE: Micros = 500 * MILLISECOND;
 /// The longest `Retry-After` that users keep to is 30 s.
-const RETRY_MAX: u32 = 20;
+const RETRY_AFTER_MAX_S: u32 = 20;
 
 /// Which users' requests are refused before they are looked at.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Shed {
+pub enum ShedLevel {
     #[default]
     Nothing,
     Polls,
-    Users,
+    ClientRequests,
 }
 
-impl Shed {
+impl ShedLevel {
     /// Whether a user's request of this path is refused. Polls go first: whoever asks how a job is
     /// asks again anyhow, while a submission or a cancellation is what its user waits for.
-    pub fn covers(self, path: &str) -> bool {
+    pub fn refuses(self, path: &str) -> bool {
         let asks = path == SUBMIT_PATH || path.ends_with("/cancel");
         match self {
-            Shed::Nothing => false,
-            Shed::Polls => !asks,
-            Shed::Users => true,
+            ShedLevel::Nothing => false,
+            ShedLevel::Polls => !asks,
+            ShedLevel::ClientRequests => true,
         }
     }
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Load {
+pub struct LoadMonitor {
     lag: f64,
-    at: Micros,
+    noted_at: Micros,
     /// The highest lag of this run.
-    pub worst: Micros,
+    pub worst_lag: Micros,
 }
 
-impl Load {
+impl LoadMonitor {
     /// Takes what the oldest input just handled, or still waiting, has waited.
-    pub fn note(&mut self, now: Micros, waited: Micros) {
-        let aged = self.lag * 0.5f64.powf(now.saturating_sub(self.at) as f64 / HALF_LIFE as f64);
+    pub fn note_wait(&mut self, now: Micros, waited: Micros) {
+        let aged =
+            self.lag * 0.5f64.powf(now.saturating_sub(self.noted_at) as f64 / LAG_HALF_LIFE as f64);
         self.lag = aged.max(waited as f64);
-        self.at = now;
-        self.worst = self.worst.max(waited);
+        self.noted_at = now;
+        self.worst_lag = self.worst_lag.max(waited);
     }
 
     /// Time from the arrival of an input to its being handled, lately at worst.
@@ -59,84 +60,88 @@
         self.lag as Micros
     }
 
-    pub fn shed(&self) -> Shed {
+    pub fn shed_level(&self) -> ShedLevel {
         match self.lag() {
-            lag if lag > SUBMIT_PATIENCE / 3 => Shed::Users,
-            lag if lag > POLL_PATIENCE / 3 => Shed::Polls,
-            _ => Shed::Nothing,
+            lag if lag > SUBMIT_TIMEOUT / 3 => ShedLevel::ClientRequests,
+            lag if lag > POLL_TIMEOUT / 3 => ShedLevel::Polls,
+            _ => ShedLevel::Nothing,
         }
     }
 
     /// Whether new work may be started. A start brings reports of its own; when those that keep
     /// leases alive wait for a good part of what their workers give them, there are enough.
-    pub fn may_start(&self) -> bool {
-        self.lag() < WORKER_PATIENCE / 4
+    pub fn may_start_work(&self) -> bool {
+        self.lag() < WORKER_TIMEOUT / 4
     }
 
     /// When a user who is refused should come again, in seconds: the later the further behind,
     /// and spread, so that they don't come back together.
     pub fn retry_after(&self, who: u64) -> u32 {
         let base = (2 * self.lag() / SECOND) as u32 + 1;
-        (base + (who % u64::from(base)) as u32).min(RETRY_MAX)
+        (base + (who % u64::from(base)) as u32).min(RETRY_AFTER_MAX_S)
     }
 }
 
 /// What a node's time goes to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum LoopPhase {
     /// Taking bytes from sockets, and waiting for them.
     Sockets,
     /// Users' requests, answers of other systems, and what other controllers ask.
     Requests,
-    Reports,
+    Heartbeats,
     /// What the node does by itself: placing, saving, upkeep.
-    Own,
+    Internal,
     /// Writing to sockets.
     Sending,
 }
 
-const WORKS: [Work; 5] = [
-    Work::Sockets,
-    Work::Requests,
-    Work::Reports,
-    Work::Own,
-    Work::Sending,
+const PHASES: [LoopPhase; 5] = [
+    LoopPhase::Sockets,
+    LoopPhase::Requests,
+    LoopPhase::Heartbeats,
+    LoopPhase::Internal,
+    LoopPhase::Sending,
 ];
 
 /// Between two lines in the log.
-const TOLD_EVERY: Micros = 10 * SECOND;
+const LOG_INTERVAL: Micros = 10 * SECOND;
 
 /// How often each kind of work was done lately, and the time it took.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Spent {
-    counts: [u64; WORKS.len()],
-    times: [Micros; WORKS.len()],
+pub struct LoopTiming {
+    counts: [u64; PHASES.len()],
+    times: [Micros; PHASES.len()],
     /// Turns of the loop, and those in which nothing came in.
     turns: u64,
     idle_turns: u64,
-    told_at: Micros,
+    last_logged_at: Micros,
 }
 
-impl Spent {
-    pub fn add(&mut self, work: Work, took: Micros) {
+impl LoopTiming {
+    pub fn add(&mut self, work: LoopPhase, took: Micros) {
         self.counts[work as usize] += 1;
         self.times[work as usize] += took;
     }
 
     /// The loop has waited for something to come in.
-    pub fn turn(&mut self, idle: bool) {
+    pub fn note_turn(&mut self, idle: bool) {
         self.turns += 1;
         self.idle_turns += u64::from(idle);
     }
 
     /// A line on the last seconds, now and then.
-    pub fn tell(&mut self, now: Micros) -> Option<String> {
-        if now < self.told_at + TOLD_EVERY {
+    pub fn take_log_line(&mut self, now: Micros) -> Option<String> {
+        if now < self.last_logged_at + LOG_INTERVAL {
             return None;
         }
-        let line = WORKS.iter().map(|w| {
+        let line = PHASES.iter().map(|w| {
             let at = *w as usize;
-            format!("{w:?} {} in {} ms", self.counts[at], self.times[at] / MILLI)
+            format!(
+                "{w:?} {} in {} ms",
+                self.counts[at],
+                self.times[at] / MILLISECOND
+            )
         });
         let line = line.collect::<Vec<_>>().join(", ").to_lowercase();
         let line = format!(
@@ -144,7 +149,7 @@
             self.turns, self.idle_turns
         );
         *self = Self {
-            told_at: now,
+            last_logged_at: now,
             ..Self::default()
         };
         Some(line)
@@ -157,17 +162,17 @@
 
     #[test]
     fn what_is_refused_grows_with_the_lag_and_ends_soon_after_it() {
-        let mut load = Load::default();
-        load.note(SECOND, 20 * MILLI);
-        assert!(load.may_start() && load.shed() == Shed::Nothing);
-        load.note(SECOND, 800 * MILLI);
-        assert!(load.may_start() && load.shed() == Shed::Polls);
-        load.note(2 * SECOND, 3 * SECOND);
-        assert!(!load.may_start() && load.shed() == Shed::Users);
+        let mut load = LoadMonitor::default();
+        load.note_wait(SECOND, 20 * MILLISECOND);
+        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Nothing);
+        load.note_wait(SECOND, 800 * MILLISECOND);
+        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Polls);
+        load.note_wait(2 * SECOND, 3 * SECOND);
+        assert!(!load.may_start_work() && load.shed_level() == ShedLevel::ClientRequests);
         let spread: std::collections::BTreeSet<u32> =
             (0..50).map(|n| load.retry_after(n)).collect();
         assert!(spread.len() > 3 && spread.iter().all(|s| (1..=20).contains(s)));
-        load.note(5 * SECOND, 0);
-        assert!(load.may_start() && load.shed() == Shed::Nothing);
+        load.note_wait(5 * SECOND, 0);
+        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Nothing);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -2,10 +2,10 @@
 
 use calloop::EventLoop;
 use clap::{Parser, Subcommand};
-use dewramp::clock::{Clock, MILLI, Micros, SECOND};
-use dewramp::controller::Node;
-use dewramp::inspect;
-use dewramp::load::{Load, Spent, Work};
+use dewramp::admin_client;
+use dewramp::clock::{Clock, MILLISECOND, Micros, SECOND};
+use dewramp::controller::Controller;
+use dewramp::load_shedding::{LoadMonitor, LoopPhase, LoopTiming};
 use dewramp::net::Net;
 use dewramp::settings::{Properties, Settings};
 use rand::{Rng, SeedableRng};
@@ -34,10 +34,10 @@
 }
 
 /// A process that is told to end lets the lead go first, for that long at most.
-const LEAVE_TIME: Micros = SECOND;
+const SHUTDOWN_TIMEOUT: Micros = SECOND;
 
 /// So many reports are taken before sockets are looked at again.
-const REPORTS_AT_ONCE: usize = 32;
+const HEARTBEATS_PER_TURN: usize = 32;
 
 #[derive(Subcommand)]
 enum Command {
@@ -77,7 +77,7 @@
     let show = |path: String| -> Result<(), String> {
         println!(
             "{}",
-            inspect::pretty(&inspect::ask(settings.listen, &path)?)
+            admin_client::pretty(&admin_client::ask(settings.listen, &path)?)
         );
         Ok(())
     };
@@ -121,23 +121,23 @@
         log::warn!("{warning}");
     }
     let now = clock.now();
-    let run = run_number(&settings.label, now.wall);
-    dewramp::maps::seed(run);
+    let run = run_number(&settings.name, now.wall);
+    dewramp::seeded_hash::seed(run);
     let mut event_loop: EventLoop<Net> =
         EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
     let mut net = Net::new(
         event_loop.handle(),
-        settings.settings.machine_limits.max_connections,
+        settings.deployment.process_limits.max_connections,
     );
     net.set_now(now.steady);
     net.listen(settings.listen, false)
         .map_err(|e| format!("listening on {}: {e}", settings.listen))?;
-    net.listen(settings.cluster_listen, true)
-        .map_err(|e| format!("listening on {}: {e}", settings.cluster_listen))?;
-    log::info!("{} starts", settings.label);
-    let mut node = Node::new(settings, props, run);
-    let mut load = Load::default();
-    let mut spent = Spent::default();
+    net.listen(settings.peer_listen, true)
+        .map_err(|e| format!("listening on {}: {e}", settings.peer_listen))?;
+    log::info!("{} starts", settings.name);
+    let mut node = Controller::new(settings, props, run);
+    let mut load = LoadMonitor::default();
+    let mut spent = LoopTiming::default();
     // Where signals can't be had, the process just ends when it is killed.
     let told_to_end = Arc::new(AtomicBool::new(false));
     let _ = signal_hook::flag::register(signal_hook::consts::SIGTERM, told_to_end.clone());
@@ -150,17 +150,19 @@
         net.expire();
         if told_to_end.load(Ordering::Relaxed) {
             if leaving.is_none() {
-                node.leave(now);
+                node.shut_down(now);
             }
             let since = *leaving.get_or_insert(now.steady);
-            if now.steady > since && (node.has_left() || now.steady >= since + LEAVE_TIME) {
+            if now.steady > since
+                && (node.has_shut_down() || now.steady >= since + SHUTDOWN_TIMEOUT)
+            {
                 return Ok(());
             }
         }
         // Answers may bring new inputs at once, so until nothing is left.
         loop {
             let mut at = now.steady;
-            let mut took = |spent: &mut Spent, work| {
+            let mut took = |spent: &mut LoopTiming, work| {
                 let then = clock.now().steady;
                 spent.add(work, then - at);
                 at = then;
@@ -168,24 +170,27 @@
             while let Some(input) = net.next_urgent() {
                 node.handle(now, input);
             }
-            took(&mut spent, Work::Requests);
-            for _ in 0..REPORTS_AT_ONCE {
+            took(&mut spent, LoopPhase::Requests);
+            for _ in 0..HEARTBEATS_PER_TURN {
                 let Some(input) = net.next_input() else { break };
                 node.handle(now, input);
             }
-            took(&mut spent, Work::Reports);
+            took(&mut spent, LoopPhase::Heartbeats);
             // What was taken just now, and what still waits, has waited since.
             let before = clock.now();
             net.set_now(before.steady);
-            load.note(before.steady, net.oldest().max(before.steady - looked));
-            net.set_shed(load.shed(), load.retry_after(0));
-            node.set_load(load);
+            load.note_wait(
+                before.steady,
+                net.longest_wait().max(before.steady - looked),
+            );
+            net.set_shed(load.shed_level(), load.retry_after(0));
+            node.set_loop_load(load);
             now = before;
             let outputs = node.tick(now);
-            net.set_cut_off(node.cut_off());
-            took(&mut spent, Work::Own);
-            node.note_cost(clock.now().steady - before.steady);
-            if let Some(reason) = node.fatal() {
+            net.set_isolated(node.is_isolated());
+            took(&mut spent, LoopPhase::Internal);
+            node.note_tick_cost(clock.now().steady - before.steady);
+            if let Some(reason) = node.fatal_error() {
                 return Err(reason.to_owned());
             }
             let more = net.has_input();
@@ -195,38 +200,41 @@
             for output in outputs {
                 net.perform(output);
             }
-            took(&mut spent, Work::Sending);
+            took(&mut spent, LoopPhase::Sending);
             if more {
                 // What is urgent may have come in meanwhile.
                 event_loop
                     .dispatch(Some(Duration::ZERO), &mut net)
                     .map_err(|e| format!("event loop: {e}"))?;
-                took(&mut spent, Work::Sockets);
+                took(&mut spent, LoopPhase::Sockets);
             }
             now = clock.now();
             net.set_now(now.steady);
             if more {
-                load.note(now.steady, now.steady - looked);
+                load.note_wait(now.steady, now.steady - looked);
                 looked = now.steady;
             }
             net.expire();
         }
-        if let Some(line) = spent.tell(now.steady) {
+        if let Some(line) = spent.take_log_line(now.steady) {
             let traffic = std::mem::take(&mut net.traffic);
-            log::info!("time: {line}; {traffic}; {} users refused", net.refused);
+            log::info!(
+                "time: {line}; {traffic}; {} users refused",
+                net.refused_requests
+            );
         }
         let wake = net
             .next_deadline()
             .map_or(node.wake_at(), |d| d.min(node.wake_at()));
-        let mut wait = wake.saturating_sub(now.steady).max(MILLI / 2);
+        let mut wait = wake.saturating_sub(now.steady).max(MILLISECOND / 2);
         let events = net.traffic.events;
         if leaving.is_some() {
-            wait = wait.min(20 * MILLI);
+            wait = wait.min(20 * MILLISECOND);
         }
         event_loop
             .dispatch(Some(Duration::from_micros(wait)), &mut net)
             .map_err(|e| format!("event loop: {e}"))?;
         looked = looked.max(clock.now().steady);
-        spent.turn(net.traffic.events == events);
+        spent.note_turn(net.traffic.events == events);
     }
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -5,10 +5,10 @@
 mod http;
 
 use crate::clock::{Micros, SECOND};
-use crate::lanes::Lanes;
-use crate::load::Shed;
-use crate::maps::HashMap;
-use crate::unanswered::Unanswered;
+use crate::input_queue::InputQueue;
+use crate::load_shedding::ShedLevel;
+use crate::request_starvation::RequestStarvation;
+use crate::seeded_hash::HashMap;
 use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, MAX_BODY};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -108,20 +108,20 @@
 }
 
 /// Largest response taken from another system; a watch's answer has no limit of its own.
-const MAX_RESPONSE: usize = 16 << 20;
-const MAX_HEAD: usize = 16 * 1024;
+const RESPONSE_BYTES_MAX: usize = 16 << 20;
+const HTTP_HEAD_BYTES_MAX: usize = 16 * 1024;
 /// Time for a request to come in whole, and for a client to take its answer.
-const REQUEST_TIME: Micros = 10 * SECOND;
-const IDLE_SERVER: Micros = 90 * SECOND;
-const IDLE_CLIENT: Micros = 45 * SECOND;
-const CONNECT_TIME: Micros = SECOND;
+const REQUEST_TIMEOUT: Micros = 10 * SECOND;
+const SERVER_IDLE_TIMEOUT: Micros = 90 * SECOND;
+const CLIENT_IDLE_TIMEOUT: Micros = 45 * SECOND;
+const CONNECT_TIMEOUT: Micros = SECOND;
 /// So many calls in a row that got no answer end a link between controllers.
-const LINK_MISSES: u32 = 8;
+const LINK_MISSED_ANSWERS_MAX: u32 = 8;
 /// So many connections are taken at a time.
-const ACCEPT_AT_ONCE: usize = 32;
-const MAX_PENDING_OUT: usize = 4 << 20;
+const ACCEPTS_PER_EVENT: usize = 32;
+const PENDING_OUTPUT_BYTES_MAX: usize = 4 << 20;
 /// The share of the connections to us that users may have while workers need the others.
-const USERS_PART: f64 = 0.6;
+const CLIENT_CONNS_SHARE: f64 = 0.6;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
@@ -140,7 +140,7 @@
     output: Vec<u8>,
     written: usize,
     /// The calls an answer is due for (HTTP: one at a time).
-    waiting: Vec<Ticket>,
+    waiting_calls: Vec<Ticket>,
     /// A request was handed on and its answer is not written yet.
     busy: bool,
     /// At least one request has been answered on it.
@@ -148,10 +148,10 @@
     /// The other end is a user (or an operator), by its last request.
     user: bool,
     /// Answers in a row on it that sent its user away.
-    sent_away: u8,
+    refusals_in_row: u8,
     close_after: bool,
     /// Calls over a link between controllers that got no answer in time since the last that did.
-    missed: u32,
+    missed_answers: u32,
     /// When it is closed unless something happens first.
     deadline: Micros,
 }
@@ -171,22 +171,22 @@
     conn_deadlines: BTreeSet<(Micros, ConnId)>,
     idle: HashMap<Dest, Vec<ConnId>>,
     next_conn: ConnId,
-    servers: usize,
-    server_cap: usize,
-    client_cap: usize,
+    server_conns: usize,
+    server_conns_max: usize,
+    client_conns_max: usize,
     /// Up to that many in all, our own calls may keep more connections than their part.
-    spare_cap: usize,
+    lent_conns_max: usize,
     /// What was taken from the sockets, until it is handed on.
-    lanes: Lanes,
+    inputs: InputQueue,
     /// How many connections are users'.
     user_conns: usize,
-    shed: Shed,
+    shed_level: ShedLevel,
     retry_after: u32,
-    cut_off: bool,
+    isolated: bool,
     /// Users' requests refused without being looked at.
-    pub refused: u64,
+    pub refused_requests: u64,
     /// What those were about.
-    unanswered: Unanswered,
+    starvation: RequestStarvation,
     pub traffic: Traffic,
 }
 
@@ -236,18 +236,18 @@
             conn_deadlines: BTreeSet::new(),
             idle: HashMap::default(),
             next_conn: 1,
-            servers: 0,
+            server_conns: 0,
             // The rest is for our own calls: state, cloud, workers, peers.
-            server_cap: max_connections * 2 / 3,
-            client_cap: max_connections / 3 - max_connections / 50,
-            spare_cap: max_connections * 4 / 5,
-            lanes: Lanes::default(),
+            server_conns_max: max_connections * 2 / 3,
+            client_conns_max: max_connections / 3 - max_connections / 50,
+            lent_conns_max: max_connections * 4 / 5,
+            inputs: InputQueue::default(),
             user_conns: 0,
-            shed: Shed::Nothing,
+            shed_level: ShedLevel::Nothing,
             retry_after: 1,
-            cut_off: false,
-            refused: 0,
-            unanswered: Unanswered::default(),
+            isolated: false,
+            refused_requests: 0,
+            starvation: RequestStarvation::default(),
             traffic: Traffic::default(),
         }
     }
@@ -282,41 +282,41 @@
     /// Which users' requests are refused as soon as they are seen, and when they may come again.
     /// While this node can serve nobody, the connections of those it tells so are closed: they would else
     /// come back here.
-    pub fn set_cut_off(&mut self, cut_off: bool) {
-        self.cut_off = cut_off;
+    pub fn set_isolated(&mut self, cut_off: bool) {
+        self.isolated = cut_off;
     }
 
-    pub fn set_shed(&mut self, shed: Shed, retry_after: u32) {
-        (self.shed, self.retry_after) = (shed, retry_after);
+    pub fn set_shed(&mut self, shed: ShedLevel, retry_after: u32) {
+        (self.shed_level, self.retry_after) = (shed, retry_after);
     }
 
     /// Sets the time; what came in meanwhile counts as having come now.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
-        self.lanes.set_now(now);
+        self.inputs.set_now(now);
     }
 
     /// How long the input that has waited longest has done so.
-    pub fn oldest(&self) -> Micros {
-        self.lanes.oldest()
+    pub fn longest_wait(&self) -> Micros {
+        self.inputs.longest_wait()
     }
 
     pub fn next_urgent(&mut self) -> Option<Input> {
         let conns = &self.conns;
-        self.lanes.next_urgent(|input| awaited(conns, input))
+        self.inputs.next_urgent(|input| awaited(conns, input))
     }
 
     pub fn next_input(&mut self) -> Option<Input> {
         let conns = &self.conns;
-        self.lanes.next(|input| awaited(conns, input))
+        self.inputs.next(|input| awaited(conns, input))
     }
 
     pub fn has_input(&self) -> bool {
-        !self.lanes.is_empty()
+        !self.inputs.is_empty()
     }
 
-    fn push(&mut self, input: Input) {
-        self.lanes.push(input);
+    fn push_input(&mut self, input: Input) {
+        self.inputs.push(input);
     }
 
     pub fn next_deadline(&self) -> Option<Micros> {
@@ -340,14 +340,14 @@
                     // it closed, one slow answer would end as lost all that wait on it, and send
                     // all their workers elsewhere. A link that stays silent is closed below.
                     if let Some(c) = self.conns.get_mut(&conn) {
-                        c.waiting.retain(|t| *t != ticket);
-                        c.missed += 1;
+                        c.waiting_calls.retain(|t| *t != ticket);
+                        c.missed_answers += 1;
                     }
                     self.finish(ticket, Outcome::Lost);
                     if self
                         .conns
                         .get(&conn)
-                        .is_some_and(|c| c.missed < LINK_MISSES)
+                        .is_some_and(|c| c.missed_answers < LINK_MISSED_ANSWERS_MAX)
                     {
                         continue;
                     }
@@ -367,7 +367,7 @@
     fn accept(&mut self, listener: &TcpListener, role: Role) {
         // The listener tells again what is left: when a controller ends, some five hundred workers come at
         // once, and were all of them taken first, the users who wait would be answered after them.
-        for _ in 0..ACCEPT_AT_ONCE {
+        for _ in 0..ACCEPTS_PER_EVENT {
             // Not blocking from the start: that again is a call of the system less.
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
             match accept_with(listener, flags) {
@@ -376,22 +376,24 @@
                     // At the cap the connection that has rested longest has to go: after a pause
                     // or a cut many are left over whose other ends are gone. Were the new one
                     // refused instead, workers would not get through until their leases are over.
-                    if self.servers >= self.server_cap && !self.close_resting() {
+                    if self.server_conns >= self.server_conns_max && !self.close_idle_server() {
                         continue;
                     }
                     // What our calls keep beyond their part is only lent. An own day on which all workers
                     // came to the leader had it at the cap but for a dozen before.
-                    if self.clients() > self.client_cap && self.conns.len() >= self.spare_cap {
-                        self.close_idle();
+                    if self.client_conns() > self.client_conns_max
+                        && self.conns.len() >= self.lent_conns_max
+                    {
+                        self.close_idle_client();
                     }
                     self.traffic.accepted += 1;
                     let limit = if role == Role::Server {
-                        REQUEST_TIME
+                        REQUEST_TIMEOUT
                     } else {
-                        IDLE_SERVER
+                        SERVER_IDLE_TIMEOUT
                     };
                     if self.add(stream, role, true, limit).is_some() {
-                        self.servers += 1;
+                        self.server_conns += 1;
                     }
                 }
                 Err(Errno::INTR) => {}
@@ -401,12 +403,12 @@
     }
 
     /// How many connections are our own calls'.
-    fn clients(&self) -> usize {
-        self.conns.len() - self.servers
+    fn client_conns(&self) -> usize {
+        self.conns.len() - self.server_conns
     }
 
     /// Closes a connection of ours that is at rest: a thousand workers may each have one.
-    fn close_idle(&mut self) {
+    fn close_idle_client(&mut self) {
         let resting = |d: &&Dest| matches!(d, Dest::Http(_));
         let found = self.idle.iter().find(|(d, l)| resting(d) && !l.is_empty());
         if let Some(id) = found.and_then(|(_, l)| l.first().copied()) {
@@ -415,7 +417,7 @@
     }
 
     /// Closes the connection to us that has rested longest; false when none rests.
-    fn close_resting(&mut self) -> bool {
+    fn close_idle_server(&mut self) -> bool {
         let rests = |id: &ConnId| {
             let conn = self.conns.get(id);
             conn.is_some_and(|c| c.served && !c.busy && c.input.is_empty())
@@ -458,13 +460,13 @@
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
-                waiting: Vec::new(),
+                waiting_calls: Vec::new(),
                 busy: false,
                 served: false,
                 user: false,
-                sent_away: 0,
+                refusals_in_row: 0,
                 close_after: false,
-                missed: 0,
+                missed_answers: 0,
                 deadline,
             },
         );
@@ -487,7 +489,7 @@
         self.conn_deadlines.remove(&(c.deadline, id));
         match c.role {
             Role::Server | Role::PeerServer => {
-                self.servers -= 1;
+                self.server_conns -= 1;
                 self.user_conns -= usize::from(c.user);
             }
             Role::Client(dest) => {
@@ -499,7 +501,7 @@
                 }
             }
         }
-        for ticket in c.waiting {
+        for ticket in c.waiting_calls {
             self.finish(
                 ticket,
                 if c.connected {
@@ -516,7 +518,7 @@
     fn finish(&mut self, ticket: Ticket, outcome: Outcome) {
         if let Some(call) = self.calls.remove(&ticket) {
             self.deadlines.remove(&(call.deadline, ticket));
-            self.push(Input::Outcome { ticket, outcome });
+            self.push_input(Input::Outcome { ticket, outcome });
         }
     }
 
@@ -538,7 +540,7 @@
                 return;
             }
             c.connected = true;
-            let limit = IDLE_CLIENT;
+            let limit = CLIENT_IDLE_TIMEOUT;
             let at = self.now + limit;
             self.set_deadline(id, at);
         }
@@ -565,7 +567,7 @@
                 }
                 Ok(n) => {
                     c.input.extend_from_slice(&chunk[..n]);
-                    if c.role == Role::Server && c.input.len() > MAX_BODY + MAX_HEAD {
+                    if c.role == Role::Server && c.input.len() > MAX_BODY + HTTP_HEAD_BYTES_MAX {
                         self.consume(id);
                     }
                     if n < chunk.len() {
@@ -588,13 +590,13 @@
         {
             let at = self.now
                 + if c.role == Role::PeerServer {
-                    IDLE_SERVER
+                    SERVER_IDLE_TIMEOUT
                 } else {
-                    IDLE_CLIENT
+                    CLIENT_IDLE_TIMEOUT
                 };
             // A long poll has its own time limit, that of its call.
             let at = c
-                .waiting
+                .waiting_calls
                 .iter()
                 .filter_map(|t| self.calls.get(t))
                 .map(|k| k.deadline + SECOND)
@@ -723,7 +725,7 @@
             None => self.connect(dest),
         };
         let Some(id) = id else {
-            self.push(Input::Outcome {
+            self.push_input(Input::Outcome {
                 ticket,
                 outcome: Outcome::NotSent,
             });
@@ -739,7 +741,7 @@
         );
         self.deadlines.insert((deadline, ticket));
         let c = self.conns.get_mut(&id)?;
-        c.waiting.push(ticket);
+        c.waiting_calls.push(ticket);
         if c.connected {
             let at = c.deadline.max(deadline + SECOND);
             self.set_deadline(id, at);
@@ -751,8 +753,8 @@
         let (Dest::Http(addr) | Dest::Peer(addr)) = dest;
         // More workers than our part of the connections: were it kept to while others are free, a leader
         // would open and close one for every third command, which costs it more than the command.
-        if self.clients() >= self.client_cap && self.conns.len() >= self.spare_cap {
-            self.close_idle();
+        if self.client_conns() >= self.client_conns_max && self.conns.len() >= self.lent_conns_max {
+            self.close_idle_client();
         }
         self.traffic.connected += 1;
         let kind = Type::STREAM.nonblocking();
@@ -767,7 +769,7 @@
         {
             return None;
         }
-        let id = self.add(socket.into(), Role::Client(dest), false, CONNECT_TIME)?;
+        let id = self.add(socket.into(), Role::Client(dest), false, CONNECT_TIMEOUT)?;
         if matches!(dest, Dest::Peer(_)) {
             self.idle.entry(dest).or_default().push(id);
         }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -26,8 +26,8 @@
         c.input.drain(..FRAME_HEAD + len);
         let ticket = head.ticket.get();
         if head.kind.get() == KIND_ANSWER {
-            c.waiting.retain(|t| *t != ticket);
-            c.missed = 0;
+            c.waiting_calls.retain(|t| *t != ticket);
+            c.missed_answers = 0;
             let outcome = match head.status.get() {
                 FRAME_NOT_SENT => Outcome::NotSent,
                 FRAME_LOST => Outcome::Lost,
@@ -36,7 +36,7 @@
             self.finish(ticket, outcome);
         } else {
             let (kind, patience) = (head.kind.get(), head.patience.get());
-            self.push(Input::PeerRequest {
+            self.push_input(Input::PeerRequest {
                 conn: id,
                 ticket,
                 kind,
@@ -62,7 +62,7 @@
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
-        if c.output.len() > MAX_PENDING_OUT {
+        if c.output.len() > PENDING_OUTPUT_BYTES_MAX {
             self.close(id);
             return;
         }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,13 +1,13 @@
 //! HTTP/1.1, as server and as client.
 
 use super::*;
-use crate::wire::{REPORT_PATH, UP_PATH};
+use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH};
 
 /// That many 503 in a row end a user's connection.
-const AWAY_MOST: u8 = 2;
+const REFUSALS_BEFORE_CLOSE: u8 = 2;
 
 /// Decodes a chunked body: its bytes and how many were used, or None while incomplete.
-pub(super) fn unchunk(
+pub(super) fn decode_chunked(
     mut raw: &[u8],
 ) -> Result<Option<(Vec<u8>, usize)>, httparse::InvalidChunkSize> {
     let whole = raw.len();
@@ -31,7 +31,7 @@
     }
 }
 
-pub(super) fn reason(status: u16) -> &'static str {
+pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         201 => "Created",
@@ -62,9 +62,11 @@
         let mut request = httparse::Request::new(&mut headers);
         let head = match request.parse(&c.input) {
             Ok(httparse::Status::Complete(n)) => n,
-            Ok(httparse::Status::Partial) if c.input.len() <= MAX_HEAD => return false,
-            Ok(httparse::Status::Partial) => return self.refuse(id, 431, "head too large"),
-            Err(_) => return self.refuse(id, 400, "malformed HTTP"),
+            Ok(httparse::Status::Partial) if c.input.len() <= HTTP_HEAD_BYTES_MAX => return false,
+            Ok(httparse::Status::Partial) => {
+                return self.reject_malformed(id, 431, "head too large");
+            }
+            Err(_) => return self.reject_malformed(id, 400, "malformed HTTP"),
         };
         let mut length = 0usize;
         for h in request.headers.iter() {
@@ -74,10 +76,10 @@
                     .and_then(|v| v.trim().parse().ok())
                 {
                     Some(n) => length = n,
-                    None => return self.refuse(id, 400, "malformed Content-Length"),
+                    None => return self.reject_malformed(id, 400, "malformed Content-Length"),
                 }
             } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-                return self.refuse(id, 411, "send the body with Content-Length");
+                return self.reject_malformed(id, 411, "send the body with Content-Length");
             } else if h.name.eq_ignore_ascii_case("connection")
                 && h.value.eq_ignore_ascii_case(b"close")
             {
@@ -85,7 +87,7 @@
             }
         }
         if length > MAX_BODY {
-            return self.refuse(id, 413, "a request body is limited to 64 KiB");
+            return self.reject_malformed(id, 413, "a request body is limited to 64 KiB");
         }
         if c.input.len() < head + length {
             c.close_after = false;
@@ -96,11 +98,11 @@
         let body = c.input[head..head + length].to_vec();
         c.input.drain(..head + length);
         c.busy = true;
-        self.set_deadline(id, self.now + IDLE_SERVER);
-        if self.refuse_user(id, &path) {
+        self.set_deadline(id, self.now + SERVER_IDLE_TIMEOUT);
+        if self.shed_client_request(id, &path) {
             return false;
         }
-        self.push(Input::Request {
+        self.push_input(Input::Request {
             conn: id,
             method,
             path,
@@ -110,8 +112,8 @@
     }
 
     /// Answers a user's request that is not taken on, if it is one.
-    pub(super) fn refuse_user(&mut self, id: ConnId, path: &str) -> bool {
-        if path == REPORT_PATH || path == UP_PATH || path.starts_with("/inspect") {
+    pub(super) fn shed_client_request(&mut self, id: ConnId, path: &str) -> bool {
+        if path == HEARTBEAT_PATH || path == HEALTH_PATH || path.starts_with("/inspect") {
             return false;
         }
         let Some(c) = self.conns.get_mut(&id) else {
@@ -121,20 +123,20 @@
             c.user = true;
             self.user_conns += 1;
         }
-        let crowd = self.user_conns as f64 > USERS_PART * self.server_cap as f64
-            && self.servers + self.server_cap / 20 > self.server_cap;
+        let crowd = self.user_conns as f64 > CLIENT_CONNS_SHARE * self.server_conns_max as f64
+            && self.server_conns + self.server_conns_max / 20 > self.server_conns_max;
         if crowd {
             c.close_after = true;
         }
         // Whoever comes again goes before those that come for the first time.
-        let again = self.unanswered.is_overdue(self.now, path);
-        let refused = crowd || (self.shed.covers(path) && !again);
+        let again = self.starvation.is_starved(self.now, path);
+        let refused = crowd || (self.shed_level.refuses(path) && !again);
         if again {
-            self.unanswered.answered(path);
+            self.starvation.note_answer(path);
         }
         if refused {
-            self.unanswered.failed(self.now, path);
-            self.refused += 1;
+            self.starvation.note_failure(self.now, path);
+            self.refused_requests += 1;
             let retry_after = self.retry_after + (id % u64::from(self.retry_after)) as u32;
             let body = br#"{"error":"too much to do at the moment; come again later"}"#;
             self.respond(id, 503, body, Some(retry_after));
@@ -142,7 +144,7 @@
         refused
     }
 
-    pub(super) fn refuse(&mut self, id: ConnId, status: u16, reason: &str) -> bool {
+    pub(super) fn reject_malformed(&mut self, id: ConnId, status: u16, reason: &str) -> bool {
         if let Some(c) = self.conns.get_mut(&id) {
             c.close_after = true;
             c.busy = true;
@@ -164,7 +166,7 @@
         if c.input.is_empty() {
             return false;
         }
-        if c.waiting.is_empty() {
+        if c.waiting_calls.is_empty() {
             // Nobody asked: whatever this is, it is no answer of ours.
             self.close(id);
             return false;
@@ -173,7 +175,7 @@
         let mut response = httparse::Response::new(&mut headers);
         let head = match response.parse(&c.input) {
             Ok(httparse::Status::Complete(n)) => n,
-            Ok(httparse::Status::Partial) if c.input.len() <= MAX_HEAD => return false,
+            Ok(httparse::Status::Partial) if c.input.len() <= HTTP_HEAD_BYTES_MAX => return false,
             _ => {
                 self.close(id);
                 return false;
@@ -195,12 +197,12 @@
             }
         }
         let body = if chunked {
-            match unchunk(&c.input[head..]) {
+            match decode_chunked(&c.input[head..]) {
                 Ok(Some((body, used))) => {
                     c.input.drain(..head + used);
                     body
                 }
-                Ok(None) if c.input.len() <= MAX_RESPONSE => return false,
+                Ok(None) if c.input.len() <= RESPONSE_BYTES_MAX => return false,
                 _ => {
                     self.close(id);
                     return false;
@@ -208,7 +210,7 @@
             }
         } else {
             let length = length.unwrap_or(0);
-            if length > MAX_RESPONSE {
+            if length > RESPONSE_BYTES_MAX {
                 self.close(id);
                 return false;
             }
@@ -219,7 +221,7 @@
             c.input.drain(..head + length);
             body
         };
-        let Some(ticket) = c.waiting.pop() else {
+        let Some(ticket) = c.waiting_calls.pop() else {
             return false;
         };
         let Role::Client(dest) = c.role else {
@@ -252,15 +254,16 @@
         c.served = true;
         // A user who is sent away twice in a row comes over a new connection, which the load balancer may give
         // to another node: it does not move those that are open.
-        c.sent_away = if c.user && status == 503 {
-            c.sent_away.saturating_add(1)
+        c.refusals_in_row = if c.user && status == 503 {
+            c.refusals_in_row.saturating_add(1)
         } else {
             0
         };
-        c.close_after |= c.sent_away >= AWAY_MOST || (self.cut_off && status == 503);
+        c.close_after |=
+            c.refusals_in_row >= REFUSALS_BEFORE_CLOSE || (self.isolated && status == 503);
         let mut head = format!(
             "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
-            reason(status),
+            reason_phrase(status),
             body.len()
         );
         if let Some(s) = retry_after {
@@ -274,9 +277,9 @@
         c.output.extend_from_slice(body);
         // A request that stalls half way is closed; a connection between requests may rest.
         let limit = if c.input.is_empty() {
-            IDLE_SERVER
+            SERVER_IDLE_TIMEOUT
         } else {
-            REQUEST_TIME
+            REQUEST_TIMEOUT
         };
         self.set_deadline(id, self.now + limit);
         self.flush(id);
--- a/src/scheduler/elders.rs
+++ b/src/scheduler/aging.rs
@@ -4,25 +4,25 @@
 use super::*;
 
 /// Each job has to begin within that time (PROTOCOL, and the operators' letter on the largest jobs).
-const BEGIN_WITHIN: Micros = 240 * SECOND;
+const FIRST_START_DEADLINE: Micros = 240 * SECOND;
 /// A start counts when no command stops the task within 30 s (PROTOCOL): a first task that was begun for its
 /// job's age is not stopped for others before.
-pub(super) const FIRST_KEPT: Micros = 32 * SECOND;
+pub(super) const FIRST_TASK_PROTECTED_FOR: Micros = 32 * SECOND;
 /// Of one that has not begun by then nothing more is known here.
-const FIRST_FORGOTTEN: Micros = 180 * SECOND;
+const FIRST_TASK_FORGOTTEN_AFTER: Micros = 180 * SECOND;
 /// Above all tiers: stands for a machine that is kept. What may have work stopped for itself may so there too, and then
 /// has the room.
-pub(super) const KEPT: u8 = u8::MAX;
+pub(super) const AGED_RESERVATION_TIER: u8 = u8::MAX;
 /// At most that part of the machines, and one, is kept at a time.
-const KEPT_SHARE: usize = 32;
+const AGED_RESERVATIONS_DIVISOR: usize = 32;
 
 /// A machine that takes no more work, until a task of the job fits.
 #[derive(Clone, Debug)]
-pub(super) struct Kept {
+pub(super) struct ReservedMachine {
     machine: Arc<str>,
     /// When enough of what runs there should have ended; reckoned once, so that what fills the time till then can't
     /// put it off.
-    ready: Micros,
+    ready_at: Micros,
 }
 
 impl Scheduler {
@@ -30,102 +30,118 @@
     /// goes before all other work, the oldest first. Served by what is gained for the work left alone, the
     /// largest of the lowest class wait for as long as smaller ones come. One task of each costs the others
     /// little; the rest of it waits for its turn as before.
-    pub(super) fn place_elders(
+    pub(super) fn place_aged_jobs(
         &mut self,
         now: Micros,
         wall: Micros,
         order: &[(u32, u8)],
-        table: &mut Table,
-        workers: &mut Workers,
+        table: &mut JobTable,
+        workers: &mut WorkerLedger,
         (settings, types): (&Settings, &[MachineType]),
     ) -> Vec<Placement> {
         let waits = |j: &Job| {
-            j.spec.shape != Shape::Group
-                && j.places.is_empty()
+            j.spec.kind != JobKind::Gang
+                && j.placements.is_empty()
                 && j.done.is_empty()
-                && !j.suspect()
-                && wall >= j.since() + BEGIN_WITHIN / 2
+                && !j.is_suspect()
+                && wall >= j.waiting_since() + FIRST_START_DEADLINE / 2
         };
         let elders = order.iter().filter_map(|(number, tier)| {
             let job = table.by_number.get(number).filter(|j| waits(j))?;
-            Some((job.since(), *number, *tier))
+            Some((job.waiting_since(), *number, *tier))
         });
         let mut elders: Vec<_> = elders.collect();
         elders.sort_unstable();
         // Of a job that has begun, or is over, nothing is kept any more.
-        let begun = self.kept.keys().copied();
+        let begun = self.aged_reservations.keys().copied();
         let begun = begun.filter(|number| !elders.iter().any(|e| e.1 == *number));
         for number in begun.collect::<Vec<_>>() {
-            self.let_go(number);
+            self.release_machine(number);
         }
-        let silence = silence(settings);
+        let silence = silence_limit(settings);
         let mut placed = Vec::new();
-        let mut dead = Dead::default();
+        let mut dead = UnplaceableSizes::default();
         for (_, number, tier) in elders {
             let Some(job) = table.by_number.get_mut(&number) else {
                 continue;
             };
             let spec = job.spec.clone();
-            let full = !Self::within_quota(settings, self.rooms.used(&spec.team), &spec);
+            let full = !Self::within_quota(settings, self.capacity.team_usage(&spec.team), &spec);
             if full || dead.covers(&spec) {
                 // What its team may not use keeps nobody else from it.
-                self.let_go(number);
+                self.release_machine(number);
                 continue;
             }
-            let look = Pick {
+            let look = MachineQuery {
                 now,
                 tier,
-                silence,
+                silence_limit: silence,
                 zone: None,
-                holders: Holders::First,
+                image_filter: ImageFilter::CachedFirst,
             };
-            job.trial = Some(1);
-            let found = self.find_places(job, &look, workers, settings);
-            job.trial = None;
+            job.trial_tasks = Some(1);
+            let found = self.find_machines(job, &look, workers, settings);
+            job.trial_tasks = None;
             if found.is_empty() {
-                self.keep(&look, job, workers, types);
-                if undemanding(&spec) && job.startable(&self.layout) > 0 {
+                self.reserve_machine(&look, job, workers, types);
+                if accepts_any_machine(&spec) && job.startable_tasks(&self.schema) > 0 {
                     dead.add(&spec);
                 }
             } else {
-                self.let_go(number);
+                self.release_machine(number);
             }
-            placed.extend(plan(now, job, found, None, workers));
+            placed.extend(plan_tasks(now, job, found, None, workers));
         }
-        self.firsts.retain(|_, at| now < *at + FIRST_FORGOTTEN);
-        self.firsts.extend(placed.iter().map(|p| (p.key, now)));
+        self.aged_first_tasks
+            .retain(|_, at| now < *at + FIRST_TASK_FORGOTTEN_AFTER);
+        self.aged_first_tasks
+            .extend(placed.iter().map(|p| (p.key, now)));
         placed
     }
 
-    fn let_go(&mut self, number: u32) {
-        if let Some(k) = self.kept.remove(&number)
-            && self.claims.get(&k.machine).is_some_and(|c| c.tier == KEPT)
+    fn release_machine(&mut self, number: u32) {
+        if let Some(k) = self.aged_reservations.remove(&number)
+            && self
+                .reservations
+                .get(&k.machine)
+                .is_some_and(|c| c.tier == AGED_RESERVATION_TIER)
         {
-            self.claims.remove(&k.machine);
+            self.reservations.remove(&k.machine);
         }
     }
 
     /// Keeps the machine on which a task of the job should fit the soonest, and goes on keeping it. Without it what
     /// comes free is taken in small parts by whatever is small, and a task that needs most of a machine never fits.
     /// Nothing is stopped for it, and it is of no quota: a leader that ends leaves nothing of it.
-    fn keep(&mut self, look: &Pick, job: &Job, workers: &Workers, types: &[MachineType]) {
+    fn reserve_machine(
+        &mut self,
+        look: &MachineQuery,
+        job: &Job,
+        workers: &WorkerLedger,
+        types: &[MachineType],
+    ) {
         let now = look.now;
-        let fit = |m: &Machine| m.usable(now, look.silence) && allowed(job, m, workers);
-        if let Some(k) = self.kept.get(&job.number) {
-            let claimed = self.claims.get(&k.machine).is_some_and(|c| c.tier != KEPT);
+        let fit = |m: &Machine| m.is_usable(now, look.silence_limit) && is_allowed(job, m, workers);
+        if let Some(k) = self.aged_reservations.get(&job.number) {
+            let claimed = self
+                .reservations
+                .get(&k.machine)
+                .is_some_and(|c| c.tier != AGED_RESERVATION_TIER);
             if !claimed && workers.machines.get(&k.machine).is_some_and(fit) {
-                return self.claim(k.machine.clone(), k.ready, now);
+                return self.reserve(k.machine.clone(), k.ready_at, now);
             }
-            self.let_go(job.number);
+            self.release_machine(job.number);
         }
-        if self.kept.len() >= (workers.machines.len() / KEPT_SHARE).max(1) {
+        if self.aged_reservations.len()
+            >= (workers.machines.len() / AGED_RESERVATIONS_DIVISOR).max(1)
+        {
             return;
         }
-        let free = |id: &Arc<str>| !self.claims.contains_key(id);
+        let free = |id: &Arc<str>| !self.reservations.contains_key(id);
         let machines = workers.machines.values();
         let soonest = machines
             .filter(|m| free(&m.id) && fit(m))
-            .filter_map(|m| Some((self.ready_at(now, &job.spec, m, types)?, &m.id)))
+            .filter_map(|m| Some((self.machine_ready_at(now, &job.spec, m, types)?, &m.id)))
             .min();
         let Some((ready, machine)) = soonest else {
             return;
@@ -135,36 +151,45 @@
             job.spec.uid
         );
         let machine = machine.clone();
-        self.claim(machine.clone(), ready, now);
-        self.kept.insert(job.number, Kept { machine, ready });
+        self.reserve(machine.clone(), ready, now);
+        self.aged_reservations.insert(
+            job.number,
+            ReservedMachine {
+                machine,
+                ready_at: ready,
+            },
+        );
     }
 
-    fn claim(&mut self, machine: Arc<str>, ready: Micros, now: Micros) {
-        let claim = Claim {
-            tier: KEPT,
-            until: now + CLAIM_FOR,
-            filled_until: ready,
+    fn reserve(&mut self, machine: Arc<str>, ready: Micros, now: Micros) {
+        let claim = Reservation {
+            tier: AGED_RESERVATION_TIER,
+            until: now + RESERVATION_TTL,
+            backfill_until: ready,
         };
-        self.claims.insert(machine, claim);
+        self.reservations.insert(machine, claim);
     }
 
     /// When a task should fit on the machine, if what runs there ends as expected and nothing more comes; None
     /// where it never does.
-    fn ready_at(
+    fn machine_ready_at(
         &self,
         now: Micros,
         spec: &JobSpec,
         m: &Machine,
         types: &[MachineType],
     ) -> Option<Micros> {
-        let mut room = types.iter().find(|t| t.sku == m.build).map(Room::of)?;
+        let mut room = types
+            .iter()
+            .find(|t| t.name == m.machine_type)
+            .map(Resources::of)?;
         if !room.fits(spec) {
             return None;
         }
         let mut ends = Vec::new();
-        for (_, e) in m.holding() {
+        for (_, e) in m.held_tasks() {
             let s = e.spec.as_ref()?;
-            room.take(s);
+            room.subtract(s);
             let run = self.expected_run(s);
             // What has run for longer than expected may run for as long again as it was to.
             let left = match e.running_since {
@@ -180,7 +205,7 @@
             if room.fits(spec) {
                 break;
             }
-            room.give(s);
+            room.add(s);
             at = end;
         }
         room.fits(spec).then_some(at)
@@ -188,11 +213,17 @@
 
     /// Whether room on a machine is kept from this work: for a higher tier or for a job that waited for long, unless
     /// it ends before that needs the room.
-    pub(super) fn is_kept(&self, id: &Arc<str>, look: &Pick, job: &Job) -> bool {
-        self.claims.get(id).is_some_and(|c| {
-            let own = || self.kept.get(&job.number).is_some_and(|k| k.machine == *id);
+    pub(super) fn is_reserved_from(&self, id: &Arc<str>, look: &MachineQuery, job: &Job) -> bool {
+        self.reservations.get(id).is_some_and(|c| {
+            let own = || {
+                self.aged_reservations
+                    .get(&job.number)
+                    .is_some_and(|k| k.machine == *id)
+            };
             let ends = look.now + self.expected_run(&job.spec);
-            look.tier < c.tier && ends > c.filled_until && !(c.tier == KEPT && own())
+            look.tier < c.tier
+                && ends > c.backfill_until
+                && !(c.tier == AGED_RESERVATION_TIER && own())
         })
     }
 }
--- a/src/scheduler/pheromone.rs
+++ b/src/scheduler/pheromone.rs
@@ -1,6 +1,6 @@
 //! Pheromone per job class and machine type, and the fairness weight: the paper's (3) to (5), (7).
 
-use crate::maps::HashMap;
+use crate::seeded_hash::HashMap;
 use crate::wire::JobSpec;
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -40,39 +40,39 @@
 }
 
 impl Pheromone {
-    pub fn tau(&self, class: &ClassKey, sku: &str) -> f64 {
+    pub fn tau(&self, class: &ClassKey, machine_type: &str) -> f64 {
         self.tau
             .get(class)
-            .and_then(|t| t.get(sku))
+            .and_then(|t| t.get(machine_type))
             .copied()
             .unwrap_or(1.0)
     }
 
     /// A task of the class ended well on the type, at this cost.
-    pub fn finished(&mut self, class: ClassKey, sku: &str, cost: f64) {
+    pub fn finished(&mut self, class: ClassKey, machine_type: &str, cost: f64) {
         if cost > 0.0 && cost.is_finite() {
             self.finished
                 .entry(class)
                 .or_default()
-                .push((sku.to_owned(), cost));
+                .push((machine_type.to_owned(), cost));
         }
     }
 
     /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), the paper's (4) and (5).
-    pub fn round(&mut self, rho: f64, skus: &[String]) {
+    pub fn round(&mut self, rho: f64, machine_types: &[String]) {
         let finished = std::mem::take(&mut self.finished);
         for (class, tasks) in finished {
             let mean = tasks.iter().map(|t| t.1).sum::<f64>() / tasks.len() as f64;
             let mut deposits: BTreeMap<&str, f64> = BTreeMap::new();
-            for (sku, cost) in &tasks {
-                *deposits.entry(sku).or_default() += mean / cost;
+            for (machine_type, cost) in &tasks {
+                *deposits.entry(machine_type).or_default() += mean / cost;
             }
             let tau = self.tau.entry(class).or_default();
-            for sku in skus {
-                let old = tau.get(sku).copied().unwrap_or(1.0);
-                let deposit = deposits.get(sku.as_str()).copied().unwrap_or(0.0);
+            for machine_type in machine_types {
+                let old = tau.get(machine_type).copied().unwrap_or(1.0);
+                let deposit = deposits.get(machine_type.as_str()).copied().unwrap_or(0.0);
                 tau.insert(
-                    sku.clone(),
+                    machine_type.clone(),
                     ((1.0 - rho) * old + rho * deposit).max(TAU_FLOOR),
                 );
             }
@@ -83,18 +83,18 @@
     pub fn draw<'a>(
         &self,
         class: &ClassKey,
-        skus: &[&'a str],
+        machine_types: &[&'a str],
         rng: &mut impl Rng,
     ) -> Option<&'a str> {
-        let taus: Vec<f64> = skus.iter().map(|s| self.tau(class, s)).collect();
+        let taus: Vec<f64> = machine_types.iter().map(|s| self.tau(class, s)).collect();
         let mut left = rng.random::<f64>() * taus.iter().sum::<f64>();
-        for (sku, tau) in skus.iter().zip(&taus) {
+        for (machine_type, tau) in machine_types.iter().zip(&taus) {
             left -= tau;
             if left <= 0.0 {
-                return Some(sku);
+                return Some(machine_type);
             }
         }
-        skus.last().copied()
+        machine_types.last().copied()
     }
 }
 
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -4,15 +4,15 @@
 
 /// Which place machines that hold the image have in the order within a type.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Holders {
-    Only,
-    First,
-    Last,
+pub(super) enum ImageFilter {
+    CachedOnly,
+    CachedFirst,
+    CachedLast,
 }
 
 /// What a fetch of its image means for a job.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Pressure {
+pub(super) enum FetchPressure {
     /// It would miss an aim for it.
     TooSlow,
     Some,
@@ -21,31 +21,31 @@
 }
 
 /// That many times the fetch must be left before an aim for time to be ample.
-const AMPLE: f64 = 3.0;
+const AMPLE_SLACK_FACTOR: f64 = 3.0;
 /// Where more than this part of the machines has room, they are walked through in order.
-const WALK_SHARE: usize = 8;
+const WALK_ALL_DIVISOR: usize = 8;
 
 /// Place of a machine in the order within its type.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Rank {
+pub(super) struct MachineRank {
     pub(super) troubled: bool,
     pub(super) slow: bool,
     pub(super) image: u8,
     /// Other images that it is fetching, when this one would have to be fetched too: several
     /// at the same time share the rate.
-    pub(super) fetches: usize,
-    pub(super) pace: i32,
+    pub(super) fetches_in_flight: usize,
+    pub(super) run_time_bias: i32,
 }
 
-pub(super) type Ranked = (Rank, Arc<str>);
+pub(super) type RankedMachine = (MachineRank, Arc<str>);
 
 /// For whom a machine is picked, and among which.
-pub(super) struct Pick<'a> {
+pub(super) struct MachineQuery<'a> {
     pub(super) now: Micros,
     pub(super) tier: u8,
-    pub(super) silence: Micros,
+    pub(super) silence_limit: Micros,
     pub(super) zone: Option<&'a str>,
-    pub(super) holders: Holders,
+    pub(super) image_filter: ImageFilter,
 }
 
 /// 0: holds the image; 1: is fetching it; 2: would have to fetch it.
@@ -56,13 +56,13 @@
     let fetching = m
         .tasks
         .values()
-        .any(|e| e.holds() && e.spec.as_ref().is_some_and(|x| x.image == s.image));
+        .any(|e| e.occupies() && e.spec.as_ref().is_some_and(|x| x.image == s.image));
     if fetching { 1 } else { 2 }
 }
 
 /// How many images the machine is fetching.
-pub(super) fn fetches(m: &Machine) -> usize {
-    let images = m.tasks.values().filter(|e| e.holds());
+pub(super) fn fetches_in_flight(m: &Machine) -> usize {
+    let images = m.tasks.values().filter(|e| e.occupies());
     let mut images: Vec<&str> = images
         .filter_map(|e| e.spec.as_ref().map(|s| &*s.image))
         .filter(|i| !m.images.contains_key(*i))
@@ -73,9 +73,9 @@
 }
 
 /// Type, kind and zone that the job allows, given everything that may be on machines.
-pub(super) fn allowed(job: &Job, m: &Machine, workers: &Workers) -> bool {
+pub(super) fn is_allowed(job: &Job, m: &Machine, workers: &WorkerLedger) -> bool {
     let s = &job.spec;
-    if !type_allowed(s, &m.build)
+    if !is_type_allowed(s, &m.machine_type)
         || (m.spot && !s.spot)
         || s.zone.as_ref().is_some_and(|z| *z != m.zone)
     {
@@ -86,7 +86,7 @@
     }
     let zone_of = |id: &Arc<str>| workers.machines.get(id).map(|m| m.zone.as_str());
     let mut here = 0u64;
-    for (machine, _) in job.places.values().flatten() {
+    for (machine, _) in job.placements.values().flatten() {
         match zone_of(machine) {
             Some(z) if z == m.zone => here += 1,
             Some(_) if !s.one_zone => {}
@@ -105,17 +105,17 @@
     pub(super) fn candidates<'a>(
         &self,
         job: &Job,
-        look: &Pick,
-        workers: &'a Workers,
-    ) -> BTreeMap<&'a str, Vec<Ranked>> {
+        look: &MachineQuery,
+        workers: &'a WorkerLedger,
+    ) -> BTreeMap<&'a str, Vec<RankedMachine>> {
         let spec = &job.spec;
-        let mut queues: BTreeMap<&str, Vec<Ranked>> = BTreeMap::new();
+        let mut queues: BTreeMap<&str, Vec<RankedMachine>> = BTreeMap::new();
         // Both are in the order of names: where much is open they are walked side by side, which
         // costs a tenth of looking each machine up.
-        let walk = self.rooms.open.len() > workers.machines.len() / WALK_SHARE;
+        let walk = self.capacity.open_machines.len() > workers.machines.len() / WALK_ALL_DIVISOR;
         let mut machines = workers.machines.iter().peekable();
-        for (id, room) in &self.rooms.open {
-            if !room.fits(spec) || self.is_kept(id, look, job) {
+        for (id, room) in &self.capacity.open_machines {
+            if !room.fits(spec) || self.is_reserved_from(id, look, job) {
                 continue;
             }
             let m = if walk {
@@ -126,27 +126,34 @@
             };
             let Some(m) = m else { continue };
             if look.zone.is_some_and(|z| z != m.zone)
-                || !allowed(job, m, workers)
-                || !m.usable(look.now, look.silence)
+                || !is_allowed(job, m, workers)
+                || !m.is_usable(look.now, look.silence_limit)
             {
                 continue;
             }
             let holding = image_rank(m, spec);
-            if look.holders == Holders::Only && holding != 0 {
+            if look.image_filter == ImageFilter::CachedOnly && holding != 0 {
                 continue;
             }
-            let rank = Rank {
+            let rank = MachineRank {
                 troubled: job.errors.contains_key(id) || m.error_streak > 0,
                 slow: m.slowness > 1.5,
-                image: if look.holders == Holders::Last {
+                image: if look.image_filter == ImageFilter::CachedLast {
                     2 - holding
                 } else {
                     holding
                 },
-                fetches: if holding == 2 { fetches(m) } else { 0 },
-                pace: m.pace_step(),
+                fetches_in_flight: if holding == 2 {
+                    fetches_in_flight(m)
+                } else {
+                    0
+                },
+                run_time_bias: m.run_time_bias_step(),
             };
-            queues.entry(&m.build).or_default().push((rank, id.clone()));
+            queues
+                .entry(&m.machine_type)
+                .or_default()
+                .push((rank, id.clone()));
         }
         // Each machine takes a task at least, so of a type no more are needed than tasks wait;
         // but where the zone decides, later ones may have to stand in for those not allowed.
@@ -163,14 +170,14 @@
 
     /// The aims that hold for a job in this tier, each with the seconds that are left for its start;
     /// below 0 it can't be met any more.
-    pub(super) fn slacks(
+    pub(super) fn objective_slacks(
         &self,
         j: &Job,
         tier: u8,
         wall: Micros,
     ) -> impl Iterator<Item = (&Objective, f64)> {
-        let age = to_secs(wall.saturating_sub(j.since()));
-        let waited = to_secs(j.since() - j.accepted);
+        let age = to_secs(wall.saturating_sub(j.waiting_since()));
+        let waited = to_secs(j.waiting_since() - j.accepted_at);
         let run = to_secs(self.expected_run(&j.spec));
         self.objectives.iter().filter_map(move |o| {
             let own = o.class.as_deref() == Some(&*j.spec.class);
@@ -195,26 +202,26 @@
         tier: u8,
         wall: Micros,
         types: &[MachineType],
-    ) -> Pressure {
+    ) -> FetchPressure {
         let rate = types
             .iter()
-            .filter(|t| type_allowed(&j.spec, &t.sku) && t.fetch_gb_per_s > 0.0)
+            .filter(|t| is_type_allowed(&j.spec, &t.name) && t.fetch_gb_per_s > 0.0)
             .map(|t| t.fetch_gb_per_s)
             .fold(f64::INFINITY, f64::min);
         let fetch = j.spec.image_gb / rate * 1.2;
         let (mut aims, mut ample) = (0, 0);
-        for (o, slack) in self.slacks(j, tier, wall) {
+        for (o, slack) in self.objective_slacks(j, tier, wall) {
             if slack > 0.0 && fetch > slack && o.kind != "finished" {
-                return Pressure::TooSlow;
+                return FetchPressure::TooSlow;
             }
             aims += 1;
-            ample += u32::from(slack >= AMPLE * fetch);
+            ample += u32::from(slack >= AMPLE_SLACK_FACTOR * fetch);
         }
         // Of a job without aims nothing is known, least of all that it has time.
         if aims > 0 && ample == aims {
-            Pressure::Ample
+            FetchPressure::Ample
         } else {
-            Pressure::Some
+            FetchPressure::Some
         }
     }
 }
--- a/src/layout.rs
+++ b/src/schema.rs
@@ -9,56 +9,56 @@
 //! Both formats are always read. What is written is the stored format's: it only goes up, once
 //! every controller of the settings has said that it understands the next.
 
-pub mod old;
+pub mod version_1;
 
 use crate::clock::Micros;
-use crate::jobs::{Ending, Record};
-use crate::store::{Raw, raw};
+use crate::jobs::{JobRecord, TaskEnding};
+use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
 /// The newest format that this program understands.
-pub const FORMAT: u32 = 2;
+pub const SCHEMA_VERSION: u32 = 2;
 /// Holds the format that everybody writes; absent: 1.
-pub const FORMAT_KEY: &str = "format";
+pub const SCHEMA_VERSION_KEY: &str = "format";
 /// Under it each controller says which format it understands.
-pub const CONTROLLERS: &str = "node/";
+pub const CONTROLLERS_PREFIX: &str = "node/";
 /// What did not fit a job's head.
-pub const PIECES: &str = "piece/";
+pub const CHUNKS_PREFIX: &str = "piece/";
 
 /// A value is kept that much below the largest allowed.
-const SLACK: usize = 96;
+const VALUE_SLACK_BYTES: usize = 96;
 /// Field names, node, times and number of pieces of a head.
-const HEAD_BYTES: usize = 300;
-const PIECE_BYTES: usize = 40;
+const HEADER_BYTES: usize = 300;
+const CHUNK_BYTES: usize = 40;
 /// `99998-99999,`
 const RANGE_BYTES: usize = 12;
 
-pub fn piece_key(uid: &str, n: usize) -> String {
-    format!("{PIECES}{uid}/{n}")
+pub fn chunk_key(uid: &str, n: usize) -> String {
+    format!("{CHUNKS_PREFIX}{uid}/{n}")
 }
 
 /// The job and the number that a piece's key names.
-pub fn split_piece(key: &str) -> Option<(&str, usize)> {
-    let (uid, n) = key.strip_prefix(PIECES)?.rsplit_once('/')?;
+pub fn split_chunk_key(key: &str) -> Option<(&str, usize)> {
+    let (uid, n) = key.strip_prefix(CHUNKS_PREFIX)?.rsplit_once('/')?;
     Some((uid, n.parse().ok()?))
 }
 
 pub fn controller_key(label: &str) -> String {
-    format!("{CONTROLLERS}{label}")
+    format!("{CONTROLLERS_PREFIX}{label}")
 }
 
 /// The stored format number.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct StoredFormat {
+pub struct StoredSchemaVersion {
     pub format: u32,
 }
 
 /// What a controller says of itself at its start.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Understood {
+pub struct SchemaSupport {
     pub format: u32,
     #[serde(default)]
     pub version: String,
@@ -66,96 +66,99 @@
 
 /// What is written, and within which limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Layout {
-    pub format: u32,
+pub struct Schema {
+    pub version: u32,
     pub value_bytes: usize,
     pub txn_ops: usize,
 }
 
-impl Layout {
+impl Schema {
     /// The most that a value of ours may take.
-    pub fn usable(&self) -> usize {
-        self.value_bytes.saturating_sub(SLACK)
+    pub fn usable_bytes(&self) -> usize {
+        self.value_bytes.saturating_sub(VALUE_SLACK_BYTES)
     }
 
     /// The most pieces of a job: its end removes them, and the head, and writes the final state.
-    pub fn most_pieces(&self) -> usize {
-        match self.format {
+    pub fn chunks_max(&self) -> usize {
+        match self.version {
             0 | 1 => 0,
             _ => self.txn_ops.saturating_sub(2),
         }
     }
 
     /// Room for placements and endings in all values of a job, on the safe side.
-    pub fn job_bytes(&self, spec_bytes: usize) -> usize {
-        if self.format < 2 {
-            return old::job_bytes(self.value_bytes, spec_bytes);
+    pub fn job_capacity_bytes(&self, spec_bytes: usize) -> usize {
+        if self.version < 2 {
+            return version_1::job_capacity_bytes(self.value_bytes, spec_bytes);
         }
-        let head = self.usable().saturating_sub(spec_bytes + HEAD_BYTES);
+        let head = self
+            .usable_bytes()
+            .saturating_sub(spec_bytes + HEADER_BYTES);
         // In each piece a part of an entry may stay unused.
-        let piece = self.usable().saturating_sub(PIECE_BYTES + 40);
-        head + self.most_pieces() * piece
+        let piece = self.usable_bytes().saturating_sub(CHUNK_BYTES + 40);
+        head + self.chunks_max() * piece
     }
 
     /// What a placement takes at most.
     pub fn placement_bytes(&self, name_bytes: usize) -> usize {
-        match self.format {
-            0 | 1 => old::placement_bytes(name_bytes),
+        match self.version {
+            0 | 1 => version_1::placement_bytes(name_bytes),
             _ => name_bytes + 9,
         }
     }
 
     /// What a range of ended tasks takes at most.
     pub fn range_bytes(&self) -> usize {
-        match self.format {
-            0 | 1 => old::RANGE_BYTES,
+        match self.version {
+            0 | 1 => version_1::RANGE_BYTES,
             _ => RANGE_BYTES,
         }
     }
 
     /// The longest description that can be stored with room for some placements.
-    pub fn spec_bytes(&self) -> usize {
-        self.usable() * 3 / 4
+    pub fn spec_bytes_max(&self) -> usize {
+        self.usable_bytes() * 3 / 4
     }
 
     /// Whether a job of this description can be stored at all, and run some tasks.
-    pub fn holds(&self, spec: &JobSpec) -> bool {
+    pub fn can_store(&self, spec: &JobSpec) -> bool {
         let bytes = raw(spec).get().len();
-        bytes <= self.spec_bytes() && self.job_bytes(bytes) >= 2 * self.placement_bytes(64)
+        bytes <= self.spec_bytes_max()
+            && self.job_capacity_bytes(bytes) >= 2 * self.placement_bytes(64)
     }
 
     /// The values of a job; None when it doesn't fit.
-    pub fn write(&self, record: &Record) -> Option<Values> {
-        if self.format < 2 {
-            return old::write(record, self.usable()).map(Values::whole);
+    pub fn encode_job(&self, record: &JobRecord) -> Option<StoredValues> {
+        if self.version < 2 {
+            return version_1::encode_job(record, self.usable_bytes()).map(StoredValues::single);
         }
-        pieces_of(record, self.usable(), self.most_pieces())
+        encode_chunks(record, self.usable_bytes(), self.chunks_max())
     }
 }
 
 /// The values of a job.
-pub struct Values {
-    pub head: Raw,
-    pub pieces: Vec<Raw>,
+pub struct StoredValues {
+    pub header: Raw,
+    pub chunks: Vec<Raw>,
 }
 
-impl Values {
-    pub fn whole(head: Raw) -> Self {
+impl StoredValues {
+    pub fn single(head: Raw) -> Self {
         Self {
-            head,
-            pieces: Vec::new(),
+            header: head,
+            chunks: Vec::new(),
         }
     }
 
-    pub fn bytes(&self) -> usize {
-        let pieces = self.pieces.iter().map(|p| p.get().len() + 120);
-        self.head.get().len() + 400 + pieces.sum::<usize>()
+    pub fn request_bytes(&self) -> usize {
+        let pieces = self.chunks.iter().map(|p| p.get().len() + 120);
+        self.header.get().len() + 400 + pieces.sum::<usize>()
     }
 }
 
 /// The value under `job/<uid>` or `stopping/<uid>` in format 2.
 #[derive(Serialize, Deserialize)]
-struct Head {
+struct StoredHeader {
     format: u32,
     spec: Arc<JobSpec>,
     accepted: Micros,
@@ -169,7 +172,7 @@
     #[serde(default, skip_serializing_if = "is_zero")]
     pieces: usize,
     #[serde(default, skip_serializing_if = "VecDeque::is_empty")]
-    endings: VecDeque<Ending>,
+    endings: VecDeque<TaskEnding>,
 }
 
 fn is_zero(n: &usize) -> bool {
@@ -177,7 +180,7 @@
 }
 
 #[derive(Default, Serialize, Deserialize)]
-struct Piece {
+struct StoredChunk {
     #[serde(default, skip_serializing_if = "String::is_empty")]
     done: String,
     #[serde(default, skip_serializing_if = "String::is_empty")]
@@ -185,50 +188,52 @@
 }
 
 /// Reads a job's head in either format; with it, how many pieces belong to it.
-pub fn read(value: &Raw) -> Result<(Record, usize), String> {
-    let head = match serde_json::from_str::<Head>(value.get()) {
+pub fn decode_job(value: &Raw) -> Result<(JobRecord, usize), String> {
+    let head = match serde_json::from_str::<StoredHeader>(value.get()) {
         Ok(head) => head,
         Err(e) => {
             #[derive(Deserialize)]
-            struct Probe {
+            struct VersionProbe {
                 format: Option<u32>,
             }
-            let probe: Probe = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
+            let probe: VersionProbe =
+                serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
             if probe.format.is_some() {
                 return Err(e.to_string());
             }
-            return Ok((old::read(value)?, 0));
+            return Ok((version_1::decode_job(value)?, 0));
         }
     };
-    if head.format > FORMAT {
+    if head.format > SCHEMA_VERSION {
         return Err(format!("its format is {}", head.format));
     }
-    let mut record = Record {
+    let mut record = JobRecord {
         spec: head.spec,
-        accepted: head.accepted,
-        node: head.node,
-        ready: head.ready,
+        accepted_at: head.accepted,
+        accepted_by: head.node,
+        ready_at: head.ready,
         done: Vec::new(),
         placed: BTreeMap::new(),
         endings: head.endings,
     };
-    take(&mut record, &head.done, &head.placed)?;
+    add_ranges(&mut record, &head.done, &head.placed)?;
     Ok((record, head.pieces))
 }
 
 /// Adds to a record what one of its pieces holds.
-pub fn read_piece(value: &Raw, record: &mut Record) -> Result<(), String> {
-    let piece: Piece = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
-    take(record, &piece.done, &piece.placed)
+pub fn decode_chunk(value: &Raw, record: &mut JobRecord) -> Result<(), String> {
+    let piece: StoredChunk = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
+    add_ranges(record, &piece.done, &piece.placed)
 }
 
-fn take(record: &mut Record, done: &str, placed: &str) -> Result<(), String> {
+fn add_ranges(record: &mut JobRecord, done: &str, placed: &str) -> Result<(), String> {
     let tasks = record.spec.tasks;
     record.done.extend(read_ranges(done, tasks)?);
     let mut before = String::new();
     for entry in placed.split(' ').filter(|e| !e.is_empty()) {
         let (name, parts) = entry.rsplit_once('=').ok_or("a placement without tasks")?;
-        let name = expand(&before, name).ok_or("a machine's name that can't be completed")?;
+        let name =
+            expand_prefix(&before, name).ok_or("a machine's name that can't be completed")?;
         let parts = read_ranges(parts, tasks)?;
         record
             .placed
@@ -265,7 +270,7 @@
 const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
 
 /// A text as what differs from the one before: how many bytes they share, and the rest.
-pub fn squeeze(before: &str, text: &str) -> String {
+pub fn compress_prefix(before: &str, text: &str) -> String {
     let same = before
         .bytes()
         .zip(text.bytes())
@@ -279,106 +284,110 @@
 }
 
 /// The text that `squeeze` has shortened.
-pub fn expand(before: &str, short: &str) -> Option<String> {
+pub fn expand_prefix(before: &str, short: &str) -> Option<String> {
     let digit = short.bytes().next()?;
     let n = DIGITS.iter().position(|d| *d == digit)?;
     Some(format!("{}{}", before.get(..n)?, short.get(1..)?))
 }
 
 /// Whether a machine of that name can stand in the stored layout.
-pub fn can_name(machine: &str) -> bool {
+pub fn is_storable_name(machine: &str) -> bool {
     !machine.contains(' ') && machine.len() <= 64
 }
 
 /// Fills values one after the other.
-struct Filler {
-    piece: Piece,
-    before: String,
-    room: usize,
-    full: Vec<Piece>,
-    usable: usize,
+struct ChunkWriter {
+    chunk: StoredChunk,
+    previous_name: String,
+    bytes_left: usize,
+    complete: Vec<StoredChunk>,
+    usable_bytes: usize,
 }
 
-impl Filler {
+impl ChunkWriter {
     /// Makes room for that much, if need be in the next piece; tells whether it is a new one.
-    fn make_room(&mut self, bytes: usize) -> bool {
-        let new = bytes > self.room;
+    fn reserve(&mut self, bytes: usize) -> bool {
+        let new = bytes > self.bytes_left;
         if new {
-            self.full.push(std::mem::take(&mut self.piece));
-            self.before.clear();
-            self.room = self.usable.saturating_sub(PIECE_BYTES);
+            self.complete.push(std::mem::take(&mut self.chunk));
+            self.previous_name.clear();
+            self.bytes_left = self.usable_bytes.saturating_sub(CHUNK_BYTES);
         }
-        self.room = self.room.saturating_sub(bytes);
+        self.bytes_left = self.bytes_left.saturating_sub(bytes);
         new
     }
 
-    fn done(&mut self, range: (u32, u32)) {
+    fn add_done_range(&mut self, range: (u32, u32)) {
         let text = write_range(range);
-        self.make_room(text.len() + 1);
-        if !self.piece.done.is_empty() {
-            self.piece.done.push(',');
+        self.reserve(text.len() + 1);
+        if !self.chunk.done.is_empty() {
+            self.chunk.done.push(',');
         }
-        self.piece.done.push_str(&text);
+        self.chunk.done.push_str(&text);
     }
 
-    fn place(&mut self, machine: &str, parts: &str) {
+    fn add_placement(&mut self, machine: &str, parts: &str) {
         // JSON writes a quote or a backslash in two bytes or more.
         let extra = raw(&machine).get().len() - machine.len() - 2;
-        let mut name = squeeze(&self.before, machine);
-        if self.make_room(name.len() + parts.len() + 2 + extra) {
-            name = squeeze("", machine);
-            self.room = self.room.saturating_sub(machine.len());
+        let mut name = compress_prefix(&self.previous_name, machine);
+        if self.reserve(name.len() + parts.len() + 2 + extra) {
+            name = compress_prefix("", machine);
+            self.bytes_left = self.bytes_left.saturating_sub(machine.len());
         }
-        let placed = &mut self.piece.placed;
+        let placed = &mut self.chunk.placed;
         if !placed.is_empty() {
             placed.push(' ');
         }
         placed.push_str(&name);
         placed.push('=');
         placed.push_str(parts);
-        self.before = machine.to_owned();
+        self.previous_name = machine.to_owned();
     }
 }
 
-fn pieces_of(record: &Record, usable: usize, most_pieces: usize) -> Option<Values> {
-    let mut head = Head {
-        format: FORMAT,
+fn encode_chunks(record: &JobRecord, usable: usize, most_pieces: usize) -> Option<StoredValues> {
+    let mut head = StoredHeader {
+        format: SCHEMA_VERSION,
         spec: record.spec.clone(),
-        accepted: record.accepted,
-        node: record.node.clone(),
-        ready: record.ready,
+        accepted: record.accepted_at,
+        node: record.accepted_by.clone(),
+        ready: record.ready_at,
         done: String::new(),
         placed: String::new(),
         pieces: 0,
         endings: VecDeque::new(),
     };
     let bare = raw(&head).get().len() + 60;
-    let mut filler = Filler {
-        piece: Piece::default(),
-        before: String::new(),
-        room: usable.checked_sub(bare)?,
-        full: Vec::new(),
-        usable,
+    let mut filler = ChunkWriter {
+        chunk: StoredChunk::default(),
+        previous_name: String::new(),
+        bytes_left: usable.checked_sub(bare)?,
+        complete: Vec::new(),
+        usable_bytes: usable,
     };
     for range in &record.done {
-        filler.done(*range);
+        filler.add_done_range(*range);
     }
     for (machine, parts) in &record.placed {
         // A machine with many separate tasks of the job may take several entries.
         for some in parts.chunks(60) {
             let texts: Vec<String> = some.iter().map(|r| write_range(*r)).collect();
-            filler.place(machine, &texts.join(","));
+            filler.add_placement(machine, &texts.join(","));
         }
     }
-    let mut pieces = filler.full;
-    pieces.push(filler.piece);
+    let mut pieces = filler.complete;
+    pieces.push(filler.chunk);
     let first = pieces.remove(0);
     if pieces.len() > most_pieces {
         return None;
     }
     (head.done, head.placed, head.pieces) = (first.done, first.placed, pieces.len());
     // Endings are for operators: the newest, as far as there is room.
-    let mut room = if pieces.is_empty() { filler.room } else { 0 };
+    let mut room = if pieces.is_empty() {
+        filler.bytes_left
+    } else {
+        0
+    };
     room = room.saturating_sub(16);
     for ending in record.endings.iter().rev() {
         let bytes = raw(ending).get().len() + 1;
@@ -388,8 +397,8 @@
         room -= bytes;
         head.endings.push_front(ending.clone());
     }
-    Some(Values {
-        head: raw(&head),
-        pieces: pieces.iter().map(raw).collect(),
+    Some(StoredValues {
+        header: raw(&head),
+        chunks: pieces.iter().map(raw).collect(),
     })
 }
--- a/src/layout/old.rs
+++ b/src/schema/version_1.rs
@@ -3,8 +3,8 @@
 //! under it any more.
 
 use crate::clock::Micros;
-use crate::jobs::{Ending, Record};
-use crate::store::{Raw, raw};
+use crate::jobs::{JobRecord, TaskEnding};
+use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -30,7 +30,7 @@
     #[serde(default)]
     placed: BTreeMap<Arc<str>, Vec<(u32, u32)>>,
     #[serde(default)]
-    endings: VecDeque<Ending>,
+    endings: VecDeque<TaskEnding>,
 }
 
 pub fn placement_bytes(name_bytes: usize) -> usize {
@@ -38,18 +38,18 @@
 }
 
 /// Room for placements. Under small values the endings are left out.
-pub fn job_bytes(value_bytes: usize, spec_bytes: usize) -> usize {
+pub fn job_capacity_bytes(value_bytes: usize, spec_bytes: usize) -> usize {
     let head = RECORD_HEAD.min((value_bytes / 8).max(BARE_HEAD));
     value_bytes.saturating_sub(spec_bytes + head)
 }
 
-pub fn read(value: &Raw) -> Result<Record, String> {
+pub fn decode_job(value: &Raw) -> Result<JobRecord, String> {
     let s: Stored = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
-    Ok(Record {
+    Ok(JobRecord {
         spec: s.spec,
-        accepted: s.accepted,
-        node: s.node,
-        ready: s.ready,
+        accepted_at: s.accepted,
+        accepted_by: s.node,
+        ready_at: s.ready,
         done: s.done,
         placed: s.placed,
         endings: s.endings,
@@ -57,12 +57,12 @@
 }
 
 /// The value of a job, without its endings when it would be too large; None when it still is.
-pub fn write(record: &Record, usable: usize) -> Option<Raw> {
+pub fn encode_job(record: &JobRecord, usable: usize) -> Option<Raw> {
     let mut stored = Stored {
         spec: record.spec.clone(),
-        accepted: record.accepted,
-        node: record.node.clone(),
-        ready: record.ready,
+        accepted: record.accepted_at,
+        node: record.accepted_by.clone(),
+        ready: record.ready_at,
         done: record.done.clone(),
         placed: record.placed.clone(),
         endings: record.endings.clone(),
@@ -78,14 +78,16 @@
 
 /// One machine of the roll. Images are numbers into the page's own list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct RegistryEntry {
     pub addr: String,
-    pub sku: String,
+    #[serde(rename = "sku")]
+    pub machine_type: String,
     pub zone: String,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub hired: bool,
+    #[serde(rename = "hired")]
+    pub rented: bool,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<usize>,
     /// Time of day of the last contact with a machine that fell silent.
@@ -95,9 +97,9 @@
 
 /// One page of the roll.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Page {
+pub struct StoredPage {
     #[serde(default)]
     pub images: Vec<Arc<str>>,
     #[serde(default)]
-    pub machines: BTreeMap<Arc<str>, Entry>,
+    pub machines: BTreeMap<Arc<str>, RegistryEntry>,
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file (TOML) and the operators' own properties file.
 
-use crate::clock::{MILLI, Micros, SECOND, from_secs};
-use crate::informed::{least_spare_s, spare};
+use crate::cancellation_freshness::{cancellation_slack, cancellation_slack_min_s};
+use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -21,22 +21,31 @@
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
-    pub label: String,
-    pub domain: String,
+    #[serde(rename = "label")]
+    pub name: String,
+    #[serde(rename = "domain")]
+    pub zone: String,
     pub listen: SocketAddr,
-    pub cluster_listen: SocketAddr,
+    #[serde(rename = "cluster_listen")]
+    pub peer_listen: SocketAddr,
     #[serde(default)]
-    pub others: Vec<Peer>,
-    pub endpoints: Endpoints,
-    pub settings: Deployment,
+    #[serde(rename = "others")]
+    pub peers: Vec<Peer>,
+    #[serde(rename = "endpoints")]
+    pub services: Endpoints,
+    #[serde(rename = "settings")]
+    pub deployment: Deployment,
 }
 
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
-    pub label: String,
+    #[serde(rename = "label")]
+    pub name: String,
     #[serde(default)]
-    pub domain: String,
-    pub endpoint: SocketAddr,
+    #[serde(rename = "domain")]
+    pub zone: String,
+    #[serde(rename = "endpoint")]
+    pub address: SocketAddr,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -51,7 +60,8 @@
     pub zones: Vec<String>,
     /// The time of day stays within this of true time.
     #[serde(default = "default_time_bound")]
-    pub time_bound_ms: f64,
+    #[serde(rename = "time_bound_ms")]
+    pub clock_offset_max_ms: f64,
     #[serde(default)]
     pub teams: Vec<Team>,
     #[serde(default)]
@@ -59,7 +69,8 @@
     pub workers: WorkerLimits,
     pub state: StateLimits,
     pub cloud: CloudLimits,
-    pub machine_limits: MachineLimits,
+    #[serde(rename = "machine_limits")]
+    pub process_limits: MachineLimits,
 }
 
 fn default_time_bound() -> f64 {
@@ -158,7 +169,8 @@
     pub cpu_share: Option<f64>,
     /// Megabytes that the process may hold.
     #[serde(default)]
-    pub ram_mb: Option<f64>,
+    #[serde(rename = "ram_mb")]
+    pub memory_mb: Option<f64>,
 }
 
 impl Settings {
@@ -185,7 +197,7 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let s = &self.settings;
+        let s = &self.deployment;
         let positive = [
             ("settings.workers.report_s", s.workers.report_s),
             ("settings.workers.lease_s", s.workers.lease_s),
@@ -206,7 +218,7 @@
                 "expected 0 or more",
             ));
         }
-        if !s.time_bound_ms.is_finite() || s.time_bound_ms < 0.0 {
+        if !s.clock_offset_max_ms.is_finite() || s.clock_offset_max_ms < 0.0 {
             return Err(field_error("settings.time_bound_ms", "expected 0 or more"));
         }
         if s.state.txn_ops < 2 {
@@ -234,25 +246,25 @@
         let limits = [
             (
                 "settings.machine_limits.cpu_share",
-                s.machine_limits.cpu_share,
+                s.process_limits.cpu_share,
             ),
-            ("settings.machine_limits.ram_mb", s.machine_limits.ram_mb),
+            ("settings.machine_limits.ram_mb", s.process_limits.memory_mb),
         ];
         for (field, value) in limits {
             if value.is_some_and(|v| !v.is_finite() || v <= 0.0) {
                 return Err(field_error(field, "expected a number above 0"));
             }
         }
-        if s.machine_limits.max_connections < 64 {
+        if s.process_limits.max_connections < 64 {
             return Err(field_error(
                 "settings.machine_limits.max_connections",
                 "expected 64 or more",
             ));
         }
-        if self.label.is_empty() || self.label.len() > 64 {
+        if self.name.is_empty() || self.name.len() > 64 {
             return Err(field_error("label", "expected 1 to 64 bytes"));
         }
-        if self.others.iter().any(|p| p.label == self.label) {
+        if self.peers.iter().any(|p| p.name == self.name) {
             return Err(field_error(
                 "others",
                 "a node must not name itself among the others",
@@ -271,33 +283,33 @@
     }
 
     pub fn lease(&self) -> Micros {
-        from_secs(self.settings.workers.lease_s)
+        from_secs(self.deployment.workers.lease_s)
     }
 
     /// How long after a confirmed cancellation the job's tasks may still be there.
     pub fn cancel(&self) -> Micros {
-        from_secs(self.settings.workers.cancel_s)
+        from_secs(self.deployment.workers.cancel_s)
     }
 
     pub fn report_period(&self) -> Micros {
-        from_secs(self.settings.workers.report_s)
+        from_secs(self.deployment.workers.report_s)
     }
 
     /// What can be served only in part, in one line that says what to change.
     pub fn warning(&self) -> Option<String> {
-        let w = &self.settings.workers;
-        spare(self.lease(), self.cancel()).is_none().then(|| {
+        let w = &self.deployment.workers;
+        cancellation_slack(self.lease(), self.cancel()).is_none().then(|| {
             format!(
                 "settings.workers.cancel_s = {} leaves nothing beyond settings.workers.lease_s = {}: tasks of a \
                  cancelled job on a machine that can't be reached may outlive cancel_s; set cancel_s at least {} s \
                  above lease_s",
-                w.cancel_s, w.lease_s, least_spare_s(self.lease())
+                w.cancel_s, w.lease_s, cancellation_slack_min_s(self.lease())
             )
         })
     }
 
     pub fn team(&self, name: &str) -> Option<&Team> {
-        self.settings.teams.iter().find(|t| t.name == name)
+        self.deployment.teams.iter().find(|t| t.name == name)
     }
 }
 
@@ -335,7 +347,7 @@
             fairness_exponent: 0.2,
             round: 10 * SECOND,
             leader_ttl: 3 * SECOND,
-            leader_ttl_min: 1_500 * MILLI,
+            leader_ttl_min: 1_500 * MILLISECOND,
             idle_return: 600 * SECOND,
             follow: true,
             seed: 0,
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -1,31 +1,31 @@
 //! Who follows the leader, and what a mirror must show before a leader decides by it. Pure.
 
-use crate::clock::{MILLI, Micros, SECOND};
-use crate::mirror::Sum;
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::replica::Checksum;
 
 /// How many controllers follow.
-pub const FOLLOWERS: usize = 2;
+pub const STANDBYS: usize = 2;
 /// How often a standby asks for the changes since: each such question is one request, and the bytes
 /// are the same however often it is asked.
-pub const FOLLOW_EVERY: Micros = 4 * SECOND;
+pub const REPLICATION_INTERVAL: Micros = 4 * SECOND;
 /// Between two pages while a mirror is filled: there is time.
-pub const FILL_EVERY: Micros = 500 * MILLI;
+pub const PAGE_INTERVAL: Micros = 500 * MILLISECOND;
 /// After a mirror was thrown away it is filled anew, but not at once.
-pub const AGAIN: Micros = 10 * SECOND;
+pub const REBUILD_DELAY: Micros = 10 * SECOND;
 /// The leader's word is overdue: there may be no leader, and little will change until there is one
 /// again, so what is asked now need not be asked at the takeover.
-pub const OVERDUE: Micros = 1_500 * MILLI;
+pub const LEADER_OVERDUE_AFTER: Micros = 1_500 * MILLISECOND;
 /// How long the second standby, and all others, let the first try to lead.
-const SECOND_WAITS: Micros = 120 * MILLI;
-const OTHERS_WAIT: Micros = 350 * MILLI;
+const SECOND_STANDBY_DELAY: Micros = 120 * MILLISECOND;
+const COLD_NODE_DELAY: Micros = 350 * MILLISECOND;
 /// A node whose former life led when it ended waits that much longer: one that ends again and again would
 /// else take the lead each time to lose it, as soon as no other is warm.
-pub const ENDED_WAITS: Micros = 500 * MILLI;
+pub const RESTARTED_LEADER_DELAY: Micros = 500 * MILLISECOND;
 
 /// The nodes that follow, named by rule from what every node knows: first those in other zones than
 /// the leader, and the second, where there is one, in another zone than the first. `nodes` are label
 /// and zone of all, the leader among them; the order in the settings does not matter.
-pub fn followers<'a>(leader: &str, nodes: &[(&'a str, &str)]) -> Vec<&'a str> {
+pub fn choose_standbys<'a>(leader: &str, nodes: &[(&'a str, &str)]) -> Vec<&'a str> {
     let mut ring = nodes.to_vec();
     ring.sort_unstable();
     let Some(at) = ring.iter().position(|n| n.0 == leader) else {
@@ -35,7 +35,7 @@
     ring.rotate_left(at);
     let home = ring.remove(0).1;
     let mut chosen: Vec<(&str, &str)> = Vec::new();
-    while chosen.len() < FOLLOWERS {
+    while chosen.len() < STANDBYS {
         let free = |n: &&(&'a str, &str)| !chosen.iter().any(|c| c.0 == n.0);
         let apart = |n: &&(&'a str, &str)| {
             let beside = chosen.iter().filter(|c| c.1 == n.1).count();
@@ -54,49 +54,49 @@
 
 /// How long a node waits before it asks for the lead, once that is free. One standby alone asks at
 /// once; a cold node leaves the lead to a warm one, for a moment.
-pub fn wait(rank: Option<usize>, warm: bool) -> Micros {
+pub fn candidacy_delay(rank: Option<usize>, warm: bool) -> Micros {
     match rank {
         Some(0) if warm => 0,
-        Some(_) if warm => SECOND_WAITS,
-        _ => OTHERS_WAIT,
+        Some(_) if warm => SECOND_STANDBY_DELAY,
+        _ => COLD_NODE_DELAY,
     }
 }
 
 /// Why a mirror is not decided by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cold {
+pub enum ColdReason {
     /// This node did not follow.
-    NotFollowing,
+    NotReplicating,
     /// It was still being filled.
-    Filling,
+    Incomplete,
     /// The leader never told a sum that it could be compared with.
-    Unchecked,
+    Unverified,
     /// Its sum differed from the leader's.
-    Differs,
+    ChecksumDiffers,
     /// It had fallen too far behind: changes are missing.
-    Gap,
+    ChangesMissing,
     /// The state service did not tell the changes since.
-    NotTold,
+    ChangesUnavailable,
 }
 
-impl Cold {
-    pub fn why(self) -> &'static str {
+impl ColdReason {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Cold::NotFollowing => "not-following",
-            Cold::Filling => "filling",
-            Cold::Unchecked => "unchecked",
-            Cold::Differs => "sum-differs",
-            Cold::Gap => "changes-missing",
-            Cold::NotTold => "changes-not-told",
+            ColdReason::NotReplicating => "not-following",
+            ColdReason::Incomplete => "filling",
+            ColdReason::Unverified => "unchecked",
+            ColdReason::ChecksumDiffers => "sum-differs",
+            ColdReason::ChangesMissing => "changes-missing",
+            ColdReason::ChangesUnavailable => "changes-not-told",
         }
     }
 }
 
 /// What the leader tells of the live jobs it knows: their sum at an epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Told {
-    pub epoch: u64,
-    pub sum: Sum,
+pub struct LeaderChecksum {
+    pub revision: u64,
+    pub checksum: Checksum,
 }
 
 #[cfg(test)]
@@ -114,19 +114,22 @@
             ("n-6", "c"),
             ("n-7", "a"),
         ];
-        assert_eq!(followers("n-1", &seven), ["n-2", "n-3"]);
-        assert_eq!(followers("n-4", &seven), ["n-5", "n-6"]);
+        assert_eq!(choose_standbys("n-1", &seven), ["n-2", "n-3"]);
+        assert_eq!(choose_standbys("n-4", &seven), ["n-5", "n-6"]);
         let mut turned = seven;
         turned.reverse();
-        assert_eq!(followers("n-4", &turned), ["n-5", "n-6"]);
+        assert_eq!(choose_standbys("n-4", &turned), ["n-5", "n-6"]);
         let one_zone = [("n-1", "a"), ("n-2", "a"), ("n-3", "a")];
-        assert_eq!(followers("n-3", &one_zone), ["n-1", "n-2"]);
+        assert_eq!(choose_standbys("n-3", &one_zone), ["n-1", "n-2"]);
         let near = [("n-1", "a"), ("n-2", "a"), ("n-3", "b"), ("n-4", "b")];
-        assert_eq!(followers("n-1", &near), ["n-3", "n-4"]);
-        assert_eq!(followers("n-1", &[("n-1", "a"), ("n-2", "a")]), ["n-2"]);
-        assert!(followers("n-9", &near).is_empty());
-        assert!(wait(Some(0), true) < wait(Some(1), true));
-        assert!(wait(Some(1), true) < wait(Some(0), false));
-        assert_eq!(wait(Some(0), false), wait(None, true));
+        assert_eq!(choose_standbys("n-1", &near), ["n-3", "n-4"]);
+        assert_eq!(
+            choose_standbys("n-1", &[("n-1", "a"), ("n-2", "a")]),
+            ["n-2"]
+        );
+        assert!(choose_standbys("n-9", &near).is_empty());
+        assert!(candidacy_delay(Some(0), true) < candidacy_delay(Some(1), true));
+        assert!(candidacy_delay(Some(1), true) < candidacy_delay(Some(0), false));
+        assert_eq!(candidacy_delay(Some(0), false), candidacy_delay(None, true));
     }
 }
--- a/src/store.rs
+++ b/src/state_client.rs
@@ -1,9 +1,9 @@
 //! Client of the state service: keeps to this node's share of the request and write budgets,
 //! repeats what surely was not executed, and never repeats what may have been.
 
-use crate::clock::{MILLI, Micros, SECOND};
-use crate::maps::HashMap;
+use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::net::{Outcome, Output, Ticket};
+use crate::seeded_hash::HashMap;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use serde_json::{Value, json};
@@ -20,18 +20,18 @@
 
 /// Who goes first when the budget is short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum RequestPriority {
     /// The grant must live on whatever else is going on, so it goes past the budget.
     Vital,
     /// Users' submissions and cancellations.
-    User,
+    Client,
     /// The leader's own reads and writes.
     Leader,
     /// Polls and looks: they can be asked again.
-    Look,
+    Background,
 }
 
-const RANKS: usize = 4;
+const PRIORITIES: usize = 4;
 
 #[derive(Clone, Debug)]
 pub enum Op {
@@ -41,23 +41,23 @@
         after: String,
         limit: usize,
     },
-    Txn(Txn),
+    Transaction(Transaction),
     Watch {
         prefix: &'static str,
         from: u64,
         block: Micros,
     },
-    Grant {
+    GrantLease {
         ttl: Micros,
     },
-    Extend(u64),
-    Drop(u64),
+    RenewLease(u64),
+    RevokeLease(u64),
 }
 
 /// A transaction under construction.
 #[derive(Clone, Debug, Default)]
-pub struct Txn {
-    pub conditions: Vec<(String, u64)>,
+pub struct Transaction {
+    pub preconditions: Vec<(String, u64)>,
     pub changes: Vec<Change>,
 }
 
@@ -69,16 +69,17 @@
         path: String,
         value: Raw,
         #[serde(skip_serializing_if = "Option::is_none")]
-        permit: Option<u64>,
+        #[serde(rename = "permit")]
+        lease_id: Option<u64>,
     },
     Delete {
         delete: String,
     },
 }
 
-impl Txn {
-    pub fn require(mut self, path: impl Into<String>, stamp: u64) -> Self {
-        self.conditions.push((path.into(), stamp));
+impl Transaction {
+    pub fn require_revision(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
+        self.preconditions.push((path.into(), mod_revision));
         self
     }
 
@@ -90,21 +91,21 @@
         self.changes.push(Change::Set {
             path: path.into(),
             value,
-            permit: None,
+            lease_id: None,
         });
         self
     }
 
-    pub fn set_leased(
+    pub fn set_with_lease(
         mut self,
         path: impl Into<String>,
         value: &impl Serialize,
-        permit: u64,
+        lease_id: u64,
     ) -> Self {
         self.changes.push(Change::Set {
             path: path.into(),
             value: raw(value),
-            permit: Some(permit),
+            lease_id: Some(lease_id),
         });
         self
     }
@@ -120,17 +121,21 @@
         #[derive(Serialize)]
         struct Condition<'a> {
             path: &'a str,
-            stamp: u64,
+            #[serde(rename = "stamp")]
+            mod_revision: u64,
         }
         #[derive(Serialize)]
         struct Body<'a> {
             r#if: Vec<Condition<'a>>,
             apply: &'a [Change],
         }
-        let conditions = self.conditions.iter().map(|(path, stamp)| Condition {
-            path,
-            stamp: *stamp,
-        });
+        let conditions = self
+            .preconditions
+            .iter()
+            .map(|(path, mod_revision)| Condition {
+                path,
+                mod_revision: *mod_revision,
+            });
         let body = Body {
             r#if: conditions.collect(),
             apply: &self.changes,
@@ -143,16 +148,17 @@
 pub struct Item {
     pub path: String,
     pub value: Raw,
-    pub stamp: u64,
+    #[serde(rename = "stamp")]
+    pub mod_revision: u64,
 }
 
 /// One change told by a watch.
 #[derive(Clone, Debug)]
-pub struct Event {
+pub struct WatchEvent {
     pub path: String,
     /// None: the key was deleted.
     pub value: Option<Raw>,
-    pub stamp: u64,
+    pub mod_revision: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -162,22 +168,22 @@
     Items {
         items: Vec<Item>,
         truncated: bool,
-        epoch: u64,
+        revision: u64,
     },
     Applied {
-        epoch: u64,
+        revision: u64,
     },
     Conflict {
         failed: Vec<String>,
     },
     Events {
-        events: Vec<Event>,
-        epoch: u64,
+        events: Vec<WatchEvent>,
+        revision: u64,
     },
     /// A watch started too far back: read the keys again.
     TooOld,
     Granted {
-        permit: u64,
+        lease_id: u64,
     },
     Done,
     /// Surely not executed.
@@ -188,97 +194,97 @@
     Refused(String),
 }
 
-struct Pending<P> {
+struct PendingRequest<P> {
     purpose: P,
-    rank: Rank,
+    priority: RequestPriority,
     op: Op,
-    asked: Micros,
-    until: Micros,
+    queued_at: Micros,
+    deadline: Micros,
     not_before: Micros,
     /// When it was last sent.
-    sent: Micros,
+    sent_at: Micros,
 }
 
-struct Bucket {
+struct TokenBucket {
     level: f64,
     rate: f64,
-    at: Micros,
+    refilled_at: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     fn new(rate: f64) -> Self {
         Self {
             level: rate,
             rate,
-            at: 0,
+            refilled_at: 0,
         }
     }
 
     fn refill(&mut self, now: Micros) {
-        let gained = now.saturating_sub(self.at) as f64 / 1e6 * self.rate;
-        self.at = now;
+        let gained = now.saturating_sub(self.refilled_at) as f64 / 1e6 * self.rate;
+        self.refilled_at = now;
         self.level = (self.level + gained).min(self.rate);
     }
 }
 
-pub struct Store<P> {
+pub struct StateClient<P> {
     addr: SocketAddr,
-    requests: Bucket,
-    writes: Bucket,
+    request_budget: TokenBucket,
+    write_budget: TokenBucket,
     rps: f64,
     write_rps: f64,
-    nodes: f64,
+    node_count: f64,
     /// By rank; within one, in the order asked.
-    queues: [VecDeque<Pending<P>>; RANKS],
-    flying: HashMap<Ticket, Pending<P>>,
+    queues: [VecDeque<PendingRequest<P>>; PRIORITIES],
+    in_flight: HashMap<Ticket, PendingRequest<P>>,
     /// Since when answers fail to come; None once one has come.
     failing_since: Option<Micros>,
     /// When something was last asked only to see whether the trouble is over.
-    tried_at: Micros,
+    probed_at: Micros,
     leading: bool,
     /// When a leader's write may next go before users'.
-    turn_at: Micros,
+    leader_turn_at: Micros,
     /// A transaction was refused as too large, or for the rate of changes: the limits may be
     /// lower than those that are kept to.
-    refused: Refused,
+    refused_limits: RefusedLimits,
 }
 
 /// What of its limits the state service has shown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Refused {
+pub struct RefusedLimits {
     pub size: bool,
     pub rate: bool,
 }
 
 /// How often a state service that fails is tried.
-const PROBE_EVERY: Micros = 500 * MILLI;
+const PROBE_INTERVAL: Micros = 500 * MILLISECOND;
 
 /// A leader's write that has waited so long goes before users' changes at this node, and as soon as
 /// nothing is owed: were the whole of it to be saved up first, its patience would be over.
-const STARVED: Micros = 400 * MILLI;
+const LEADER_WRITE_STARVED_AFTER: Micros = 400 * MILLISECOND;
 /// After it the users have the node's changes to themselves for a while: in a burst of submissions what a
 /// leader writes never ends either.
-const TURN_EVERY: Micros = 2 * SECOND;
+const LEADER_TURN_INTERVAL: Micros = 2 * SECOND;
 
-const CALL_TIME: Micros = 2 * SECOND;
+const CALL_TIMEOUT: Micros = 2 * SECOND;
 
-impl<P> Store<P> {
+impl<P> StateClient<P> {
     pub fn new(addr: SocketAddr, rps: f64, write_rps: f64, nodes: usize) -> Self {
         let nodes = nodes.max(1) as f64;
         let mut store = Self {
             addr,
-            requests: Bucket::new(rps),
-            writes: Bucket::new(write_rps),
+            request_budget: TokenBucket::new(rps),
+            write_budget: TokenBucket::new(write_rps),
             rps,
             write_rps,
-            nodes,
+            node_count: nodes,
             queues: Default::default(),
-            flying: HashMap::default(),
+            in_flight: HashMap::default(),
             failing_since: None,
-            tried_at: 0,
+            probed_at: 0,
             leading: false,
-            turn_at: 0,
-            refused: Refused::default(),
+            leader_turn_at: 0,
+            refused_limits: RefusedLimits::default(),
         };
         store.set_leading(false);
         store
@@ -288,12 +294,12 @@
     /// submissions come to all nodes alike.
     pub fn set_leading(&mut self, leading: bool) {
         self.leading = leading;
-        let share = |leaders: f64| match (leading, self.nodes as u32) {
+        let share = |leaders: f64| match (leading, self.node_count as u32) {
             (_, 1) => 1.0,
             (true, _) => leaders,
-            (false, _) => (1.0 - leaders) / (self.nodes - 1.0),
+            (false, _) => (1.0 - leaders) / (self.node_count - 1.0),
         };
-        (self.requests.rate, self.writes.rate) =
+        (self.request_budget.rate, self.write_budget.rate) =
             (self.rps * share(0.5), self.write_rps * share(0.8));
     }
 
@@ -304,29 +310,36 @@
     }
 
     /// What was refused since this was last asked.
-    pub fn take_refused(&mut self) -> Refused {
-        std::mem::take(&mut self.refused)
+    pub fn take_refused(&mut self) -> RefusedLimits {
+        std::mem::take(&mut self.refused_limits)
     }
 
     /// Asks; `patience` bounds how long a surely unexecuted request is repeated.
-    pub fn ask(&mut self, now: Micros, purpose: P, rank: Rank, op: Op, patience: Micros) {
-        self.queues[rank as usize].push_back(Pending {
+    pub fn submit(
+        &mut self,
+        now: Micros,
+        purpose: P,
+        rank: RequestPriority,
+        op: Op,
+        patience: Micros,
+    ) {
+        self.queues[rank as usize].push_back(PendingRequest {
             purpose,
-            rank,
+            priority: rank,
             op,
-            asked: now,
-            until: now + patience,
+            queued_at: now,
+            deadline: now + patience,
             not_before: now,
-            sent: 0,
+            sent_at: 0,
         });
     }
 
     pub fn wake_at(&self) -> Option<Micros> {
         let waiting = self.queues.iter().flatten();
         let head = waiting.map(|p| p.not_before).min()?;
-        let short = self.requests.level < 1.0 || self.writes.level < 1.0;
+        let short = self.request_budget.level < 1.0 || self.write_budget.level < 1.0;
         Some(if short {
-            head.max(self.requests.at + 10 * MILLI)
+            head.max(self.request_budget.refilled_at + 10 * MILLISECOND)
         } else {
             head
         })
@@ -335,7 +348,7 @@
     /// Whether the state service has not answered since it last failed. Users' requests are then
     /// better answered by another node; were they to try, a service that is silent to us would keep
     /// each of them hanging for its whole time limit.
-    pub fn failing(&self) -> bool {
+    pub fn is_failing(&self) -> bool {
         self.failing_since.is_some()
     }
 
@@ -345,93 +358,101 @@
     }
 
     /// Whether it is time to ask something, only to see whether the trouble is over.
-    pub fn wants_probe(&mut self, now: Micros) -> bool {
-        let wants = self.failing() && now >= self.tried_at + PROBE_EVERY;
+    pub fn should_probe(&mut self, now: Micros) -> bool {
+        let wants = self.is_failing() && now >= self.probed_at + PROBE_INTERVAL;
         if wants {
-            self.tried_at = now;
+            self.probed_at = now;
         }
         wants
     }
 
     /// Whether a look would be sent at once, with something left for submissions.
-    pub fn can_look(&self, now: Micros) -> bool {
-        let gained = now.saturating_sub(self.requests.at) as f64 / 1e6 * self.requests.rate;
-        self.queues[Rank::Look as usize].is_empty()
-            && (self.requests.level + gained).min(self.requests.rate) >= 2.0
+    pub fn has_background_budget(&self, now: Micros) -> bool {
+        let gained = now.saturating_sub(self.request_budget.refilled_at) as f64 / 1e6
+            * self.request_budget.rate;
+        self.queues[RequestPriority::Background as usize].is_empty()
+            && (self.request_budget.level + gained).min(self.request_budget.rate) >= 2.0
     }
 
     /// How many questions of this rank still wait to be sent.
-    pub fn waiting(&self, rank: Rank) -> usize {
+    pub fn queued(&self, rank: RequestPriority) -> usize {
         self.queues[rank as usize].len()
     }
 
     /// How many changes can be written at once before others have to wait.
     pub fn spare_changes(&self) -> f64 {
-        self.writes.level
+        self.write_budget.level
     }
 
     /// The changes a second that this node may write.
     pub fn change_rate(&self) -> f64 {
-        self.writes.rate
+        self.write_budget.rate
     }
 
     /// Sends what the budget allows; returns what ran out of patience unsent.
-    pub fn pump(
+    pub fn send_queued(
         &mut self,
         now: Micros,
         tickets: &mut Ticket,
         out: &mut Vec<Output>,
     ) -> Vec<(P, Reply)> {
-        self.requests.refill(now);
-        self.writes.refill(now);
+        self.request_budget.refill(now);
+        self.write_budget.refill(now);
         let mut over = Vec::new();
         let mut blocked = false;
         // Users go first and on credit. While more of them come than there are changes, what the leader
         // writes (placements, for one: nothing starts before they are stored) would never have its turn.
-        let writes = |p: &Pending<P>| matches!(&p.op, Op::Txn(t) if !t.changes.is_empty());
-        let turn = now >= self.turn_at;
-        let waited = |p: &Pending<P>, turn: bool| {
-            let since = p.asked.max(p.not_before);
-            turn && p.rank == Rank::Leader && writes(p) && now >= since + STARVED
+        let writes =
+            |p: &PendingRequest<P>| matches!(&p.op, Op::Transaction(t) if !t.changes.is_empty());
+        let turn = now >= self.leader_turn_at;
+        let waited = |p: &PendingRequest<P>, turn: bool| {
+            let since = p.queued_at.max(p.not_before);
+            turn && p.priority == RequestPriority::Leader
+                && writes(p)
+                && now >= since + LEADER_WRITE_STARVED_AFTER
         };
-        let mut leaders = self.queues[Rank::Leader as usize].iter();
+        let mut leaders = self.queues[RequestPriority::Leader as usize].iter();
         let starved = leaders.any(|p| waited(p, turn));
         let mut turn = turn;
         for queue in &mut self.queues {
             let mut kept = VecDeque::new();
             while let Some(mut p) = queue.pop_front() {
-                let vital = p.rank == Rank::Vital;
+                let vital = p.priority == RequestPriority::Vital;
                 let changes = match &p.op {
-                    Op::Txn(t) => t.changes.len() as f64,
+                    Op::Transaction(t) => t.changes.len() as f64,
                     _ => 0.0,
                 };
                 // A user who waits may overdraw this node's share: the shares of the others are
                 // seldom used up at the same moment, and it is paid back before anything else.
-                let credit = if p.rank == Rank::User { 1.0 } else { 0.0 };
+                let credit = if p.priority == RequestPriority::Client {
+                    1.0
+                } else {
+                    0.0
+                };
                 // What waits for changes must not be overtaken by smaller ones without end.
-                let yields = starved && p.rank == Rank::User && changes > 0.0;
+                let yields = starved && p.priority == RequestPriority::Client && changes > 0.0;
                 let affordable = !yields
-                    && self.requests.level >= 1.0 - credit * self.rps / self.nodes
+                    && self.request_budget.level >= 1.0 - credit * self.rps / self.node_count
                     && (changes == 0.0
                         || (!blocked
-                            && self.writes.level
+                            && self.write_budget.level
                                 >= if waited(&p, turn) {
                                     changes.min(1.0)
                                 } else {
-                                    changes.min(self.writes.rate)
-                                        - credit * self.write_rps / self.nodes
+                                    changes.min(self.write_budget.rate)
+                                        - credit * self.write_rps / self.node_count
                                 }));
-                if !vital && p.until < now {
+                if !vital && p.deadline < now {
                     over.push((p.purpose, Reply::Unavailable));
                 } else if p.not_before > now || !(vital || affordable) {
                     blocked |= p.not_before <= now && changes > 0.0 && !yields;
                     kept.push_back(p);
                 } else {
                     if waited(&p, turn) {
-                        (turn, self.turn_at) = (false, now + TURN_EVERY);
+                        (turn, self.leader_turn_at) = (false, now + LEADER_TURN_INTERVAL);
                     }
-                    self.requests.level -= 1.0;
-                    self.writes.level -= changes;
+                    self.request_budget.level -= 1.0;
+                    self.write_budget.level -= changes;
                     *tickets += 1;
                     let (method, path, body, timeout) = encode(&p.op);
                     out.push(Output::Call {
@@ -442,8 +463,8 @@
                         body,
                         timeout,
                     });
-                    p.sent = now;
-                    self.flying.insert(*tickets, p);
+                    p.sent_at = now;
+                    self.in_flight.insert(*tickets, p);
                 }
             }
             *queue = kept;
@@ -453,49 +474,50 @@
 
     /// Takes the outcome of a call; None when the request will be repeated or isn't ours.
     /// The time is that of sending.
-    pub fn answer(
+    pub fn handle_outcome(
         &mut self,
         now: Micros,
         ticket: Ticket,
         outcome: &Outcome,
     ) -> Option<(P, Reply, Micros)> {
-        let mut p = self.flying.remove(&ticket)?;
+        let mut p = self.in_flight.remove(&ticket)?;
         let reply = match outcome {
             Outcome::Reply { status: 429, .. } => {
-                self.refused.rate |= matches!(&p.op, Op::Txn(t) if !t.changes.is_empty());
-                self.requests.level = self.requests.level.min(0.0);
-                p.not_before = now + 40 * MILLI;
-                self.queues[p.rank as usize].push_back(p);
+                self.refused_limits.rate |=
+                    matches!(&p.op, Op::Transaction(t) if !t.changes.is_empty());
+                self.request_budget.level = self.request_budget.level.min(0.0);
+                p.not_before = now + 40 * MILLISECOND;
+                self.queues[p.priority as usize].push_back(p);
                 return None;
             }
             Outcome::NotSent | Outcome::Refused => Reply::Unavailable,
             Outcome::Lost => Reply::Lost,
             Outcome::Reply { status, body } => decode(&p.op, *status, body),
         };
-        if let (Op::Txn(_), Reply::Refused(reason)) = (&p.op, &reply) {
-            self.refused.size |= !reason.contains("no such lease");
+        if let (Op::Transaction(_), Reply::Refused(reason)) = (&p.op, &reply) {
+            self.refused_limits.size |= !reason.contains("no such lease");
         }
         self.failing_since = match reply {
             Reply::Unavailable | Reply::Lost => self.failing_since.or(Some(now)),
             _ => None,
         };
-        if matches!(reply, Reply::Unavailable) && now + 250 * MILLI < p.until {
-            p.not_before = now + 200 * MILLI;
-            self.queues[p.rank as usize].push_back(p);
+        if matches!(reply, Reply::Unavailable) && now + 250 * MILLISECOND < p.deadline {
+            p.not_before = now + 200 * MILLISECOND;
+            self.queues[p.priority as usize].push_back(p);
             return None;
         }
-        Some((p.purpose, reply, p.sent))
+        Some((p.purpose, reply, p.sent_at))
     }
 
     pub fn owns(&self, ticket: Ticket) -> bool {
-        self.flying.contains_key(&ticket)
+        self.in_flight.contains_key(&ticket)
     }
 }
 
 fn encode(op: &Op) -> (&'static str, String, Vec<u8>, Micros) {
     let none = Vec::new;
     match op {
-        Op::Get(path) => ("GET", format!("/store/{path}"), none(), CALL_TIME),
+        Op::Get(path) => ("GET", format!("/store/{path}"), none(), CALL_TIMEOUT),
         Op::List {
             prefix,
             after,
@@ -504,7 +526,7 @@
             "GET",
             format!("/store?prefix={prefix}&limit={limit}"),
             none(),
-            CALL_TIME,
+            CALL_TIMEOUT,
         ),
         Op::List {
             prefix,
@@ -514,9 +536,9 @@
             "GET",
             format!("/store?prefix={prefix}&from={after}&limit={limit}"),
             none(),
-            CALL_TIME,
+            CALL_TIMEOUT,
         ),
-        Op::Txn(t) => ("POST", "/txn".to_owned(), t.body(), CALL_TIME),
+        Op::Transaction(t) => ("POST", "/txn".to_owned(), t.body(), CALL_TIMEOUT),
         Op::Watch {
             prefix,
             from,
@@ -525,19 +547,19 @@
             "GET",
             format!(
                 "/watch?prefix={prefix}&from={from}&blockMs={}",
-                block / MILLI
+                block / MILLISECOND
             ),
             none(),
             block + 3 * SECOND,
         ),
-        Op::Grant { ttl } => (
+        Op::GrantLease { ttl } => (
             "POST",
             "/grants".to_owned(),
-            json!({"ttlMs": ttl / MILLI}).to_string().into_bytes(),
-            CALL_TIME,
+            json!({"ttlMs": ttl / MILLISECOND}).to_string().into_bytes(),
+            CALL_TIMEOUT,
         ),
-        Op::Extend(id) => ("POST", format!("/grants/{id}/extend"), none(), SECOND),
-        Op::Drop(id) => ("DELETE", format!("/grants/{id}"), none(), CALL_TIME),
+        Op::RenewLease(id) => ("POST", format!("/grants/{id}/extend"), none(), SECOND),
+        Op::RevokeLease(id) => ("DELETE", format!("/grants/{id}"), none(), CALL_TIMEOUT),
     }
 }
 
@@ -558,23 +580,24 @@
                 items: Vec<Item>,
                 #[serde(default)]
                 truncated: bool,
-                epoch: u64,
+                #[serde(rename = "epoch")]
+                revision: u64,
             }
             match serde_json::from_slice::<Listed>(body) {
                 Ok(l) => Reply::Items {
                     items: l.items,
                     truncated: l.truncated,
-                    epoch: l.epoch,
+                    revision: l.revision,
                 },
                 Err(_) => refused(),
             }
         }
-        (Op::Txn(_), 200) => match parsed()["epoch"].as_u64() {
-            Some(epoch) => Reply::Applied { epoch },
+        (Op::Transaction(_), 200) => match parsed()["epoch"].as_u64() {
+            Some(revision) => Reply::Applied { revision },
             // Applied, but at which revision we don't know: the reader must look again.
             None => Reply::Lost,
         },
-        (Op::Txn(_), 409) => {
+        (Op::Transaction(_), 409) => {
             let failed = parsed()["failed"]
                 .as_array()
                 .map(|a| {
@@ -591,11 +614,13 @@
                 set: Option<String>,
                 delete: Option<String>,
                 value: Option<Raw>,
-                stamp: u64,
+                #[serde(rename = "stamp")]
+                mod_revision: u64,
             }
             #[derive(Deserialize)]
             struct Watched {
-                epoch: u64,
+                #[serde(rename = "epoch")]
+                revision: u64,
                 #[serde(default)]
                 events: Vec<Told>,
             }
@@ -607,24 +632,24 @@
                     (Some(path), _) => (path, Some(e.value.unwrap_or_else(|| raw(&())))),
                     (None, path) => (path?, None),
                 };
-                Some(Event {
+                Some(WatchEvent {
                     path,
                     value,
-                    stamp: e.stamp,
+                    mod_revision: e.mod_revision,
                 })
             };
             Reply::Events {
-                epoch: watched.epoch,
+                revision: watched.revision,
                 events: watched.events.into_iter().filter_map(event).collect(),
             }
         }
         (Op::Watch { .. }, 410) => Reply::TooOld,
-        (Op::Grant { .. }, 200) => match parsed()["permit"].as_u64() {
-            Some(permit) => Reply::Granted { permit },
+        (Op::GrantLease { .. }, 200) => match parsed()["permit"].as_u64() {
+            Some(lease_id) => Reply::Granted { lease_id },
             None => refused(),
         },
-        (Op::Extend(_) | Op::Drop(_), 200..=299) => Reply::Done,
-        (Op::Extend(_) | Op::Drop(_), 404) => Reply::Absent,
+        (Op::RenewLease(_) | Op::RevokeLease(_), 200..=299) => Reply::Done,
+        (Op::RenewLease(_) | Op::RevokeLease(_), 404) => Reply::Absent,
         _ => refused(),
     }
 }
@@ -638,31 +663,37 @@
     #[test]
     fn users_that_never_cease_do_not_keep_a_leader_from_writing() {
         let addr = "10.2.0.1:2379".parse().expect("an address");
-        let mut store: Store<&'static str> = Store::new(addr, 70.0, 25.0, 3);
+        let mut store: StateClient<&'static str> = StateClient::new(addr, 70.0, 25.0, 3);
         store.set_leading(true);
         let write = |changes: usize| {
-            let txn = (0..changes).fold(Txn::default(), |t, n| t.set(format!("k/{n}"), &n));
-            Op::Txn(txn)
+            let txn = (0..changes).fold(Transaction::default(), |t, n| t.set(format!("k/{n}"), &n));
+            Op::Transaction(txn)
         };
         let (mut tickets, mut sent) = (0, Vec::new());
         let mut by_leader = 0;
         for n in 0..500 {
-            let now = SECOND + n * 20 * MILLI;
-            store.ask(now, "user", Rank::User, write(2), 200 * MILLI);
-            if store.waiting(Rank::Leader) == 0 {
-                store.ask(now, "leader", Rank::Leader, write(12), SECOND);
+            let now = SECOND + n * 20 * MILLISECOND;
+            store.submit(
+                now,
+                "user",
+                RequestPriority::Client,
+                write(2),
+                200 * MILLISECOND,
+            );
+            if store.queued(RequestPriority::Leader) == 0 {
+                store.submit(now, "leader", RequestPriority::Leader, write(12), SECOND);
             }
             let mut out = Vec::new();
-            store.pump(now, &mut tickets, &mut out);
+            store.send_queued(now, &mut tickets, &mut out);
             for o in out {
                 let Output::Call { ticket, .. } = o else {
                     continue;
                 };
-                let epoch = Outcome::Reply {
+                let revision = Outcome::Reply {
                     status: 200,
                     body: br#"{"epoch": 7}"#.to_vec(),
                 };
-                let answered = store.answer(now, ticket, &epoch);
+                let answered = store.handle_outcome(now, ticket, &revision);
                 let (who, _, _) = answered.expect("an answer");
                 by_leader += usize::from(who == "leader");
                 sent.push(who);
