--- a/benches/actors.rs
+++ b/benches/actors.rs
@@ -3,12 +3,14 @@
 //! `cargo bench --bench actors`; docs/results.md holds the figures and the growth read from them.
 
 use dewramp::clock::{Micros, SECOND};
-use dewramp::jobs::{JobRecord, JobTable};
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::JobTable;
 use dewramp::scheduler::Scheduler;
 use dewramp::schema::{SCHEMA_VERSION, Schema};
 use dewramp::settings::{Properties, Settings};
+use dewramp::task_id::TaskId;
 use dewramp::wire::{Heartbeat, HeartbeatRow, HeartbeatSummary, JobSpec, MachineType};
-use dewramp::worker_ledger::{TaskId, WorkerLedger};
+use dewramp::worker_ledger::WorkerLedger;
 use divan::{Bencher, black_box};
 use serde_json::json;
 use std::sync::Arc;
--- a/crates/drill/src/controller.rs
+++ b/crates/drill/src/controller.rs
@@ -9,7 +9,7 @@
 use dewramp::controller::Controller;
 use dewramp::input_queue::InputQueue;
 use dewramp::load_shedding::LoadMonitor;
-use dewramp::net::{Input, Outcome, Output};
+use dewramp::messages::{Input, Outcome, Output};
 use dewramp::seeded_hash::HashSet;
 use dewramp::settings::{Properties, Settings};
 use dewramp::wire::{HEALTH_PATH, HEARTBEAT_PATH};
--- a/crates/drill/src/world.rs
+++ b/crates/drill/src/world.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 use crate::tamper::Tamper;
 use crate::users::{Step, Users};
-use dewramp::net::{Input, Outcome as Reply, Output, Ticket};
+use dewramp::messages::{Input, Outcome as Reply, Output, Ticket};
 use dewramp::seeded_hash::HashMap;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::net::{Outcome, Output, Ticket};
+use crate::messages::{Outcome, Output, Ticket};
 use crate::seeded_hash::HashMap;
 use crate::wire::{ListedMachine, MachineList, MachineType, MachineTypes};
 use serde_json::{Value, json};
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -24,12 +24,13 @@
 use crate::election::{Election, ElectionStep, LEADER_KEY, LeadershipChange};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
-use crate::jobs::{
-    FinalCache, FinalState, Job, JobRecord, JobTable, LIVE_PREFIX, Progress, STOPPING_PREFIX,
-    TaskEnding, final_body, finished_key, live_body, live_key, stopping_key,
+use crate::job_record::{
+    FinalState, JobRecord, LIVE_PREFIX, STOPPING_PREFIX, TaskEnding, final_body, finished_key,
+    live_body, live_key, stopping_key,
 };
+use crate::jobs::{FinalCache, Job, JobTable, Progress};
 use crate::load_shedding::{LoadMonitor, ShedLevel};
-use crate::net::{ConnId, Input, Outcome, Output, Ticket};
+use crate::messages::{ConnId, Input, Outcome, Output, Ticket};
 use crate::reconciliation::Reconciliation;
 use crate::registry::{MachineRegistry, RegistryRequest, WriteResult};
 use crate::replica::{Checksum, Replica, ReplicaRead};
@@ -42,12 +43,13 @@
 use crate::seeded_hash::HashMap;
 use crate::settings::{Peer, Properties, Settings};
 use crate::state_client::{Item, Op, Reply, RequestPriority, StateClient, Transaction, raw};
+use crate::task_id::TaskId;
 use crate::wire::{
     Heartbeat, JobSpec, KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST,
     KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER,
     KIND_PROBE_WORKERS, KIND_PROGRESS, Priority, ProgressRow, valid_uid,
 };
-use crate::worker_ledger::{TaskEvent, TaskEventKind, TaskId, TaskState, WorkerLedger};
+use crate::worker_ledger::{TaskEvent, TaskEventKind, TaskState, WorkerLedger};
 use crate::worker_probe::WorkerProbe;
 use api::fits_value_limit;
 use rangemap::RangeSet;
@@ -1114,4 +1116,4 @@
     }
 }
 
-const FINISHED_PREFIX: &str = crate::jobs::FINISHED_PREFIX;
+const FINISHED_PREFIX: &str = crate::job_record::FINISHED_PREFIX;
--- a/src/heartbeat_batch.rs
+++ b/src/heartbeat_batch.rs
@@ -3,7 +3,7 @@
 //! their answer; decides nothing, and knows nothing that the leader does not check again.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::net::{ConnId, Outcome, Ticket};
+use crate::messages::{ConnId, Outcome, Ticket};
 use crate::seeded_hash::HashMap;
 use crate::wire::{AnswerRow, HeartbeatRow, HeartbeatSummary, SEND_FULL_HEARTBEAT};
 
--- a/src/input_queue.rs
+++ b/src/input_queue.rs
@@ -2,7 +2,7 @@
 //! for it. Owns the inputs that wait; knows nothing of sockets.
 
 use crate::clock::{MILLISECOND, Micros};
-use crate::net::Input;
+use crate::messages::Input;
 use crate::wire::{
     HEALTH_PATH, HEARTBEAT_PATH, KIND_CLIENT_REQUEST, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH,
 };
--- a/src/net.rs
+++ b/src/net.rs
@@ -7,6 +7,7 @@
 use crate::clock::{Micros, SECOND};
 use crate::input_queue::InputQueue;
 use crate::load_shedding::ShedLevel;
+use crate::messages::{ConnId, Dest, Input, Outcome, Output, Ticket};
 use crate::request_starvation::RequestStarvation;
 use crate::seeded_hash::HashMap;
 use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, MAX_BODY};
@@ -20,93 +21,6 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-pub type ConnId = u64;
-pub type Ticket = u64;
-
-/// How a call to another system ended.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
-    /// It never left: no connection came about. Such an attempt does not complete later.
-    NotSent,
-    /// It never left, since nobody listens there or something on the way says so: the process has ended,
-    /// has no free socket, or a filter stands between. A host that is gone or cut off says nothing.
-    Refused,
-    /// No answer; it may have been executed, or may still be, minutes later.
-    Lost,
-    Reply {
-        status: u16,
-        body: Vec<u8>,
-    },
-}
-
-impl Outcome {
-    /// Whether it surely never left.
-    pub fn not_sent(&self) -> bool {
-        matches!(self, Outcome::NotSent | Outcome::Refused)
-    }
-}
-
-/// Where a call goes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Dest {
-    Http(SocketAddr),
-    Peer(SocketAddr),
-}
-
-#[derive(Debug)]
-pub enum Input {
-    Request {
-        conn: ConnId,
-        method: String,
-        path: String,
-        body: Vec<u8>,
-    },
-    /// From another controller; answered by ticket on the same connection.
-    PeerRequest {
-        conn: ConnId,
-        ticket: Ticket,
-        kind: u16,
-        patience: Micros,
-        addr: String,
-        body: Vec<u8>,
-    },
-    Outcome {
-        ticket: Ticket,
-        outcome: Outcome,
-    },
-}
-
-#[derive(Debug)]
-pub enum Output {
-    Respond {
-        conn: ConnId,
-        status: u16,
-        body: Vec<u8>,
-        retry_after: Option<u32>,
-    },
-    PeerRespond {
-        conn: ConnId,
-        ticket: Ticket,
-        outcome: Outcome,
-    },
-    Call {
-        ticket: Ticket,
-        dest: SocketAddr,
-        method: &'static str,
-        path: String,
-        body: Vec<u8>,
-        timeout: Micros,
-    },
-    PeerCall {
-        ticket: Ticket,
-        dest: SocketAddr,
-        kind: u16,
-        addr: String,
-        body: Vec<u8>,
-        timeout: Micros,
-    },
-}
-
 /// Largest response taken from another system; a watch's answer has no limit of its own.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
 const HTTP_HEAD_BYTES_MAX: usize = 16 * 1024;
--- a/src/reconciliation.rs
+++ b/src/reconciliation.rs
@@ -9,7 +9,7 @@
 //! experience what comes free without that.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, to_secs};
-use crate::worker_ledger::TaskId;
+use crate::task_id::TaskId;
 use serde::Serialize;
 
 /// Of the machines on the roll, the share whose silence could still change what is decided.
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -5,7 +5,7 @@
 //! Pure: `wants` says what to ask, `page` and `apply` take what was answered. Nothing is decided on a
 //! copy that is not whole; what proves it is the store's own answer, see `docs/standby.md`.
 
-use crate::jobs::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX};
+use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX};
 use crate::registry::REGISTRY_PREFIX;
 use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY};
 use crate::state_client::{Item, WatchEvent};
@@ -350,7 +350,7 @@
         let Some((uid, head)) = self.live.iter_mut().min_by_key(|l| l.1.mod_revision) else {
             return false;
         };
-        let (path, old) = (crate::jobs::live_key(uid), head.mod_revision);
+        let (path, old) = (crate::job_record::live_key(uid), head.mod_revision);
         head.mod_revision += 1;
         self.toggle(&path, old);
         self.toggle(&path, old + 1);
--- a/src/schema.rs
+++ b/src/schema.rs
@@ -12,7 +12,7 @@
 pub mod version_1;
 
 use crate::clock::Micros;
-use crate::jobs::{JobRecord, TaskEnding};
+use crate::job_record::{JobRecord, TaskEnding};
 use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
--- a/src/schema/version_1.rs
+++ b/src/schema/version_1.rs
@@ -3,7 +3,7 @@
 //! under it any more.
 
 use crate::clock::Micros;
-use crate::jobs::{JobRecord, TaskEnding};
+use crate::job_record::{JobRecord, TaskEnding};
 use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -2,7 +2,7 @@
 //! repeats what surely was not executed, and never repeats what may have been.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::net::{Outcome, Output, Ticket};
+use crate::messages::{Outcome, Output, Ticket};
 use crate::seeded_hash::HashMap;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -11,10 +11,11 @@
 use crate::accounting::StopReason;
 use crate::clock::{MILLISECOND, Micros, Now, SECOND, drift_upper_bound, from_secs};
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::net::{Outcome, Output, Ticket};
+use crate::messages::{Outcome, Output, Ticket};
 use crate::reconciliation::{ReconciliationCounts, ReportedState};
 use crate::schema::is_storable_name;
 use crate::seeded_hash::{HashMap, HashSet};
+use crate::task_id::{JobDirectory, TaskId};
 use crate::wire::{Command, Commands, Heartbeat, JobSpec};
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -44,13 +45,6 @@
     term << FENCE_COUNTER_BITS
 }
 
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TaskId {
-    /// Number of the job within this leader's term.
-    pub job: u32,
-    pub index: u32,
-}
-
 /// Why an attempt is surely not there any more, as far as its end was a loss.
 pub const LEASE_EXPIRED: &str = "the worker's lease ran out";
 pub const MACHINE_GONE: &str = "its machine is gone";
@@ -85,16 +79,6 @@
     },
 }
 
-/// How a reported task relates to the jobs; asked of the job table.
-pub trait JobDirectory {
-    /// The job's number and description, when it is live or being cancelled.
-    fn find(&self, uid: &str) -> Option<(u32, Arc<JobSpec>)>;
-    /// Whether its user has cancelled it, so that nothing of it may stay.
-    fn is_cancelled(&self, job: u32) -> bool;
-    /// A new number for a job that is over or unknown, so that its tasks can be tracked.
-    fn number_unknown_job(&mut self, uid: &str) -> u32;
-}
-
 pub struct WorkerLedger {
     term: u64,
     elected_at: Micros,
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -3,7 +3,7 @@
 //! it knows of those workers, a hint: a token that is not the highest does nothing at the worker.
 
 use crate::clock::{MILLISECOND, Micros};
-use crate::net::{Output, Ticket};
+use crate::messages::{Output, Ticket};
 use crate::seeded_hash::{HashMap, HashSet};
 use crate::wire::{Commands, ProbeRow, heartbeat_address, heartbeat_head, reports_no_tasks};
 use std::net::SocketAddr;
--- a/tests/suite/copies.rs
+++ b/tests/suite/copies.rs
@@ -2,9 +2,11 @@
 
 use crate::world::{World, job};
 use dewramp::clock::SECOND;
-use dewramp::jobs::{JobRecord, JobTable};
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::JobTable;
+use dewramp::task_id::TaskId;
 use dewramp::wire::{Heartbeat, JobSpec};
-use dewramp::worker_ledger::{TaskId, TaskState, WorkerLedger};
+use dewramp::worker_ledger::{TaskState, WorkerLedger};
 use serde_json::{Value, json};
 use std::sync::Arc;
 
--- a/tests/suite/load.rs
+++ b/tests/suite/load.rs
@@ -5,12 +5,14 @@
 use dewramp::capacity::ClusterCapacity;
 use dewramp::clock::{MILLISECOND, SECOND};
 use dewramp::heartbeat_batch::{HeartbeatAnswer, HeartbeatBatch};
-use dewramp::jobs::{JobRecord, JobTable};
-use dewramp::net::Outcome;
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::JobTable;
+use dewramp::messages::Outcome;
+use dewramp::task_id::TaskId;
 use dewramp::wire::{
     AnswerRow, Heartbeat, HeartbeatRow, HeartbeatSummary, JobSpec, MachineType, SEND_FULL_HEARTBEAT,
 };
-use dewramp::worker_ledger::{RepeatOutcome, TaskId, WorkerLedger};
+use dewramp::worker_ledger::{RepeatOutcome, WorkerLedger};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use zerocopy::{FromBytes, IntoBytes};
--- a/tests/suite/meetings.rs
+++ b/tests/suite/meetings.rs
@@ -3,7 +3,7 @@
 use crate::world::World;
 use dewramp::cancellation_freshness::{self, CancellationFreshness};
 use dewramp::clock::{Micros, Now, SECOND};
-use dewramp::net::Input;
+use dewramp::messages::Input;
 use dewramp::registry::{MachineRegistry, RegistryRequest, WriteResult};
 use dewramp::schema::Schema;
 use dewramp::wire::KIND_CANCELLED;
@@ -489,7 +489,8 @@
     w.slow = None;
     let delayed = std::mem::take(&mut w.delayed);
     for (node, ticket, _) in delayed {
-        w.delayed.push((node, ticket, dewramp::net::Outcome::Lost));
+        w.delayed
+            .push((node, ticket, dewramp::messages::Outcome::Lost));
     }
     w.deliver();
     w.run(2.0);
--- a/tests/suite/pipelines.rs
+++ b/tests/suite/pipelines.rs
@@ -3,7 +3,8 @@
 use crate::world::{self, World};
 use dewramp::clock::SECOND;
 use dewramp::dependency_graph::{DependencyGraph, latest_start};
-use dewramp::jobs::{JobRecord, JobTable};
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::JobTable;
 use dewramp::wire::{JobSpec, Priority};
 use serde_json::{Value, json};
 
--- a/tests/suite/rules.rs
+++ b/tests/suite/rules.rs
@@ -2,10 +2,12 @@
 
 use crate::world::{self, World};
 use dewramp::clock::SECOND;
-use dewramp::jobs::{JobRecord, JobTable};
-use dewramp::net::{Outcome, Output};
+use dewramp::job_record::JobRecord;
+use dewramp::jobs::JobTable;
+use dewramp::messages::{Outcome, Output};
+use dewramp::task_id::TaskId;
 use dewramp::wire::{Heartbeat, JobSpec};
-use dewramp::worker_ledger::{TaskEvent, TaskEventKind, TaskId, WorkerLedger};
+use dewramp::worker_ledger::{TaskEvent, TaskEventKind, WorkerLedger};
 use serde_json::{Value, json};
 use std::sync::Arc;
 
--- a/tests/suite/sockets.rs
+++ b/tests/suite/sockets.rs
@@ -3,7 +3,8 @@
 use calloop::EventLoop;
 use dewramp::clock::SECOND;
 use dewramp::load_shedding::ShedLevel;
-use dewramp::net::{Input, Net, Outcome, Output};
+use dewramp::messages::{Input, Outcome, Output};
+use dewramp::net::Net;
 use dewramp::request_starvation::STARVED_AFTER;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/tests/suite/upgrade.rs
+++ b/tests/suite/upgrade.rs
@@ -7,7 +7,7 @@
 
 use crate::world::{NEXT_LIMITS, SETTINGS, World, with_next_limits};
 use dewramp::clock::SECOND;
-use dewramp::jobs::{JobRecord, TaskEnding};
+use dewramp::job_record::{JobRecord, TaskEnding};
 use dewramp::schema::{self, SCHEMA_VERSION, Schema, version_1};
 use dewramp::state_client::raw;
 use dewramp::wire::*;
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -9,7 +9,7 @@
 use dewramp::controller::Controller;
 use dewramp::input_queue::InputQueue;
 use dewramp::load_shedding::LoadMonitor;
-use dewramp::net::{ConnId, Input, Outcome, Output, Ticket};
+use dewramp::messages::{ConnId, Input, Outcome, Output, Ticket};
 use dewramp::seeded_hash::HashMap;
 use dewramp::settings::Properties;
 use dewramp::wire::KIND_CANCELLED;
--- a/tests/suite/world/worker.rs
+++ b/tests/suite/world/worker.rs
@@ -2,7 +2,7 @@
 
 use super::reply;
 use dewramp::clock::Micros;
-use dewramp::net::Outcome;
+use dewramp::messages::Outcome;
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
