--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -1,229 +1,236 @@
-//! Jobs of which nothing has begun for long: the first task of each goes before all other work, and where none fits
-//! a machine is kept for it while it drains by itself. Groups start whole, so nothing here is for them.
+//! Aging: guards jobs against starvation. The first task of a job that has waited too long is placed
+//! before all other work, and where it fits nowhere a machine is reserved for it while the running
+//! tasks end by themselves.
+//!
+//! Never preempts, and never exceeds a quota. Gangs start whole, so nothing here is for them.
 
-use super::*;
+use super::Scheduler;
+use super::booking::{Placement, plan_tasks};
+use super::context::PassContext;
+use super::job_order::{QueuedJob, Tier};
+use super::ranking::{ImagePreference, MachineQuery, is_allowed};
+use super::reservation::{AgedReservation, RESERVATION_TTL, Reservation, ReservedFor};
+use super::unplaceable::{UnplaceableSizes, accepts_any_machine};
+use crate::capacity::Resources;
+use crate::clock::{Micros, SECOND};
+use crate::jobs::{Job, JobTable};
+use crate::wire::{JobKind, JobSpec, MachineType};
+use crate::worker_ledger::{Machine, WorkerLedger};
+use std::sync::Arc;
 
-/// Each job has to begin within that time (PROTOCOL, and the operators' letter on the largest jobs).
+/// Each job has to begin within that time (PROTOCOL, and the operators' requirement on the largest
+/// jobs).
 const FIRST_START_DEADLINE: Micros = 240 * SECOND;
-/// A start counts when no command stops the task within 30 s (PROTOCOL): a first task that was begun for its
-/// job's age is not stopped for others before.
+/// A job is aged when it has waited for this long: half of the time within which it must begin.
+const AGED_AFTER: Micros = FIRST_START_DEADLINE / 2;
+/// A start counts when no command stops the task within 30 s (PROTOCOL): the first task of an aged
+/// job is not preempted before.
 pub(super) const FIRST_TASK_PROTECTED_FOR: Micros = 32 * SECOND;
-/// Of one that has not begun by then nothing more is known here.
+/// A first task is protected no longer than this after it was planned, even if it never ran.
 const FIRST_TASK_FORGOTTEN_AFTER: Micros = 180 * SECOND;
-/// Above all tiers: stands for a machine that is kept. What may have work stopped for itself may so there too, and then
-/// has the room.
-pub(super) const AGED_RESERVATION_TIER: u8 = u8::MAX;
-/// At most that part of the machines, and one, is kept at a time.
+/// At most the machines divided by this, and always one, are reserved at a time.
 const AGED_RESERVATIONS_DIVISOR: usize = 32;
 
-/// A machine that takes no more work, until a task of the job fits.
-#[derive(Clone, Debug)]
-pub(super) struct ReservedMachine {
-    machine: Arc<str>,
-    /// When enough of what runs there should have ended; reckoned once, so that what fills the time till then can't
-    /// put it off.
-    ready_at: Micros,
+/// A job of which nothing has begun for too long. The order of the fields is that of service: the
+/// oldest first.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AgedJob {
+    waiting_since: Micros,
+    number: u32,
+    tier: Tier,
 }
 
 impl Scheduler {
-    /// Jobs of which nothing has begun for half of the time within which each has to: the first task of each
-    /// goes before all other work, the oldest first. Served by what is gained for the work left alone, the
-    /// largest of the lowest class wait for as long as smaller ones come. One task of each costs the others
-    /// little; the rest of it waits for its turn as before.
+    /// Places the first task of each aged job before all other work, the oldest job first. Served
+    /// only by what is gained for the work left, the largest jobs of the lowest class would wait for
+    /// as long as smaller ones come. One task of each costs the others little; the rest of the job
+    /// waits for its turn as before.
     pub(super) fn place_aged_jobs(
         &mut self,
-        now: Micros,
-        wall: Micros,
-        order: &[(u32, u8)],
+        pass: &PassContext,
+        queue: &[QueuedJob],
         table: &mut JobTable,
         workers: &mut WorkerLedger,
-        (settings, types): (&Settings, &[MachineType]),
     ) -> Vec<Placement> {
-        let waits = |j: &Job| {
-            j.spec.kind != JobKind::Gang
-                && j.placements.is_empty()
-                && j.done.is_empty()
-                && !j.is_suspect()
-                && wall >= j.waiting_since() + FIRST_START_DEADLINE / 2
-        };
-        let elders = order.iter().filter_map(|(number, tier)| {
-            let job = table.by_number.get(number).filter(|j| waits(j))?;
-            Some((job.waiting_since(), *number, *tier))
-        });
-        let mut elders: Vec<_> = elders.collect();
-        elders.sort_unstable();
-        // Of a job that has begun, or is over, nothing is kept any more.
-        let begun = self.aged_reservations.keys().copied();
-        let begun = begun.filter(|number| !elders.iter().any(|e| e.1 == *number));
-        for number in begun.collect::<Vec<_>>() {
-            self.release_machine(number);
-        }
-        let silence = silence_limit(settings);
+        let now = pass.now.steady;
+        let aged_jobs = aged_jobs(pass.now.wall, queue, table);
+        self.release_begun_jobs(&aged_jobs);
         let mut placed = Vec::new();
-        let mut dead = UnplaceableSizes::default();
-        for (_, number, tier) in elders {
+        let mut unplaceable = UnplaceableSizes::default();
+        for AgedJob { number, tier, .. } in aged_jobs {
             let Some(job) = table.by_number.get_mut(&number) else {
                 continue;
             };
             let spec = job.spec.clone();
-            let full = !Self::within_quota(settings, self.capacity.team_usage(&spec.team), &spec);
-            if full || dead.covers(&spec) {
-                // What its team may not use keeps nobody else from it.
-                self.release_machine(number);
+            if !self.is_within_quota(pass.settings, &spec) || unplaceable.covers(&spec) {
+                // Capacity that its team may not use is not withheld from others.
+                self.release_aged_reservation(number);
                 continue;
             }
-            let look = MachineQuery {
-                now,
+            let query = MachineQuery {
                 tier,
-                silence_limit: silence,
                 zone: None,
-                image_filter: ImageFilter::CachedFirst,
+                image_preference: ImagePreference::CachedFirst,
             };
             job.trial_tasks = Some(1);
-            let found = self.find_machines(job, &look, workers, settings);
+            let bookings = self.find_machines(pass, job, &query, workers);
             job.trial_tasks = None;
-            if found.is_empty() {
-                self.reserve_machine(&look, job, workers, types);
+            if bookings.is_empty() {
+                self.renew_aged_reservation(pass, job, workers);
                 if accepts_any_machine(&spec) && job.startable_tasks(&self.schema) > 0 {
-                    dead.add(&spec);
+                    unplaceable.add(&spec);
                 }
             } else {
-                self.release_machine(number);
+                self.release_aged_reservation(number);
             }
-            placed.extend(plan_tasks(now, job, found, None, workers));
+            placed.extend(plan_tasks(now, job, bookings, None, workers));
         }
         self.aged_first_tasks
-            .retain(|_, at| now < *at + FIRST_TASK_FORGOTTEN_AFTER);
+            .retain(|_, planned_at| now < *planned_at + FIRST_TASK_FORGOTTEN_AFTER);
         self.aged_first_tasks
-            .extend(placed.iter().map(|p| (p.key, now)));
+            .extend(placed.iter().map(|placement| (placement.key, now)));
         placed
     }
 
-    fn release_machine(&mut self, number: u32) {
-        if let Some(k) = self.aged_reservations.remove(&number)
+    /// Drops the reservations of jobs that have begun or are over.
+    fn release_begun_jobs(&mut self, aged_jobs: &[AgedJob]) {
+        let is_aged = |number: &u32| aged_jobs.iter().any(|aged| aged.number == *number);
+        let reserved = self.aged_reservations.keys().copied();
+        let begun: Vec<u32> = reserved.filter(|number| !is_aged(number)).collect();
+        for number in begun {
+            self.release_aged_reservation(number);
+        }
+    }
+
+    /// Drops the reservation of an aged job, if it has one.
+    fn release_aged_reservation(&mut self, number: u32) {
+        if let Some(aged) = self.aged_reservations.remove(&number)
             && self
                 .reservations
-                .get(&k.machine)
-                .is_some_and(|c| c.tier == AGED_RESERVATION_TIER)
+                .get(&aged.machine)
+                .is_some_and(|reservation| reservation.reserved_for == ReservedFor::AgedJob)
         {
-            self.reservations.remove(&k.machine);
+            self.reservations.remove(&aged.machine);
         }
     }
 
-    /// Keeps the machine on which a task of the job should fit the soonest, and goes on keeping it. Without it what
-    /// comes free is taken in small parts by whatever is small, and a task that needs most of a machine never fits.
-    /// Nothing is stopped for it, and it is of no quota: a leader that ends leaves nothing of it.
-    fn reserve_machine(
-        &mut self,
-        look: &MachineQuery,
-        job: &Job,
-        workers: &WorkerLedger,
-        types: &[MachineType],
-    ) {
-        let now = look.now;
-        let fit = |m: &Machine| m.is_usable(now, look.silence_limit) && is_allowed(job, m, workers);
-        if let Some(k) = self.aged_reservations.get(&job.number) {
-            let claimed = self
+    /// Reserves the machine on which a task of the job should fit the soonest, and from then on
+    /// renews that reservation. Without it, what comes free is taken in small parts by whatever is
+    /// small, and a task that needs most of a machine never fits. Nothing is preempted for it and it
+    /// counts towards no quota: a leader that ends leaves nothing of it.
+    fn renew_aged_reservation(&mut self, pass: &PassContext, job: &Job, workers: &WorkerLedger) {
+        let now = pass.now.steady;
+        let may_serve = |machine: &Machine| {
+            machine.is_usable(now, pass.silence_limit) && is_allowed(job, machine, workers)
+        };
+        if let Some(aged) = self.aged_reservations.get(&job.number) {
+            let is_taken = self
                 .reservations
-                .get(&k.machine)
-                .is_some_and(|c| c.tier != AGED_RESERVATION_TIER);
-            if !claimed && workers.machines.get(&k.machine).is_some_and(fit) {
-                return self.reserve(k.machine.clone(), k.ready_at, now);
+                .get(&aged.machine)
+                .is_some_and(|reservation| reservation.reserved_for != ReservedFor::AgedJob);
+            let machine = workers.machines.get(&aged.machine);
+            if !is_taken && machine.is_some_and(may_serve) {
+                return self.reserve_for_aged(aged.machine.clone(), aged.ready_at, now);
             }
-            self.release_machine(job.number);
+            self.release_aged_reservation(job.number);
         }
-        if self.aged_reservations.len()
-            >= (workers.machines.len() / AGED_RESERVATIONS_DIVISOR).max(1)
-        {
+        let reservations_max = (workers.machines.len() / AGED_RESERVATIONS_DIVISOR).max(1);
+        if self.aged_reservations.len() >= reservations_max {
             return;
         }
-        let free = |id: &Arc<str>| !self.reservations.contains_key(id);
+        let is_unreserved = |machine: &Machine| !self.reservations.contains_key(&machine.id);
         let machines = workers.machines.values();
         let soonest = machines
-            .filter(|m| free(&m.id) && fit(m))
-            .filter_map(|m| Some((self.machine_ready_at(now, &job.spec, m, types)?, &m.id)))
+            .filter(|machine| is_unreserved(machine) && may_serve(machine))
+            .filter_map(|machine| {
+                let ready_at = self.machine_ready_at(now, &job.spec, machine, pass.types)?;
+                Some((ready_at, &machine.id))
+            })
             .min();
-        let Some((ready, machine)) = soonest else {
+        let Some((ready_at, machine)) = soonest else {
             return;
         };
         log::info!(
-            "{machine} is kept for job {}, of which nothing has begun for long",
+            "reserving machine for a job that has waited too long machine={machine} job={}",
             job.spec.uid
         );
         let machine = machine.clone();
-        self.reserve(machine.clone(), ready, now);
-        self.aged_reservations.insert(
-            job.number,
-            ReservedMachine {
-                machine,
-                ready_at: ready,
-            },
-        );
+        self.reserve_for_aged(machine.clone(), ready_at, now);
+        self.aged_reservations
+            .insert(job.number, AgedReservation { machine, ready_at });
     }
 
-    fn reserve(&mut self, machine: Arc<str>, ready: Micros, now: Micros) {
-        let claim = Reservation {
-            tier: AGED_RESERVATION_TIER,
-            until: now + RESERVATION_TTL,
-            backfill_until: ready,
+    fn reserve_for_aged(&mut self, machine: Arc<str>, ready_at: Micros, now: Micros) {
+        let reservation = Reservation {
+            reserved_for: ReservedFor::AgedJob,
+            expires_at: now + RESERVATION_TTL,
+            backfill_until: ready_at,
         };
-        self.reservations.insert(machine, claim);
+        self.reservations.insert(machine, reservation);
     }
 
-    /// When a task should fit on the machine, if what runs there ends as expected and nothing more comes; None
-    /// where it never does.
+    /// When a task should fit on the machine, if what runs there ends as expected and nothing more
+    /// comes; None where it never does.
     fn machine_ready_at(
         &self,
         now: Micros,
         spec: &JobSpec,
-        m: &Machine,
+        machine: &Machine,
         types: &[MachineType],
     ) -> Option<Micros> {
-        let mut room = types
+        let mut free = types
             .iter()
-            .find(|t| t.name == m.machine_type)
+            .find(|machine_type| machine_type.name == machine.machine_type)
             .map(Resources::of)?;
-        if !room.fits(spec) {
+        if !free.fits(spec) {
             return None;
         }
         let mut ends = Vec::new();
-        for (_, e) in m.held_tasks() {
-            let s = e.spec.as_ref()?;
-            room.subtract(s);
-            let run = self.expected_run(s);
-            // What has run for longer than expected may run for as long again as it was to.
-            let left = match e.running_since {
+        for (_, entry) in machine.held_tasks() {
+            let held = entry.spec.as_ref()?;
+            free.subtract(held);
+            let run = self.expected_run(held);
+            // What has run for longer than expected is taken to run for half as long again.
+            let left = match entry.running_since {
                 Some(since) if now < since + run => since + run - now,
                 Some(_) => run / 2,
                 None => run,
             };
-            ends.push((now + left, s));
+            ends.push((now + left, held));
         }
-        ends.sort_by_key(|e| e.0);
-        let mut at = now;
-        for (end, s) in ends {
-            if room.fits(spec) {
+        ends.sort_by_key(|(end, _)| *end);
+        let mut ready_at = now;
+        for (end, held) in ends {
+            if free.fits(spec) {
                 break;
             }
-            room.add(s);
-            at = end;
+            free.add(held);
+            ready_at = end;
         }
-        room.fits(spec).then_some(at)
+        free.fits(spec).then_some(ready_at)
     }
+}
 
-    /// Whether room on a machine is kept from this work: for a higher tier or for a job that waited for long, unless
-    /// it ends before that needs the room.
-    pub(super) fn is_reserved_from(&self, id: &Arc<str>, look: &MachineQuery, job: &Job) -> bool {
-        self.reservations.get(id).is_some_and(|c| {
-            let own = || {
-                self.aged_reservations
-                    .get(&job.number)
-                    .is_some_and(|k| k.machine == *id)
-            };
-            let ends = look.now + self.expected_run(&job.spec);
-            look.tier < c.tier
-                && ends > c.backfill_until
-                && !(c.tier == AGED_RESERVATION_TIER && own())
+/// The jobs of which nothing has begun for too long, the oldest first.
+fn aged_jobs(wall: Micros, queue: &[QueuedJob], table: &JobTable) -> Vec<AgedJob> {
+    let is_aged = |job: &Job| {
+        job.spec.kind != JobKind::Gang
+            && job.placements.is_empty()
+            && job.done.is_empty()
+            && !job.is_suspect()
+            && wall >= job.waiting_since() + AGED_AFTER
+    };
+    let mut aged: Vec<AgedJob> = queue
+        .iter()
+        .filter_map(|queued| {
+            let job = table.by_number.get(&queued.number)?;
+            is_aged(job).then(|| AgedJob {
+                waiting_since: job.waiting_since(),
+                number: queued.number,
+                tier: queued.tier,
+            })
         })
-    }
+        .collect();
+    aged.sort_unstable();
+    aged
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,6 +1,16 @@
 //! What the waiting work would fill beyond what is there or booting.
 
-use super::*;
+use super::Scheduler;
+use super::feasibility::is_type_allowed;
+use super::unplaceable::UnplaceableSizes;
+use crate::capacity::{EPSILON, Resources, Usage, free_resources};
+use crate::clock::{Micros, SECOND};
+use crate::jobs::JobTable;
+use crate::seeded_hash::HashMap;
+use crate::settings::Settings;
+use crate::wire::{JobSpec, MachineType};
+use crate::worker_ledger::WorkerLedger;
+use std::sync::Arc;
 
 /// Work that finds no room on what is there or booting.
 pub struct Demand {
--- /dev/null
+++ b/src/scheduler/job_order.rs
@@ -0,0 +1,156 @@
+//! The order in which jobs are served: by tier first, then by the fairness weight of the paper and
+//! by what is gained for the work left.
+//!
+//! Reads the job table and decides nothing else: the order says who is asked first, never which
+//! machine a task gets.
+
+use super::context::PassContext;
+use super::pheromone::eta;
+use super::{Scheduler, objectives::Urgency};
+use crate::capacity::EPSILON;
+use crate::clock::Micros;
+use crate::jobs::{Job, JobTable};
+use crate::seeded_hash::{HashMap, HashSet};
+use crate::settings::Settings;
+use crate::wire::Priority;
+
+/// The class of service of a job, from the lowest to the highest. A higher tier is always served
+/// first, and only tasks of a lower tier are preempted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) enum Tier {
+    /// Normal and low priority without an objective that can still be met.
+    BestEffort,
+    /// Low priority with an objective that can still be met.
+    Low,
+    /// Normal priority with an objective that can still be met. The lowest tier that may preempt.
+    Normal,
+    /// Within the guaranteed cores of the job's team.
+    Guaranteed,
+    /// High priority.
+    High,
+    /// Production priority.
+    Production,
+}
+
+/// A job that has a task to start, with its tier.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct QueuedJob {
+    /// Number of the job in the job table.
+    pub(super) number: u32,
+    /// The tier it is served in.
+    pub(super) tier: Tier,
+}
+
+/// The result of ordering the jobs at the start of a pass.
+pub(super) struct JobOrder {
+    /// Jobs with a task that may start now, the one to be served first in front.
+    pub(super) queue: Vec<QueuedJob>,
+    /// The tier of each live job, also of those with nothing to start, by job number. Jobs that
+    /// are being cancelled or that wait for other jobs have none.
+    pub(super) tiers: HashMap<u32, Tier>,
+}
+
+/// What decides the place of a job in the queue.
+struct RankedJob {
+    number: u32,
+    tier: Tier,
+    /// The fairness weight η^β of the paper's (8), times the gain per remaining work.
+    weight: f64,
+    waiting_since: Micros,
+    has_task_to_start: bool,
+}
+
+impl Scheduler {
+    /// Orders the live jobs; `total_cores` is the size of the cluster.
+    pub(super) fn job_order(
+        &self,
+        pass: &PassContext,
+        table: &JobTable,
+        total_cores: f64,
+    ) -> JobOrder {
+        // What waits for other jobs is no work yet, and its team is owed nothing for it.
+        let jobs = table.by_number.values();
+        let live: Vec<&Job> = jobs
+            .filter(|job| !job.cancelled && !job.waits_for_dependencies())
+            .collect();
+        let guaranteed = jobs_within_guarantee(&live, pass.settings);
+        let mut jobs_of_team: HashMap<&str, f64> = HashMap::default();
+        for job in &live {
+            *jobs_of_team.entry(&job.spec.team).or_default() += 1.0;
+        }
+        let rank = |job: &&Job| {
+            let guarantee = guaranteed_cores(pass.settings, &job.spec.team);
+            let owed = if guarantee > 0.0 {
+                guarantee / jobs_of_team.get(&*job.spec.team).copied().unwrap_or(1.0)
+            } else {
+                total_cores / live.len().max(1) as f64
+            };
+            let held = job.placements.len() as f64 * job.spec.cores;
+            let fairness = eta(owed, held, total_cores).powf(self.fairness_exponent);
+            let urgency = self.urgency(job, pass.now.wall);
+            RankedJob {
+                number: job.number,
+                tier: tier_of(job, guaranteed.contains(&job.number), &urgency),
+                weight: fairness * urgency.gain_per_work,
+                waiting_since: job.waiting_since(),
+                has_task_to_start: job.pending_count > 0 && job.not_before <= pass.now.steady,
+            }
+        };
+        let ranked: Vec<RankedJob> = live.iter().map(rank).collect();
+        let tiers = ranked.iter().map(|job| (job.number, job.tier)).collect();
+        let mut queue: Vec<RankedJob> = ranked
+            .into_iter()
+            .filter(|job| job.has_task_to_start)
+            .collect();
+        queue.sort_by(|a, b| {
+            b.tier
+                .cmp(&a.tier)
+                .then(b.weight.total_cmp(&a.weight))
+                .then(a.waiting_since.cmp(&b.waiting_since))
+                .then(a.number.cmp(&b.number))
+        });
+        let queue = queue.into_iter().map(|job| QueuedJob {
+            number: job.number,
+            tier: job.tier,
+        });
+        JobOrder {
+            queue: queue.collect(),
+            tiers,
+        }
+    }
+}
+
+/// The cores that the settings guarantee to a team; 0 for an unknown one.
+pub(super) fn guaranteed_cores(settings: &Settings, team: &str) -> f64 {
+    settings.team(team).map_or(0.0, |team| team.cpus)
+}
+
+fn tier_of(job: &Job, is_within_guarantee: bool, urgency: &Urgency) -> Tier {
+    match job.priority() {
+        Priority::Production => Tier::Production,
+        Priority::High => Tier::High,
+        _ if is_within_guarantee => Tier::Guaranteed,
+        Priority::Normal if urgency.is_reachable => Tier::Normal,
+        _ if urgency.is_reachable => Tier::Low,
+        _ => Tier::BestEffort,
+    }
+}
+
+/// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
+fn jobs_within_guarantee(live: &[&Job], settings: &Settings) -> HashSet<u32> {
+    let mut by_age: Vec<&&Job> = live.iter().collect();
+    by_age.sort_by_key(|job| (job.waiting_since(), job.number));
+    let mut cores_of_team: HashMap<&str, f64> = HashMap::default();
+    let mut within = HashSet::default();
+    for job in by_age {
+        let Some(team) = settings.team(&job.spec.team).filter(|team| team.cpus > 0.0) else {
+            continue;
+        };
+        let cores = cores_of_team.entry(&team.name).or_default();
+        *cores += job.remaining_tasks() as f64 * job.spec.cores;
+        if *cores <= team.cpus + EPSILON {
+            within.insert(job.number);
+        }
+    }
+    within
+}
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -1,429 +1,366 @@
-//! Stops the cheapest tasks so that urgent work, or work within a guarantee, gets room.
+//! Preemption: chooses the cheapest tasks to stop, so that urgent work, or work within a guarantee,
+//! gets capacity.
+//!
+//! Decides only; the caller sends the stops. What holds at its door:
+//! - only tasks of a lower tier are preempted, so that two jobs never preempt each other in turn;
+//! - the capacity made on a machine is reserved for the tier that it was made for;
+//! - no more cores are preempted than [`Scheduler::preemption_allowance`] has left.
 
-use super::aging::{AGED_RESERVATION_TIER, FIRST_TASK_PROTECTED_FOR};
-use super::ranking::image_rank;
-use super::*;
+mod prospects;
+
+use super::Scheduler;
+use super::context::PassContext;
+use super::job_order::{JobOrder, QueuedJob, Tier};
+use super::objectives::FETCH_TIME_FACTOR;
+use super::reservation::{RESERVATION_TTL, Reservation, ReservedFor};
+use super::unplaceable::{UnplaceableSizes, accepts_any_machine};
+use crate::capacity::{EPSILON, Resources};
+use crate::clock::Micros;
+use crate::jobs::{Job, JobTable};
+use crate::seeded_hash::HashMap;
+use crate::settings::Settings;
+use crate::task_id::TaskId;
+use crate::wire::{JobSpec, Priority};
+use crate::worker_ledger::{Machine, WorkerLedger};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use std::sync::Arc;
+
+pub(super) use prospects::{PreemptionProspect, PreemptionQuery};
 
+/// The lowest tier for which tasks are preempted.
+const PREEMPTING_TIER_MIN: Tier = Tier::Normal;
 /// The share of its slack, after a fetch, that a job may wait for tasks that end by themselves.
 const SLACK_WAIT_SHARE: f64 = 0.12;
+/// The longest such wait.
 const SLACK_WAIT_MAX_S: f64 = 3.0;
-/// Of the cores that came free lately, so many are counted on: they are of all types and zones.
+/// The part of the completion rate that is counted on: the cores that come free are of all machine
+/// types and zones.
 const COMPLETION_RATE_DISCOUNT: f64 = 0.7;
+/// The least time that a task which saves its state gets for it.
+const SAVE_GRACE_MIN_S: f64 = 0.1;
+/// Costs are compared in whole steps of which a core-second has this many: integers have a total
+/// order.
+const COST_STEPS_PER_CORE_S: f64 = 1000.0;
 
-/// What a second of work without an aim counts, against one with, when some has to be stopped.
-const NO_OBJECTIVE_LOSS_WEIGHT: f64 = 0.4;
-
-pub(super) type Victim = (TaskId, u64, Arc<JobSpec>);
-
-/// A task that is to be stopped, with the time it gets to save.
+/// A task that is to be stopped, with the time it gets to save its state.
 pub(super) struct Preemption {
+    /// The machine that it runs on.
     pub(super) machine: Arc<str>,
-    pub(super) key: TaskId,
+    /// The task.
+    pub(super) task: TaskId,
+    /// The attempt to stop.
     pub(super) attempt: u64,
+    /// The time between the request to stop and the kill.
     pub(super) grace_s: f64,
 }
 
-/// For whom room is sought by stopping others.
-pub(super) struct PreemptionQuery<'a> {
-    pub(super) tier: u8,
-    pub(super) settings: &'a Settings,
-    pub(super) only_holders: bool,
-    pub(super) same_team_only: bool,
+/// What decides which tasks a job may have preempted. Jobs with the same standing have the same
+/// choice.
+#[derive(Clone, PartialEq, Eq, Hash)]
+struct PreemptionStanding {
+    tier: Tier,
+    priority: Priority,
+    /// Whether its team is at its limit.
+    same_team_only: bool,
+    /// The team, where it matters: within a guarantee, and at a limit.
+    team: Option<Arc<str>>,
 }
 
-/// A task that might be stopped, with what that would lose.
-pub(super) struct PreemptionCandidate {
-    pub(super) loss: f64,
-    pub(super) tier: u8,
-    pub(super) victim: Victim,
-    pub(super) stopped: bool,
+/// The state of one preemption pass.
+struct PreemptionPass<'a> {
+    context: &'a PassContext<'a>,
+    workers: &'a WorkerLedger,
+    prospects: Vec<PreemptionProspect>,
+    /// The machine of each prospect, looked up once and not once for each job.
+    machines: Vec<Option<&'a Machine>>,
+    /// Cores that stopping tasks will leave, by team.
+    freeing_cores: HashMap<Arc<str>, f64>,
+    /// Cores a second that will come free by themselves, as far as counted on.
+    completion_rate: f64,
+    /// Cores that wait for them, of the jobs served so far.
+    waiting_cores: f64,
+    /// Sizes for which nothing could be preempted; holds for all jobs of that standing.
+    unplaceable: HashMap<PreemptionStanding, UnplaceableSizes>,
+    preemptions: Vec<Preemption>,
 }
 
-/// A machine as a preemption pass sees it: what will be free there, and what could be stopped.
-pub(super) struct PreemptionProspect {
-    pub(super) id: Arc<str>,
-    pub(super) free: Resources,
-    /// What would be free if all that could be stopped were.
-    pub(super) free_if_all_preempted: Resources,
-    /// The lowest tier of what could be stopped.
-    pub(super) lowest_tier: u8,
-    /// By loss, the cheapest first.
-    pub(super) candidates: Vec<PreemptionCandidate>,
+/// What one job still asks for.
+struct JobDemand<'a> {
+    job: &'a Job,
+    query: PreemptionQuery<'a>,
+    /// Tasks for which no capacity has been found.
+    tasks_left: u64,
+    /// Cores that its team may still use.
+    quota_cores_left: f64,
 }
 
-impl PreemptionProspect {
-    /// Whether stopping all that may be stopped for this tier could make room at all.
-    pub(super) fn could_make_room(&self, look: &PreemptionQuery, s: &JobSpec) -> bool {
-        self.lowest_tier < look.tier && self.free_if_all_preempted.fits(s)
+impl JobDemand<'_> {
+    fn spec(&self) -> &JobSpec {
+        &self.job.spec
     }
-}
 
-/// What decides whose tasks a job may have stopped: its tier, its priority, whether its team is at
-/// its limit, and, where that matters, which team.
-pub(super) type PreemptionStanding = (u8, Priority, bool, Option<Arc<str>>);
+    /// Whether the team is at its limit.
+    fn is_quota_used_up(&self) -> bool {
+        self.quota_cores_left + EPSILON < self.spec().cores
+    }
+
+    /// Whether another task is wanted that may run within this capacity.
+    fn can_take(&self, free: &Resources) -> bool {
+        self.tasks_left > 0
+            && self.quota_cores_left + EPSILON >= self.spec().cores
+            && free.fits(self.spec())
+    }
+
+    /// Gives one task its share of the capacity.
+    fn take(&mut self, free: &mut Resources) {
+        free.subtract(self.spec());
+        self.quota_cores_left -= self.spec().cores;
+        self.tasks_left -= 1;
+    }
+}
 
 impl Scheduler {
-    /// What will be free on each machine, and what could be stopped there.
-    pub(super) fn prospects(
-        &self,
-        now: Micros,
-        tiers: &HashMap<u32, u8>,
+    /// Chooses the tasks to stop for the jobs that wait, in the order in which they are served.
+    pub(super) fn plan_preemptions(
+        &mut self,
+        context: &PassContext,
+        order: &JobOrder,
+        table: &JobTable,
         workers: &WorkerLedger,
-        settings: &Settings,
-    ) -> Vec<PreemptionProspect> {
-        let top = tiers.values().copied().max().unwrap_or(0);
-        let silence = silence_limit(settings);
-        let mut found = Vec::new();
-        for (id, slot) in &self.capacity.machines {
-            let (Some(room), Some(m)) = (slot.free, workers.machines.get(id)) else {
-                continue;
-            };
-            if !m.is_usable(now, silence) {
-                continue;
-            }
-            let candidate = |((key, attempt), e): (&(TaskId, u64), &TaskEntry)| {
-                let s = e.spec.as_ref()?;
-                // Only a lower tier: what is within a guarantee must not be stopped by what
-                // is not, or the two would stop each other without end. Jobs that are being
-                // cancelled have no tier.
-                let tier = *tiers.get(&key.job)?;
-                let there = matches!(
-                    e.state,
-                    TaskState::Running | TaskState::Fetching | TaskState::Sent
-                );
-                let first = self.aged_first_tasks.contains_key(key)
-                    && e.running_since
-                        .is_none_or(|t| now < t + FIRST_TASK_PROTECTED_FOR);
-                // Of work without an aim that can still be met, only the work itself is lost.
-                let worth = if tier == 0 {
-                    NO_OBJECTIVE_LOSS_WEIGHT
-                } else {
-                    1.0
-                };
-                (tier < top && there && !first && !e.is_stopping()).then(|| PreemptionCandidate {
-                    loss: worth * self.preemption_loss(now, s, self.assumed_start(e)),
-                    tier,
-                    victim: (*key, *attempt, s.clone()),
-                    stopped: false,
-                })
-            };
-            let mut candidates: Vec<PreemptionCandidate> =
-                m.held_tasks().filter_map(candidate).collect();
-            candidates.sort_by(|a, b| a.loss.total_cmp(&b.loss));
-            let room = room.plus(&slot.freeing);
-            let mut most = room;
-            for c in &candidates {
-                most.add(&c.victim.2);
+    ) -> Vec<Preemption> {
+        let may_preempt = |queued: &&QueuedJob| queued.tier >= PREEMPTING_TIER_MIN;
+        let is_waiting = |queued: &QueuedJob| {
+            let job = table.by_number.get(&queued.number);
+            job.is_some_and(|job| job.pending_count > 0)
+        };
+        if !order.queue.iter().filter(may_preempt).any(is_waiting) {
+            return Vec::new();
+        }
+        let prospects = self.prospects(context, &order.tiers, workers);
+        let machines = prospects
+            .iter()
+            .map(|prospect| workers.machines.get(&prospect.machine))
+            .collect();
+        let mut pass = PreemptionPass {
+            context,
+            workers,
+            prospects,
+            machines,
+            freeing_cores: freeing_cores_by_team(workers),
+            completion_rate: COMPLETION_RATE_DISCOUNT * self.completion_rate(context.now.steady),
+            waiting_cores: 0.0,
+            unplaceable: HashMap::default(),
+            preemptions: Vec::new(),
+        };
+        for queued in order.queue.iter().filter(may_preempt) {
+            if let Some(job) = table.by_number.get(&queued.number)
+                && job.pending_count > 0
+            {
+                self.preempt_for_job(&mut pass, queued.tier, job);
             }
-            found.push(PreemptionProspect {
-                id: id.clone(),
-                free: room,
-                free_if_all_preempted: most,
-                lowest_tier: candidates.iter().map(|c| c.tier).min().unwrap_or(u8::MAX),
-                candidates,
-            });
         }
-        found
+        pass.preemptions
     }
 
-    /// Whether a machine may serve the job at all.
-    pub(super) fn may_serve(
-        &self,
-        look: &PreemptionQuery,
-        job: &Job,
-        m: &Machine,
-        workers: &WorkerLedger,
-    ) -> bool {
-        (!look.only_holders || image_rank(m, &job.spec) == 0)
-            && self
-                .reservations
-                .get(&m.id)
-                .is_none_or(|c| look.tier >= c.tier || c.tier == AGED_RESERVATION_TIER)
-            && is_allowed(job, m, workers)
-    }
-
-    /// Whether a task may be stopped for this work.
-    pub(super) fn preemption_allowance(
-        &self,
-        look: &PreemptionQuery,
-        job: &Job,
-        c: &PreemptionCandidate,
-    ) -> bool {
+    /// Finds capacity for the waiting tasks of one job: first what is coming free anyway, then what
+    /// can be made by preemption.
+    fn preempt_for_job(&mut self, pass: &mut PreemptionPass, tier: Tier, job: &Job) {
         let spec = &job.spec;
-        let s = &c.victim.2;
-        if c.stopped || c.tier >= look.tier || (look.same_team_only && s.team != spec.team) {
-            return false;
+        let settings = pass.context.settings;
+        let cached_only = self.waiting_for_image.contains(&job.number);
+        let quota_cores_left = self.quota_cores_left(settings, &spec.team, &pass.freeing_cores);
+        let mut demand = JobDemand {
+            job,
+            query: PreemptionQuery {
+                tier,
+                settings,
+                cached_only,
+                same_team_only: quota_cores_left + EPSILON < spec.cores,
+            },
+            tasks_left: 0,
+            quota_cores_left,
+        };
+        let same_team_only = demand.query.same_team_only;
+        let standing = PreemptionStanding {
+            tier,
+            priority: job.priority(),
+            same_team_only,
+            team: (tier == Tier::Guaranteed || same_team_only).then(|| spec.team.clone()),
+        };
+        // A failure holds for all jobs of the same standing that are no less restricted and no
+        // smaller.
+        let is_unrestricted = accepts_any_machine(spec) && !cached_only;
+        let known = pass.unplaceable.get(&standing);
+        if is_unrestricted && known.is_some_and(|sizes| sizes.covers(spec)) {
+            return;
+        }
+        demand.tasks_left = job.startable_tasks(&self.schema);
+        pass.waiting_cores += demand.tasks_left as f64 * spec.cores;
+        if !same_team_only
+            && pass.waiting_cores
+                < pass.completion_rate * self.acceptable_wait_s(job, tier, pass.context.now.wall)
+        {
+            return;
+        }
+        self.take_freeing_capacity(pass, &mut demand);
+        if demand.tasks_left == 0 {
+            return;
+        }
+        demand.query.same_team_only = demand.is_quota_used_up();
+        let is_exhausted = self.preempt_cheapest(pass, &mut demand);
+        if is_exhausted && is_unrestricted {
+            pass.unplaceable.entry(standing).or_default().add(spec);
         }
-        let lower = s.priority < job.priority() && (look.tier >= 3 || s.saves());
-        lower
-            || (look.tier == 3
-                && s.team != spec.team
-                && s.priority <= Priority::Normal
-                && self.exceeds_guarantee(&s.team, look.settings))
     }
 
-    /// Core-seconds that a task started there would hold its cores for without running.
-    fn fetch_loss(&self, m: &Machine, s: &JobSpec) -> f64 {
-        let share = match image_rank(m, s) {
-            0 => return 0.0,
-            1 => 0.5,
-            _ => 1.0,
-        };
-        let rate = self
-            .fetch_rates
-            .get(&m.machine_type)
-            .copied()
-            .unwrap_or(0.0);
-        let fetch = if rate > 0.0 { s.image_gb / rate } else { 1.0 };
-        share * fetch * s.cores
+    /// The cores that a team may still use, with what its stopping tasks will leave.
+    fn quota_cores_left(
+        &self,
+        settings: &Settings,
+        team: &Arc<str>,
+        freeing_cores: &HashMap<Arc<str>, f64>,
+    ) -> f64 {
+        let limit = settings.team(team).map_or(0.0, |team| team.cpus_max);
+        if limit > 0.0 {
+            limit - self.capacity.team_usage(team).cores
+                + freeing_cores.get(team).copied().unwrap_or(0.0)
+        } else {
+            f64::MAX
+        }
     }
 
-    /// How long a job may wait for tasks to end by themselves before others are stopped for it, in
-    /// seconds. On a full fleet a hundred end every second; stopping as many costs each its save,
-    /// another start and often another fetch.
-    fn acceptable_wait_s(&self, j: &Job, tier: u8, wall: Micros) -> f64 {
-        let slowest = self.fetch_rates.values().copied().filter(|r| *r > 0.0);
-        let slowest = slowest.fold(f64::INFINITY, f64::min);
-        let fetch = 1.2 * j.spec.image_gb / slowest;
-        // An aim that is missed already makes nobody hurry.
-        let slacks = self.objective_slacks(j, tier, wall).map(|(_, slack)| slack);
-        let patience = slacks
-            .filter(|slack| *slack > 0.0)
-            .map(|slack| SLACK_WAIT_SHARE * (slack - fetch).max(0.0))
+    /// How long a job may wait for tasks to end by themselves before others are preempted for it,
+    /// in seconds. On a full cluster a hundred end every second; preempting as many costs each its
+    /// save, another start and often another fetch.
+    fn acceptable_wait_s(&self, job: &Job, tier: Tier, wall: Micros) -> f64 {
+        let rates = self.fetch_rates.values().copied();
+        let slowest_rate = rates
+            .filter(|rate| *rate > 0.0)
+            .fold(f64::INFINITY, f64::min);
+        let fetch_s = FETCH_TIME_FACTOR * job.spec.image_gb / slowest_rate;
+        // An objective that is missed already is no reason to hurry.
+        let wait_s = self
+            .objective_slacks_s(job, tier, wall)
+            .filter(|slack_s| *slack_s > 0.0)
+            .map(|slack_s| SLACK_WAIT_SHARE * (slack_s - fetch_s).max(0.0))
             .reduce(f64::min);
-        patience.unwrap_or(0.0).min(SLACK_WAIT_MAX_S)
+        wait_s.unwrap_or(0.0).min(SLACK_WAIT_MAX_S)
     }
 
-    /// What it costs to make room for one task there; None when it can't be made.
-    pub(super) fn cost_to_make_room(
-        &self,
-        look: &PreemptionQuery,
-        job: &Job,
-        m: &Machine,
-        p: &PreemptionProspect,
-    ) -> Option<f64> {
-        let spec = &job.spec;
-        let mut freed = p.free;
-        let mut cost = 0.0;
-        for c in &p.candidates {
-            if freed.fits(spec) {
-                break;
-            }
-            if self.preemption_allowance(look, job, c) {
-                freed.add(&c.victim.2);
-                cost += c.loss;
+    /// Gives the job what is free or coming free: it serves the first of those who wait.
+    fn take_freeing_capacity(&self, pass: &mut PreemptionPass, demand: &mut JobDemand) {
+        for (prospect, machine) in pass.prospects.iter_mut().zip(&pass.machines) {
+            while demand.can_take(&prospect.free)
+                && machine.is_some_and(|machine| {
+                    self.may_serve(&demand.query, demand.job, machine, pass.workers)
+                })
+            {
+                demand.take(&mut prospect.free);
             }
         }
-        (cost > 0.0 && freed.fits(spec)).then(|| cost + self.fetch_loss(m, spec))
     }
 
-    /// Stops the cheapest tasks so that urgent work, or work within a guarantee, gets room.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn plan_preemptions(
-        &mut self,
-        now: Micros,
-        wall: Micros,
-        order: &[(u32, u8)],
-        tiers: &HashMap<u32, u8>,
-        table: &JobTable,
-        workers: &WorkerLedger,
-        settings: &Settings,
-    ) -> Vec<Preemption> {
-        let mut stops = Vec::new();
-        let waits = |number: &u32| {
-            let job = table.by_number.get(number);
-            job.is_some_and(|j| j.pending_count > 0)
-        };
-        if !order.iter().any(|o| o.1 >= 2 && waits(&o.0)) {
-            return stops;
-        }
-        let mut prospects = self.prospects(now, tiers, workers, settings);
-        // Looked up once, not once for each job.
-        let found = prospects.iter().map(|p| workers.machines.get(&p.id));
-        let machines: Vec<Option<&Machine>> = found.collect();
-        let mut team_freeing: HashMap<Arc<str>, f64> = HashMap::default();
-        for m in workers.machines.values() {
-            for (_, e) in m.held_tasks().filter(|(_, e)| e.is_stopping()) {
-                if let Some(s) = &e.spec {
-                    *team_freeing.entry(s.team.clone()).or_default() += s.cores;
-                }
-            }
-        }
-        // Cores that will come free by themselves, against what waits for them in this order.
-        let flow = COMPLETION_RATE_DISCOUNT * self.completion_rate(now);
-        let mut ahead = 0.0;
-        // Failures speak for all jobs that are no better placed and no smaller.
-        let mut dead: HashMap<PreemptionStanding, UnplaceableSizes> = HashMap::default();
-        for &(number, tier) in order.iter().filter(|o| o.1 >= 2) {
-            let Some(job) = table.by_number.get(&number) else {
-                continue;
-            };
-            if job.pending_count == 0 {
-                continue;
+    /// Preempts on the cheapest machine, again and again, until the job has enough. Returns whether
+    /// no task could be preempted although nothing but the candidates set a limit: then no larger
+    /// task of the same standing can be helped either.
+    fn preempt_cheapest(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand) -> bool {
+        let mut heap: BinaryHeap<Reverse<(u64, usize)>> = (0..pass.prospects.len())
+            .filter_map(|index| Some(Reverse((self.cost_steps(pass, demand, index)?, index))))
+            .collect();
+        let preempted_before = pass.preemptions.len();
+        while demand.tasks_left > 0 && self.preemption_allowance > 0.0 {
+            if demand.is_quota_used_up() != demand.query.same_team_only {
+                // At the limit of the team other victims count: the next pass looks at them.
+                break;
             }
-            let spec = job.spec.clone();
-            let only_holders = self.waiting_for_image.contains(&number);
-            let limit = settings.team(&spec.team).map_or(0.0, |t| t.cpus_max);
-            let mut budget = if limit > 0.0 {
-                limit - self.capacity.team_usage(&spec.team).cores
-                    + team_freeing.get(&spec.team).copied().unwrap_or(0.0)
-            } else {
-                f64::MAX
+            let Some(Reverse((_, index))) = heap.pop() else {
+                break;
             };
-            let mut look = PreemptionQuery {
-                tier,
-                settings,
-                only_holders,
-                same_team_only: budget + EPSILON < spec.cores,
+            self.preempt_on(pass, demand, index);
+            let prospect = &mut pass.prospects[index];
+            demand.take(&mut prospect.free);
+            let reservation = Reservation {
+                reserved_for: ReservedFor::Tier(demand.query.tier),
+                expires_at: pass.context.now.steady + RESERVATION_TTL,
+                backfill_until: 0,
             };
-            // Whose tasks may be stopped depends on the team within a guarantee, and at a limit.
-            let whose = (tier == 3 || look.same_team_only).then(|| spec.team.clone());
-            let memo = (tier, job.priority(), look.same_team_only, whose);
-            let general = accepts_any_machine(&spec) && !only_holders;
-            if general && dead.get(&memo).is_some_and(|d| d.covers(&spec)) {
-                continue;
+            self.reservations
+                .insert(prospect.machine.clone(), reservation);
+            while demand.can_take(&prospect.free) {
+                demand.take(&mut prospect.free);
             }
-            let mut waiting = job.startable_tasks(&self.schema);
-            ahead += waiting as f64 * spec.cores;
-            if !look.same_team_only && ahead < flow * self.acceptable_wait_s(job, tier, wall) {
-                continue;
+            if let Some(cost) = self.cost_steps(pass, demand, index) {
+                heap.push(Reverse((cost, index)));
             }
-            // What is coming free already serves the first of those who wait.
-            for (p, m) in prospects.iter_mut().zip(&machines) {
-                while waiting > 0
-                    && budget + EPSILON >= spec.cores
-                    && p.free.fits(&spec)
-                    && m.is_some_and(|m| self.may_serve(&look, job, m, workers))
-                {
-                    p.free.subtract(&spec);
-                    budget -= spec.cores;
-                    waiting -= 1;
-                }
+        }
+        demand.tasks_left > 0 && pass.preemptions.len() == preempted_before && heap.is_empty()
+    }
+
+    /// The cost of making one more task fit on a machine; None where it cannot be done.
+    fn cost_steps(&self, pass: &PreemptionPass, demand: &JobDemand, index: usize) -> Option<u64> {
+        let prospect = &pass.prospects[index];
+        let machine = pass.machines[index].filter(|machine| {
+            prospect.could_fit(&demand.query, demand.spec())
+                && self.may_serve(&demand.query, demand.job, machine, pass.workers)
+        })?;
+        self.preemption_cost(&demand.query, demand.job, machine, prospect)
+            .map(|cost| (cost * COST_STEPS_PER_CORE_S).round() as u64)
+    }
+
+    /// Preempts the cheapest candidates of a machine until one more task fits.
+    fn preempt_on(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand, index: usize) {
+        let prospect = &mut pass.prospects[index];
+        for candidate in &mut prospect.candidates {
+            if prospect.free.fits(demand.spec()) {
+                break;
             }
-            if waiting == 0 {
+            if !self.may_preempt(&demand.query, demand.job, candidate) {
                 continue;
             }
-            look.same_team_only = budget + EPSILON < spec.cores;
-            let cost = |this: &Self,
-                        look: &PreemptionQuery,
-                        m: Option<&Machine>,
-                        p: &PreemptionProspect| {
-                let m = m.filter(|m| {
-                    p.could_make_room(look, &spec) && this.may_serve(look, job, m, workers)
-                })?;
-                // Whole thousandths order as integers do.
-                this.cost_to_make_room(look, job, m, p)
-                    .map(|c| (c * 1000.0).round() as u64)
-            };
-            let mut heap: BinaryHeap<Reverse<(u64, usize)>> = prospects
-                .iter()
-                .enumerate()
-                .filter_map(|(i, p)| Some(Reverse((cost(self, &look, machines[i], p)?, i))))
-                .collect();
-            let mut stopped_any = false;
-            while waiting > 0 && self.preemption_allowance > 0.0 {
-                let same_team_only = budget + EPSILON < spec.cores;
-                if same_team_only != look.same_team_only {
-                    // At the team's limit other victims count: the next pass looks at them.
-                    break;
-                }
-                let Some(Reverse((_, i))) = heap.pop() else {
-                    break;
-                };
-                let p = &mut prospects[i];
-                for at in 0..p.candidates.len() {
-                    if p.free.fits(&spec) {
-                        break;
-                    }
-                    if !self.preemption_allowance(&look, job, &p.candidates[at]) {
-                        continue;
-                    }
-                    p.candidates[at].stopped = true;
-                    let (key, attempt, victim) = p.candidates[at].victim.clone();
-                    p.free.add(&victim);
-                    self.preemption_allowance -= victim.cores;
-                    if victim.team == spec.team {
-                        budget += victim.cores;
-                    }
-                    let grace = if victim.saves() {
-                        victim.save_s.max(0.1)
-                    } else {
-                        0.0
-                    };
-                    log::info!(
-                        "preempting {}/{} on {} for {}",
-                        victim.uid,
-                        key.index,
-                        p.id,
-                        spec.uid
-                    );
-                    stops.push(Preemption {
-                        machine: p.id.clone(),
-                        key,
-                        attempt,
-                        grace_s: grace,
-                    });
-                    stopped_any = true;
-                }
-                p.free.subtract(&spec);
-                budget -= spec.cores;
-                waiting -= 1;
-                let until = now + RESERVATION_TTL;
-                let claim = Reservation {
-                    tier,
-                    until,
-                    backfill_until: 0,
-                };
-                self.reservations.insert(p.id.clone(), claim);
-                while waiting > 0 && budget + EPSILON >= spec.cores && p.free.fits(&spec) {
-                    p.free.subtract(&spec);
-                    budget -= spec.cores;
-                    waiting -= 1;
-                }
-                if let Some(c) = cost(self, &look, machines[i], &prospects[i]) {
-                    heap.push(Reverse((c, i)));
-                }
-            }
-            if waiting > 0 && !stopped_any && general && heap.is_empty() {
-                dead.entry(memo).or_default().add(&spec);
+            candidate.is_preempted = true;
+            let victim = &candidate.victim;
+            prospect.free.add(&victim.spec);
+            self.preemption_allowance -= victim.spec.cores;
+            if victim.spec.team == demand.spec().team {
+                demand.quota_cores_left += victim.spec.cores;
             }
+            log::info!(
+                "preempting task={}/{} machine={} for_job={}",
+                victim.spec.uid,
+                victim.task.index,
+                prospect.machine,
+                demand.spec().uid
+            );
+            pass.preemptions.push(Preemption {
+                machine: prospect.machine.clone(),
+                task: victim.task,
+                attempt: victim.attempt,
+                grace_s: save_grace_s(&victim.spec),
+            });
         }
-        stops
-    }
-
-    pub(super) fn exceeds_guarantee(&self, team: &str, settings: &Settings) -> bool {
-        let guarantee = settings.team(team).map_or(0.0, |t| t.cpus);
-        self.capacity.team_usage(team).cores > guarantee + EPSILON
     }
+}
 
-    /// Since when a task runs. Of one that an earlier leader started nobody knows; it is taken to be in
-    /// the middle of its run, or all of them would look as if they had just begun, and cheap to stop.
-    fn assumed_start(&self, e: &TaskEntry) -> Option<Micros> {
-        let since = e.running_since?;
-        let before = match &e.spec {
-            Some(spec) if !e.started_here() => self.expected_run(spec) / 2,
-            _ => 0,
-        };
-        Some(since.saturating_sub(before))
+/// The time that a preempted task gets to save its state; none for one that does not save.
+fn save_grace_s(spec: &JobSpec) -> f64 {
+    if spec.saves() {
+        spec.save_s.max(SAVE_GRACE_MIN_S)
+    } else {
+        0.0
     }
+}
 
-    /// Core-seconds lost by stopping a task now.
-    pub(super) fn preemption_loss(
-        &self,
-        now: Micros,
-        s: &JobSpec,
-        running_since: Option<Micros>,
-    ) -> f64 {
-        let ran = running_since.map_or(0.0, |t| to_secs(now.saturating_sub(t)));
-        let lost = if s.saves() { s.save_s + 2.0 } else { ran + 2.0 };
-        // A start that is stopped within half a minute does not count as one.
-        let fresh = if running_since.is_some() && ran < 30.0 {
-            5.0
-        } else {
-            0.0
-        };
-        s.cores * (lost + fresh)
+/// The cores that stopping tasks will leave, by team.
+fn freeing_cores_by_team(workers: &WorkerLedger) -> HashMap<Arc<str>, f64> {
+    let mut cores: HashMap<Arc<str>, f64> = HashMap::default();
+    for machine in workers.machines.values() {
+        let stopping = machine
+            .held_tasks()
+            .filter(|(_, entry)| entry.is_stopping());
+        for spec in stopping.filter_map(|(_, entry)| entry.spec.as_ref()) {
+            *cores.entry(spec.team.clone()).or_default() += spec.cores;
+        }
     }
+    cores
 }
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -1,227 +1,212 @@
-//! The order of the machines within a type, and what a fetch of the image means for it.
+//! Which machines a job may use, and their order within a machine type.
+//!
+//! Reads only. The order is first fit by name (the paper's IV.C.1); what goes before the name is
+//! said at [`MachineRank`].
 
-use super::*;
+use super::Scheduler;
+use super::context::PassContext;
+use super::feasibility::is_type_allowed;
+use super::job_order::Tier;
+use crate::jobs::Job;
+use crate::wire::JobSpec;
+use crate::worker_ledger::{Machine, WorkerLedger};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
-/// Which place machines that hold the image have in the order within a type.
+/// If more than the machines divided by this have free capacity, all are walked through in order
+/// instead of being looked up one by one.
+const WALK_ALL_DIVISOR: usize = 8;
+/// A machine on which tasks run this many times as long as expected counts as slow.
+const SLOW_MACHINE_FACTOR: f64 = 1.5;
+
+/// Where machines that hold the image stand in the order within a type.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum ImageFilter {
-    CachedOnly,
+pub(super) enum ImagePreference {
+    /// No other machines will do.
+    OnlyCached,
+    /// Before the others: the usual order.
     CachedFirst,
+    /// After the others, to spread the image.
     CachedLast,
 }
 
-/// What a fetch of its image means for a job.
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum FetchPressure {
-    /// It would miss an aim for it.
-    TooSlow,
-    Some,
-    /// It has so much time that it may bring its image to a machine that lacks it.
-    Ample,
+/// Whether a machine has the image of a job.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ImageStatus {
+    /// It holds the image.
+    Cached,
+    /// It holds a task of that image, and so is fetching it.
+    Fetching,
+    /// It would have to fetch the image.
+    Missing,
 }
 
-/// That many times the fetch must be left before an aim for time to be ample.
-const AMPLE_SLACK_FACTOR: f64 = 3.0;
-/// Where more than this part of the machines has room, they are walked through in order.
-const WALK_ALL_DIVISOR: usize = 8;
-
-/// Place of a machine in the order within its type.
+/// What goes before the name in the order within a machine type; the lowest rank comes first. The
+/// order of the fields is their weight.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineRank {
-    pub(super) troubled: bool,
-    pub(super) slow: bool,
-    pub(super) image: u8,
-    /// Other images that it is fetching, when this one would have to be fetched too: several
-    /// at the same time share the rate.
-    pub(super) fetches_in_flight: usize,
-    pub(super) run_time_bias: i32,
+    /// A task failed here lately, of this job or of any.
+    has_failures: bool,
+    is_slow: bool,
+    /// 0 to 2; the best status of the image, in the wanted order, is 0.
+    image: u8,
+    /// Other images that it is fetching, if this one would have to be fetched too: several at the
+    /// same time share the rate. 0 otherwise.
+    fetches_in_flight: usize,
+    run_time_bias: i32,
 }
 
+/// A machine with its rank.
 pub(super) type RankedMachine = (MachineRank, Arc<str>);
 
-/// For whom a machine is picked, and among which.
+/// The machines with free capacity by machine type. Each queue is in the order of service from its
+/// end, so that the first machine is popped.
+pub(super) type MachineQueues<'a> = BTreeMap<&'a str, Vec<RankedMachine>>;
+
+/// What is asked of the machines for a job, beside what the job itself requires.
+#[derive(Clone, Copy)]
 pub(super) struct MachineQuery<'a> {
-    pub(super) now: Micros,
-    pub(super) tier: u8,
-    pub(super) silence_limit: Micros,
+    /// The tier of the job; reservations for higher tiers are respected.
+    pub(super) tier: Tier,
+    /// Only machines in this zone.
     pub(super) zone: Option<&'a str>,
-    pub(super) image_filter: ImageFilter,
+    /// How machines that hold the image are ranked.
+    pub(super) image_preference: ImagePreference,
 }
 
-/// 0: holds the image; 1: is fetching it; 2: would have to fetch it.
-pub(super) fn image_rank(m: &Machine, s: &JobSpec) -> u8 {
-    if m.images.contains_key(&s.image) {
-        return 0;
+/// Whether the machine has the image of the job.
+pub(super) fn image_status(machine: &Machine, spec: &JobSpec) -> ImageStatus {
+    if machine.images.contains_key(&spec.image) {
+        return ImageStatus::Cached;
+    }
+    let is_fetching = machine.tasks.values().any(|entry| {
+        let held = entry.spec.as_ref().filter(|_| entry.occupies());
+        held.is_some_and(|held| held.image == spec.image)
+    });
+    if is_fetching {
+        ImageStatus::Fetching
+    } else {
+        ImageStatus::Missing
     }
-    let fetching = m
-        .tasks
-        .values()
-        .any(|e| e.occupies() && e.spec.as_ref().is_some_and(|x| x.image == s.image));
-    if fetching { 1 } else { 2 }
 }
 
-/// How many images the machine is fetching.
-pub(super) fn fetches_in_flight(m: &Machine) -> usize {
-    let images = m.tasks.values().filter(|e| e.occupies());
-    let mut images: Vec<&str> = images
-        .filter_map(|e| e.spec.as_ref().map(|s| &*s.image))
-        .filter(|i| !m.images.contains_key(*i))
+/// How many different images the machine is fetching.
+fn fetches_in_flight(machine: &Machine) -> usize {
+    let entries = machine.tasks.values().filter(|entry| entry.occupies());
+    let mut images: Vec<&str> = entries
+        .filter_map(|entry| entry.spec.as_ref().map(|spec| &*spec.image))
+        .filter(|image| !machine.images.contains_key(*image))
         .collect();
     images.sort_unstable();
     images.dedup();
     images.len()
 }
 
-/// Type, kind and zone that the job allows, given everything that may be on machines.
-pub(super) fn is_allowed(job: &Job, m: &Machine, workers: &WorkerLedger) -> bool {
-    let s = &job.spec;
-    if !is_type_allowed(s, &m.machine_type)
-        || (m.spot && !s.spot)
-        || s.zone.as_ref().is_some_and(|z| *z != m.zone)
+/// Whether the job allows the machine by its type, rental kind and zone, given everything of the
+/// job that may be on machines.
+pub(super) fn is_allowed(job: &Job, machine: &Machine, workers: &WorkerLedger) -> bool {
+    let spec = &job.spec;
+    if !is_type_allowed(spec, &machine.machine_type)
+        || (machine.spot && !spec.spot)
+        || spec.zone.as_ref().is_some_and(|zone| *zone != machine.zone)
     {
         return false;
     }
-    if !s.one_zone && !s.spread {
+    if !spec.one_zone && !spec.spread {
         return true;
     }
-    let zone_of = |id: &Arc<str>| workers.machines.get(id).map(|m| m.zone.as_str());
-    let mut here = 0u64;
-    for (machine, _) in job.placements.values().flatten() {
-        match zone_of(machine) {
-            Some(z) if z == m.zone => here += 1,
-            Some(_) if !s.one_zone => {}
-            // Elsewhere, or somewhere we don't know: the one zone is taken.
-            _ if s.one_zone => return false,
-            _ => here += 1,
+    let zone_of = |id: &Arc<str>| workers.machines.get(id).map(|other| other.zone.as_str());
+    let mut tasks_here = 0u64;
+    for (other, _) in job.placements.values().flatten() {
+        match zone_of(other) {
+            Some(zone) if zone == machine.zone => tasks_here += 1,
+            Some(_) if !spec.one_zone => {}
+            // In another or an unknown zone: the one zone is taken.
+            _ if spec.one_zone => return false,
+            _ => tasks_here += 1,
         }
     }
-    !s.spread || here < s.tasks.div_ceil(2)
+    !spec.spread || tasks_here < spec.tasks.div_ceil(2)
 }
 
 impl Scheduler {
-    /// The machines with room by type, each type in its fixed order, the first one last. The
-    /// order is by name; before it, healthy machines, then those that hold the image: a fetch
-    /// costs seconds (an exception to plain first fit).
+    /// The machines on which a task of the job fits, by type, each type in its fixed order with the
+    /// first machine last. The order is by name after the [`MachineRank`]: a fetch costs seconds, so
+    /// machines that hold the image come first (an exception to the paper's plain first fit).
     pub(super) fn candidates<'a>(
         &self,
+        pass: &PassContext,
         job: &Job,
-        look: &MachineQuery,
+        query: &MachineQuery,
         workers: &'a WorkerLedger,
-    ) -> BTreeMap<&'a str, Vec<RankedMachine>> {
+    ) -> MachineQueues<'a> {
         let spec = &job.spec;
-        let mut queues: BTreeMap<&str, Vec<RankedMachine>> = BTreeMap::new();
+        let now = pass.now.steady;
+        let mut queues = MachineQueues::new();
         // Both are in the order of names: where much is open they are walked side by side, which
         // costs a tenth of looking each machine up.
-        let walk = self.capacity.open_machines.len() > workers.machines.len() / WALK_ALL_DIVISOR;
+        let walk_all =
+            self.capacity.open_machines.len() > workers.machines.len() / WALK_ALL_DIVISOR;
         let mut machines = workers.machines.iter().peekable();
-        for (id, room) in &self.capacity.open_machines {
-            if !room.fits(spec) || self.is_reserved_from(id, look, job) {
+        for (id, free) in &self.capacity.open_machines {
+            if !free.fits(spec) || self.is_reserved_from(id, now, query.tier, job) {
                 continue;
             }
-            let m = if walk {
-                while machines.next_if(|m| m.0 < id).is_some() {}
-                machines.next_if(|m| m.0 == id).map(|m| m.1)
+            let machine = if walk_all {
+                while machines.next_if(|(other, _)| *other < id).is_some() {}
+                machines
+                    .next_if(|(other, _)| *other == id)
+                    .map(|(_, machine)| machine)
             } else {
                 workers.machines.get(id)
             };
-            let Some(m) = m else { continue };
-            if look.zone.is_some_and(|z| z != m.zone)
-                || !is_allowed(job, m, workers)
-                || !m.is_usable(look.now, look.silence_limit)
+            let Some(machine) = machine else { continue };
+            if query.zone.is_some_and(|zone| zone != machine.zone)
+                || !is_allowed(job, machine, workers)
+                || !machine.is_usable(now, pass.silence_limit)
             {
                 continue;
             }
-            let holding = image_rank(m, spec);
-            if look.image_filter == ImageFilter::CachedOnly && holding != 0 {
-                continue;
+            if let Some(rank) = rank(job, machine, query.image_preference) {
+                let queue = queues.entry(&machine.machine_type).or_default();
+                queue.push((rank, id.clone()));
             }
-            let rank = MachineRank {
-                troubled: job.errors.contains_key(id) || m.error_streak > 0,
-                slow: m.slowness > 1.5,
-                image: if look.image_filter == ImageFilter::CachedLast {
-                    2 - holding
-                } else {
-                    holding
-                },
-                fetches_in_flight: if holding == 2 {
-                    fetches_in_flight(m)
-                } else {
-                    0
-                },
-                run_time_bias: m.run_time_bias_step(),
-            };
-            queues
-                .entry(&m.machine_type)
-                .or_default()
-                .push((rank, id.clone()));
         }
-        // Each machine takes a task at least, so of a type no more are needed than tasks wait;
-        // but where the zone decides, later ones may have to stand in for those not allowed.
-        let most = job.pending_count as usize;
+        // Each machine takes a task at least, so of a type no more are needed than tasks wait; but
+        // where the zone decides, later ones may have to stand in for those not allowed.
+        let machines_max = job.pending_count as usize;
+        let may_truncate = machines_max > 0 && !spec.one_zone && !spec.spread;
         for queue in queues.values_mut() {
-            if queue.len() > most && most > 0 && !spec.one_zone && !spec.spread {
-                queue.select_nth_unstable(most - 1);
-                queue.truncate(most);
+            if may_truncate && queue.len() > machines_max {
+                queue.select_nth_unstable(machines_max - 1);
+                queue.truncate(machines_max);
             }
             queue.sort_unstable_by(|a, b| b.cmp(a));
         }
         queues
     }
+}
 
-    /// The aims that hold for a job in this tier, each with the seconds that are left for its start;
-    /// below 0 it can't be met any more.
-    pub(super) fn objective_slacks(
-        &self,
-        j: &Job,
-        tier: u8,
-        wall: Micros,
-    ) -> impl Iterator<Item = (&Objective, f64)> {
-        let age = to_secs(wall.saturating_sub(j.waiting_since()));
-        let waited = to_secs(j.waiting_since() - j.accepted_at);
-        let run = to_secs(self.expected_run(&j.spec));
-        self.objectives.iter().filter_map(move |o| {
-            let own = o.class.as_deref() == Some(&*j.spec.class);
-            let limit = match o.kind.as_str() {
-                "wait" if own => o.within_s,
-                "guarantee" if tier == 3 => o.within_s,
-                "deadline" if own => {
-                    let deadline = j.spec.deadline_s;
-                    deadline.map(|d| d * o.times.unwrap_or(1.0) - waited - run)
-                }
-                "finished" if own => o.within_s.map(|w| w - run),
-                _ => None,
-            };
-            limit.map(|limit| (o, limit - age))
-        })
-    }
-
-    /// How a fetch of the image stands against the aims the job can still meet.
-    pub(super) fn fetch_pressure(
-        &self,
-        j: &Job,
-        tier: u8,
-        wall: Micros,
-        types: &[MachineType],
-    ) -> FetchPressure {
-        let rate = types
-            .iter()
-            .filter(|t| is_type_allowed(&j.spec, &t.name) && t.fetch_gb_per_s > 0.0)
-            .map(|t| t.fetch_gb_per_s)
-            .fold(f64::INFINITY, f64::min);
-        let fetch = j.spec.image_gb / rate * 1.2;
-        let (mut aims, mut ample) = (0, 0);
-        for (o, slack) in self.objective_slacks(j, tier, wall) {
-            if slack > 0.0 && fetch > slack && o.kind != "finished" {
-                return FetchPressure::TooSlow;
-            }
-            aims += 1;
-            ample += u32::from(slack >= AMPLE_SLACK_FACTOR * fetch);
-        }
-        // Of a job without aims nothing is known, least of all that it has time.
-        if aims > 0 && ample == aims {
-            FetchPressure::Ample
+/// The rank of a machine for a job; None if it is filtered out.
+fn rank(job: &Job, machine: &Machine, filter: ImagePreference) -> Option<MachineRank> {
+    let status = image_status(machine, &job.spec);
+    let image = match (filter, status) {
+        (ImagePreference::OnlyCached, ImageStatus::Fetching | ImageStatus::Missing) => return None,
+        (ImagePreference::OnlyCached | ImagePreference::CachedFirst, ImageStatus::Cached)
+        | (ImagePreference::CachedLast, ImageStatus::Missing) => 0,
+        (_, ImageStatus::Fetching) => 1,
+        (ImagePreference::CachedFirst, ImageStatus::Missing)
+        | (ImagePreference::CachedLast, ImageStatus::Cached) => 2,
+    };
+    Some(MachineRank {
+        has_failures: job.errors.contains_key(&machine.id) || machine.error_streak > 0,
+        is_slow: machine.slowness > SLOW_MACHINE_FACTOR,
+        image,
+        fetches_in_flight: if status == ImageStatus::Missing {
+            fetches_in_flight(machine)
         } else {
-            FetchPressure::Some
-        }
-    }
+            0
+        },
+        run_time_bias: machine.run_time_bias_step(),
+    })
 }
--- a/src/scheduler/wait_reason.rs
+++ b/src/scheduler/wait_reason.rs
@@ -1,6 +1,15 @@
 //! Why tasks of a job wait, in words for operators. Reads only, and decides nothing.
 
-use super::*;
+use super::Scheduler;
+use super::context::silence_limit;
+use super::feasibility::is_type_allowed;
+use super::ranking::is_allowed;
+use crate::capacity::Resources;
+use crate::clock::Micros;
+use crate::jobs::Job;
+use crate::settings::Settings;
+use crate::wire::{JobKind, MachineType};
+use crate::worker_ledger::{Machine, WorkerLedger};
 
 impl Scheduler {
     /// Why tasks of that job wait now; None when none does. The first reason that holds is told: as long as it
@@ -38,7 +47,7 @@
         };
         Some(if job.is_suspect() {
             "its tasks fail on every machine; a few are tried at a time"
-        } else if !Self::within_quota(settings, self.capacity.team_usage(&spec.team), spec) {
+        } else if !self.is_within_quota(settings, spec) {
             "its team is at its limit"
         } else if job.startable_tasks(&self.schema) == 0 {
             "its stored record names as many tasks as it can; more start as some end"
