--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,4 +1,7 @@
-//! What the waiting work would fill beyond what is there or booting.
+//! The demand for more machines: what of the waiting work would not fit on the machines that are
+//! there or booting.
+//!
+//! Reads only; whether machines are rented for it is decided elsewhere.
 
 use super::Scheduler;
 use super::feasibility::is_type_allowed;
@@ -12,32 +15,47 @@
 use crate::worker_ledger::WorkerLedger;
 use std::sync::Arc;
 
-/// Work that finds no room on what is there or booting.
+/// A machine that was silent for less than this is expected to be usable again.
+const SILENCE_TOLERATED: Micros = 60 * SECOND;
+/// The most tasks that one machine is taken to hold.
+const TASKS_PER_MACHINE_MAX: u64 = 1 << 20;
+
+/// Tasks of one job that do not fit.
+struct UnplacedTasks {
+    spec: Arc<JobSpec>,
+    tasks: u64,
+}
+
+/// The work that does not fit on the machines that are there or booting, and what they have left.
 pub struct Demand {
-    pub unplaced: Vec<(Arc<JobSpec>, u64)>,
+    unplaced: Vec<UnplacedTasks>,
+    /// Cores that would be free once all that fits had started, with those of booting machines.
     pub free_cores: f64,
+    /// Cores of all machines in the cluster.
     pub total_cores: f64,
 }
 
 impl Demand {
-    /// How many machines of this type the lacking work would fill.
-    pub fn machines_needed(&self, t: &MachineType, zone: &str, spot: bool) -> u32 {
-        let mut n = 0.0;
-        for (s, tasks) in &self.unplaced {
-            let slots = Resources::of(t).tasks_that_fit(s);
-            let ok = is_type_allowed(s, &t.name)
-                && (s.spot || !spot)
-                && s.zone.as_ref().is_none_or(|z| z == zone);
-            if ok && slots > 0 {
-                n += *tasks as f64 / slots.min(1 << 20) as f64;
+    /// How many machines of this type, zone and rental kind the unplaced work would fill.
+    pub fn machines_needed(&self, machine_type: &MachineType, zone: &str, spot: bool) -> u32 {
+        let mut machines = 0.0;
+        for UnplacedTasks { spec, tasks } in &self.unplaced {
+            let tasks_per_machine = Resources::of(machine_type).tasks_that_fit(spec);
+            let is_allowed = is_type_allowed(spec, &machine_type.name)
+                && (spec.spot || !spot)
+                && spec.zone.as_ref().is_none_or(|wanted| wanted == zone);
+            if is_allowed && tasks_per_machine > 0 {
+                machines += *tasks as f64 / tasks_per_machine.min(TASKS_PER_MACHINE_MAX) as f64;
             }
         }
-        n.ceil() as u32
+        machines.ceil() as u32
     }
 }
 
 impl Scheduler {
-    /// Machines of a type that the work waiting now would fill beyond what is there or booting.
+    /// The waiting work that does not fit on the machines that are there or booting. `booting` has
+    /// the machine type of each machine that was rented and has not reported yet, and whether it is
+    /// a spot machine.
     pub fn unmet_demand(
         &self,
         now: Micros,
@@ -47,60 +65,81 @@
         booting: &[(String, bool)],
         settings: &Settings,
     ) -> Demand {
-        let by_name: HashMap<&str, &MachineType> =
-            types.iter().map(|t| (t.name.as_str(), t)).collect();
-        // A machine that is silent for a moment is room that will be there.
-        let mut rooms: Vec<Resources> = Vec::new();
-        for m in workers.machines.values() {
-            let slot = self.capacity.machines.get(&m.id);
-            match slot.and_then(|s| s.free) {
-                Some(room) => rooms.push(room),
-                None if m.is_usable(now, SECOND * 60) => rooms.extend(free_resources(m, types)),
-                None => {}
-            }
-        }
-        rooms.retain(|r| r.cores > EPSILON || r.accelerators > EPSILON);
-        rooms.extend(
-            booting
-                .iter()
-                .filter_map(|b| by_name.get(b.0.as_str()).map(|t| Resources::of(t))),
-        );
-        let mut used: HashMap<Arc<str>, Usage> = HashMap::default();
-        let mut dead = UnplaceableSizes::default();
-        let mut lacking: Vec<(Arc<JobSpec>, u64)> = Vec::new();
-        for job in table.by_number.values().filter(|j| !j.cancelled) {
-            let mut n = job.startable_tasks(&self.schema);
-            let s = &job.spec;
-            if let Some(t) = settings.team(&s.team).filter(|t| t.cpus_max > 0.0) {
-                let u = used
-                    .entry(s.team.clone())
-                    .or_insert_with(|| self.capacity.team_usage(&s.team));
-                let allowed = ((t.cpus_max - u.cores + EPSILON) / s.cores.max(EPSILON))
+        let mut free = self.expected_capacity(now, workers, types, booting);
+        let mut team_usage: HashMap<Arc<str>, Usage> = HashMap::default();
+        let mut unplaceable = UnplaceableSizes::default();
+        let mut unplaced = Vec::new();
+        for job in table.by_number.values().filter(|job| !job.cancelled) {
+            let spec = &job.spec;
+            let mut tasks = job.startable_tasks(&self.schema);
+            if let Some(team) = settings.team(&spec.team).filter(|team| team.cpus_max > 0.0) {
+                let usage = team_usage
+                    .entry(spec.team.clone())
+                    .or_insert_with(|| self.capacity.team_usage(&spec.team));
+                let allowed = ((team.cpus_max - usage.cores + EPSILON) / spec.cores.max(EPSILON))
                     .floor()
                     .max(0.0) as u64;
-                n = n.min(allowed);
-                u.cores += n as f64 * s.cores;
+                tasks = tasks.min(allowed);
+                usage.cores += tasks as f64 * spec.cores;
             }
-            if n > 0 && !dead.covers(s) {
-                for r in &mut rooms {
-                    while n > 0 && r.fits(s) {
-                        r.subtract(s);
-                        n -= 1;
-                    }
-                }
-                if n > 0 {
-                    dead.add(s);
+            if tasks > 0 && !unplaceable.covers(spec) {
+                tasks = fill(&mut free, spec, tasks);
+                if tasks > 0 {
+                    unplaceable.add(spec);
                 }
             }
-            if n > 0 {
-                lacking.push((s.clone(), n));
+            if tasks > 0 {
+                unplaced.push(UnplacedTasks {
+                    spec: spec.clone(),
+                    tasks,
+                });
             }
         }
-        let free: f64 = rooms.iter().map(|r| r.cores.max(0.0)).sum();
         Demand {
-            unplaced: lacking,
-            free_cores: free,
+            unplaced,
+            free_cores: free.iter().map(|free| free.cores.max(0.0)).sum(),
             total_cores: self.capacity.total_cores,
         }
     }
+
+    /// What is free, or soon will be, on each machine that is there or booting.
+    fn expected_capacity(
+        &self,
+        now: Micros,
+        workers: &WorkerLedger,
+        types: &[MachineType],
+        booting: &[(String, bool)],
+    ) -> Vec<Resources> {
+        let by_name: HashMap<&str, &MachineType> =
+            types.iter().map(|t| (t.name.as_str(), t)).collect();
+        let mut expected: Vec<Resources> = Vec::new();
+        for machine in workers.machines.values() {
+            let entry = self.capacity.machines.get(&machine.id);
+            match entry.and_then(|entry| entry.free) {
+                Some(free) => expected.push(free),
+                // A machine that is silent for a moment is capacity that will be there.
+                None if machine.is_usable(now, SILENCE_TOLERATED) => {
+                    expected.extend(free_resources(machine, types));
+                }
+                None => {}
+            }
+        }
+        expected.retain(|free| free.cores > EPSILON || free.accelerators > EPSILON);
+        expected.extend(booting.iter().filter_map(|(machine_type, _)| {
+            let machine_type = by_name.get(machine_type.as_str())?;
+            Some(Resources::of(machine_type))
+        }));
+        expected
+    }
+}
+
+/// Fits the tasks into the free capacity, first fit; returns how many are left.
+fn fill(free: &mut [Resources], spec: &JobSpec, mut tasks: u64) -> u64 {
+    for machine in free {
+        while tasks > 0 && machine.fits(spec) {
+            machine.subtract(spec);
+            tasks -= 1;
+        }
+    }
+    tasks
 }
--- a/src/scheduler/wait_reason.rs
+++ b/src/scheduler/wait_reason.rs
@@ -1,4 +1,4 @@
-//! Why tasks of a job wait, in words for operators. Reads only, and decides nothing.
+//! Why tasks of a job wait, as a text for operators. Reads only, and decides nothing.
 
 use super::Scheduler;
 use super::context::silence_limit;
@@ -12,8 +12,8 @@
 use crate::worker_ledger::{Machine, WorkerLedger};
 
 impl Scheduler {
-    /// Why tasks of that job wait now; None when none does. The first reason that holds is told: as long as it
-    /// does, none after it matters.
+    /// Why tasks of the job wait now; None when none does. The first reason that holds is given: as
+    /// long as it does, none after it matters.
     pub fn wait_reason(
         &self,
         now: Micros,
@@ -22,8 +22,6 @@
         types: &[MachineType],
         settings: &Settings,
     ) -> Option<&'static str> {
-        let spec = &job.spec;
-        let silence = silence_limit(settings);
         if job.cancelled {
             return (!job.placements.is_empty())
                 .then_some("cancelled; its tasks are being stopped");
@@ -34,39 +32,62 @@
         if job.pending_count == 0 {
             return None;
         }
-        let fits = |t: &MachineType| is_type_allowed(spec, &t.name) && Resources::of(t).fits(spec);
-        let usable = |m: &&Machine| m.is_usable(now, silence) && is_allowed(job, m, workers);
-        let of_kind = |m: &&Machine| {
-            let kind = types.iter().find(|t| t.name == *m.machine_type);
-            is_allowed(job, m, workers) && kind.is_some_and(fits)
-        };
-        let machines = || workers.machines.values();
-        let roomy = |m: &&Machine| {
-            let room = self.capacity.machines.get(&m.id).and_then(|s| s.free);
-            room.is_some_and(|r| r.fits(spec))
-        };
         Some(if job.is_suspect() {
             "its tasks fail on every machine; a few are tried at a time"
-        } else if !self.is_within_quota(settings, spec) {
+        } else if !self.is_within_quota(settings, &job.spec) {
             "its team is at its limit"
         } else if job.startable_tasks(&self.schema) == 0 {
             "its stored record names as many tasks as it can; more start as some end"
         } else if job.not_before > now {
-            "it is held for some seconds after a refused start or a word of its cancellation"
-        } else if !types.iter().any(fits) {
+            "it backs off for some seconds after a refused start or a possible cancellation"
+        } else {
+            self.machine_wait_reason(now, job, workers, types, silence_limit(settings))
+        })
+    }
+
+    /// Why no machine takes a task of the job that may start.
+    fn machine_wait_reason(
+        &self,
+        now: Micros,
+        job: &Job,
+        workers: &WorkerLedger,
+        types: &[MachineType],
+        silence_limit: Micros,
+    ) -> &'static str {
+        let spec = &job.spec;
+        let fits_type = |machine_type: &MachineType| {
+            is_type_allowed(spec, &machine_type.name) && Resources::of(machine_type).fits(spec)
+        };
+        let is_suitable = |machine: &&Machine| {
+            let machine_type = types.iter().find(|t| t.name == *machine.machine_type);
+            is_allowed(job, machine, workers) && machine_type.is_some_and(fits_type)
+        };
+        let is_usable = |machine: &&Machine| {
+            machine.is_usable(now, silence_limit) && is_allowed(job, machine, workers)
+        };
+        let has_capacity = |machine: &Machine| {
+            let entry = self.capacity.machines.get(&machine.id);
+            let free = entry.and_then(|entry| entry.free);
+            free.is_some_and(|free| free.fits(spec))
+        };
+        let machines = || workers.machines.values();
+        if !types.iter().any(fits_type) {
             "the cloud offers no type that it allows and that a task fits"
-        } else if machines().find(of_kind).is_none() {
-            "no machine of a type, zone and kind that it allows is there"
-        } else if machines().filter(of_kind).find(usable).is_none() {
-            "no machine that it allows can take new tasks: silent, in doubt, put aside or about to go"
+        } else if !machines().any(|machine| is_suitable(&machine)) {
+            "no machine of a type, zone and rental kind that it allows is there"
+        } else if !machines()
+            .filter(is_suitable)
+            .any(|machine| is_usable(&machine))
+        {
+            "no machine that it allows can take new tasks: silent, in doubt, quarantined or about to be reclaimed"
         } else if spec.kind == JobKind::Gang {
-            "there is no room for all its tasks at once"
-        } else if machines().filter(usable).any(|m| roomy(&m)) {
-            "there is room; it is placed with the next pass"
+            "there is not enough free capacity for all its tasks at once"
+        } else if machines().filter(is_usable).any(has_capacity) {
+            "there is free capacity; it is placed with the next pass"
         } else if self.aged_reservations.contains_key(&job.number) {
-            "the machines that it allows are full; one is kept for it while it drains by itself"
+            "the machines that it allows are full; one is reserved for it while its tasks end by themselves"
         } else {
             "the machines that it allows are full; others go first"
-        })
+        }
     }
 }
