--- a/src/scheduler/feasibility.rs
+++ b/src/scheduler/feasibility.rs
@@ -23,16 +23,10 @@
     };
     over_team_limit(spec, team)
         .or_else(|| no_fitting_type(spec, types, settings))
-        .or_else(|| {
-            // The tasks of an array may run one at a time; those of other kinds run side by side.
-            let one_zone =
-                spec.one_zone || spec.zone.is_some() || settings.deployment.zones.len() == 1;
-            (spec.spread && one_zone && spec.kind != JobKind::Array && spec.tasks > 1)
-                .then(|| "apart: its tasks can't be spread over the one zone allowed".to_owned())
-        })
+        .or_else(|| unspreadable(spec, settings))
 }
 
-/// Whether the tasks that must run at the same time exceed the limits of their team.
+/// The reason if the tasks that must run at the same time exceed the limits of their team.
 fn over_team_limit(spec: &JobSpec, team: &Team) -> Option<String> {
     let tasks_at_once = if spec.kind == JobKind::Array {
         1.0
@@ -54,7 +48,7 @@
     None
 }
 
-/// Whether no machine type has the size of a task and is offered in the job's zone.
+/// The reason if no allowed machine type has the size of a task and is offered in the job's zone.
 fn no_fitting_type(spec: &JobSpec, types: &[MachineType], settings: &Settings) -> Option<String> {
     if let Some(zone) = &spec.zone
         && !settings.deployment.zones.is_empty()
@@ -75,3 +69,11 @@
     }
     None
 }
+
+/// The reason if the tasks must be spread over zones and only one is allowed. The tasks of an array
+/// may run one at a time; those of other kinds run side by side.
+fn unspreadable(spec: &JobSpec, settings: &Settings) -> Option<String> {
+    let one_zone = spec.one_zone || spec.zone.is_some() || settings.deployment.zones.len() == 1;
+    (spec.spread && one_zone && spec.kind != JobKind::Array && spec.tasks > 1)
+        .then(|| "apart: its tasks can't be spread over the one zone allowed".to_owned())
+}
--- a/src/scheduler/preempt/prospects.rs
+++ b/src/scheduler/preempt/prospects.rs
@@ -3,14 +3,14 @@
 //!
 //! Reads only. The choice itself is made by the parent module.
 
-use super::super::Scheduler;
-use super::super::aging::FIRST_TASK_PROTECTED_FOR;
-use super::super::context::PassContext;
-use super::super::job_order::{Tier, guaranteed_cores};
-use super::super::ranking::{ImageStatus, image_status, is_allowed};
 use crate::capacity::{EPSILON, Resources};
 use crate::clock::{Micros, to_secs};
 use crate::jobs::Job;
+use crate::scheduler::Scheduler;
+use crate::scheduler::aging::FIRST_TASK_PROTECTED_FOR;
+use crate::scheduler::context::PassContext;
+use crate::scheduler::job_order::{Tier, guaranteed_cores};
+use crate::scheduler::ranking::{ImageStatus, image_status, is_allowed};
 use crate::seeded_hash::HashMap;
 use crate::settings::Settings;
 use crate::task_id::TaskId;
@@ -34,8 +34,11 @@
 /// An attempt of a task that may be preempted.
 #[derive(Clone)]
 pub(in crate::scheduler) struct Victim {
+    /// The task.
     pub(super) task: TaskId,
+    /// Its attempt on this machine.
     pub(super) attempt: u64,
+    /// The job that it belongs to.
     pub(super) spec: Arc<JobSpec>,
 }
 
@@ -55,7 +58,9 @@
 pub(in crate::scheduler) struct PreemptionCandidate {
     /// Weighted core-seconds that the preemption would lose.
     pub(super) loss: f64,
+    /// The tier of its job.
     pub(super) tier: Tier,
+    /// The attempt that would be stopped.
     pub(super) victim: Victim,
     /// Whether this pass has chosen it already.
     pub(super) is_preempted: bool,
