--- a/src/accounting.rs
+++ b/src/accounting.rs
@@ -1,64 +1,81 @@
-//! What became of the work of each class and each team since this leader took over, counted at
-//! constant cost an event. Decides nothing.
+//! Workload accounting: what became of the jobs and task attempts of each class and each team
+//! since this leader was elected.
+//!
+//! Owns counters alone, at constant cost for each event and bounded memory. Operators read them in
+//! `/inspect` and in the log; no decision rests on them, and nothing of them is stored.
 
 use crate::wire::JobSpec;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Classes are named by users; past that many they are counted together.
+/// Classes and teams are named by users; past that many names the rest is counted together.
 const NAMES_MAX: usize = 200;
 const OTHER_NAMES: &str = "(others)";
 
-/// Why a task was told to stop.
+/// Why a task was commanded to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// For work that goes before it.
+    /// Preempted by work of higher priority.
     Preempted,
-    /// Its machine is about to be taken.
+    /// The provider is about to reclaim its machine.
     SpotNotice,
     /// Its job was cancelled.
     Cancelled,
-    /// It is done already, or its job is over.
+    /// The task is done already, or its job is over.
     Redundant,
 }
 
 /// What became of a job or of an attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskOutcome {
-    /// A job was accepted, or found stored at the takeover, with so many tasks to be done.
+    /// A job was accepted, or found in the store at the failover.
     Accepted {
+        /// Its tasks that are still to be done.
         tasks: u64,
     },
+    /// An attempt runs.
     Started,
+    /// An attempt did its task.
     Done,
-    /// It was stopped, or had to be.
+    /// An attempt was stopped; without a reason, by an earlier leader's command.
     Stopped(Option<StopReason>),
-    /// It ended with an error.
+    /// An attempt ended with an error.
     Failed,
-    /// Its machine is gone, or came back without it.
+    /// The machine of an attempt is gone, or came back without it.
     MachineLost,
-    /// Its worker's lease ran out.
+    /// The lease of the attempt's worker ran out.
     LeaseExpired,
 }
 
-/// Jobs, then attempts of tasks.
+/// How many jobs and task attempts of one class or team came to each outcome. The names of the
+/// fields are those of the `/inspect` output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct OutcomeCounts {
+    /// Jobs accepted.
     pub jobs: u64,
+    /// Tasks to be done of those jobs.
     pub tasks: u64,
+    /// Attempts that ran.
     pub started: u64,
+    /// Attempts that did their task.
     pub done: u64,
+    /// Attempts preempted by work of higher priority.
     pub preempted: u64,
+    /// Attempts stopped because the provider reclaims the machine.
     pub spot_notice: u64,
+    /// Attempts stopped because their job was cancelled.
     pub cancelled: u64,
+    /// Attempts that ended with an error.
     pub failed: u64,
+    /// Attempts lost with their machine.
     pub machine_lost: u64,
+    /// Attempts killed by the end of their worker's lease.
     pub lease_expired: u64,
 }
 
 impl OutcomeCounts {
-    fn record(&mut self, fate: TaskOutcome) {
-        let count = match fate {
+    fn record(&mut self, outcome: TaskOutcome) {
+        let count = match outcome {
             TaskOutcome::Accepted { tasks } => {
                 self.jobs += 1;
                 self.tasks += tasks;
@@ -69,8 +86,8 @@
             TaskOutcome::Stopped(Some(StopReason::Preempted)) => &mut self.preempted,
             TaskOutcome::Stopped(Some(StopReason::SpotNotice)) => &mut self.spot_notice,
             TaskOutcome::Stopped(Some(StopReason::Cancelled)) => &mut self.cancelled,
-            // Nothing was lost by it, or it was an earlier leader's order.
-            TaskOutcome::Stopped(_) => return,
+            // No work was lost by it, or an earlier leader commanded the stop and has counted it.
+            TaskOutcome::Stopped(Some(StopReason::Redundant) | None) => return,
             TaskOutcome::Failed => &mut self.failed,
             TaskOutcome::MachineLost => &mut self.machine_lost,
             TaskOutcome::LeaseExpired => &mut self.lease_expired,
@@ -79,14 +96,18 @@
     }
 }
 
+/// The counts of each class and of each team.
 #[derive(Debug, Default, Serialize)]
 pub struct WorkloadAccounting {
+    /// By the class that the job's user gave.
     pub classes: BTreeMap<String, OutcomeCounts>,
+    /// By the team that the job is charged to.
     pub teams: BTreeMap<String, OutcomeCounts>,
 }
 
 impl WorkloadAccounting {
-    pub fn record(&mut self, spec: &JobSpec, fate: TaskOutcome) {
+    /// Counts an outcome for the class and for the team of its job.
+    pub fn record(&mut self, spec: &JobSpec, outcome: TaskOutcome) {
         for (counts, name) in [
             (&mut self.classes, &*spec.class),
             (&mut self.teams, &*spec.team),
@@ -97,83 +118,37 @@
                 OTHER_NAMES
             };
             match counts.get_mut(name) {
-                Some(c) => c.record(fate),
-                None => counts.entry(name.to_owned()).or_default().record(fate),
+                Some(known) => known.record(outcome),
+                None => counts.entry(name.to_owned()).or_default().record(outcome),
             }
         }
     }
 
-    /// One line on all classes.
+    /// One line on all classes, for the log.
     pub fn summary(&self) -> String {
-        let of = |(name, c): (&String, &OutcomeCounts)| {
+        let summarize = |(name, counts): (&String, &OutcomeCounts)| {
             let OutcomeCounts {
                 jobs,
                 tasks,
                 started,
                 done,
                 preempted,
-                spot_notice: notice,
+                spot_notice,
                 cancelled,
                 failed,
-                machine_lost: died,
-                lease_expired: lease,
-            } = c;
+                machine_lost,
+                lease_expired,
+            } = counts;
             format!(
                 "{name}: {done} done of {tasks} ({jobs} jobs), {started} started, lost: {preempted} preempted, \
-                 {notice} notice, {died} died, {lease} lease, {failed} failed, {cancelled} cancelled"
+                 {spot_notice} spot_notice, {machine_lost} machine_lost, {lease_expired} lease_expired, \
+                 {failed} failed, {cancelled} cancelled"
             )
         };
-        self.classes.iter().map(of).collect::<Vec<_>>().join("; ")
+        let summaries: Vec<String> = self.classes.iter().map(summarize).collect();
+        summaries.join("; ")
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn spec(class: &str, team: &str) -> JobSpec {
-        let body = format!(
-            r#"{{"uid":"wk-000001","herd":"{class}","owner":"{team}","shape":"array","urgency":"low","parts":4,
-               "cores":1.0,"accelerators":0.0,"memGb":1.0,"bundle":"i","sizeGb":1.0,"builds":null,"paddock":null,
-               "together":false,"apart":false,"loaners":true,"guessS":10.0,"markS":0.0,"stashS":0.0,"dueS":null}}"#
-        );
-        JobSpec::parse(body.as_bytes()).expect("a job")
-    }
-
-    #[test]
-    fn each_attempt_is_counted_once_by_class_and_by_team() {
-        let mut service = WorkloadAccounting::default();
-        let (a, b) = (spec("quick", "ours"), spec("slow", "ours"));
-        service.record(&a, TaskOutcome::Accepted { tasks: 4 });
-        for fate in [
-            TaskOutcome::Started,
-            TaskOutcome::Started,
-            TaskOutcome::Done,
-            TaskOutcome::Stopped(Some(StopReason::Preempted)),
-            TaskOutcome::Stopped(Some(StopReason::Redundant)),
-            TaskOutcome::Stopped(None),
-        ] {
-            service.record(&a, fate);
-        }
-        service.record(&b, TaskOutcome::Accepted { tasks: 2 });
-        service.record(&b, TaskOutcome::LeaseExpired);
-        let quick = &service.classes["quick"];
-        assert_eq!((quick.tasks, quick.started, quick.done), (4, 2, 1));
-        assert_eq!(quick.preempted, 1);
-        let ours = &service.teams["ours"];
-        assert_eq!((ours.jobs, ours.tasks, ours.lease_expired), (2, 6, 1));
-        assert!(service.summary().contains("slow: 0 done of 2 (1 jobs)"));
-    }
-
-    #[test]
-    fn names_without_end_take_no_memory_without_end() {
-        let mut service = WorkloadAccounting::default();
-        for n in 0..1_000 {
-            service.record(&spec(&format!("class-{n}"), "ours"), TaskOutcome::Started);
-        }
-        assert_eq!(service.classes.len(), NAMES_MAX + 1);
-        let all: u64 = service.classes.values().map(|c| c.started).sum();
-        assert_eq!(all, 1_000);
-        assert_eq!(service.teams["ours"].started, 1_000);
-    }
-}
+mod tests;
