--- a/src/scheduler/pheromone.rs
+++ b/src/scheduler/pheromone.rs
@@ -1,4 +1,9 @@
-//! Pheromone per job class and machine type, and the fairness weight: the paper's (3) to (5), (7).
+//! The learned preference of each job class for the machine types, after E-Ant: pheromone by class
+//! and type, equations (3) to (5) of the paper, and the fairness weight, equation (7).
+//!
+//! Owns the pheromone alone. It grows with the cost efficiency of tasks that ended well and decays
+//! once a round; nothing of it is stored, so that a new leader starts from equal values. Draws take
+//! the random generator from outside, so that a run can be repeated from its seed.
 
 use crate::seeded_hash::HashMap;
 use crate::wire::JobSpec;
@@ -7,11 +12,16 @@
 use std::sync::Arc;
 
 /// Pheromone never falls below this, so that every type is drawn now and then.
-const TAU_FLOOR: f64 = 0.05;
+const TAU_MIN: f64 = 0.05;
+/// Pheromone of a type that nothing is known of.
+const TAU_INITIAL: f64 = 1.0;
 const ETA_MIN: f64 = 0.1;
 const ETA_MAX: f64 = 10.0;
+/// Sizes are compared in thousandths.
+const SIZE_SCALE: f64 = 1000.0;
 
-/// Jobs alike in image and size share their pheromone (the paper's job-level exchange).
+/// Identifies a class of jobs that share their pheromone: those alike in image and size (the
+/// paper's job-level exchange).
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassKey {
     image: Arc<str>,
@@ -21,84 +31,98 @@
 }
 
 impl ClassKey {
+    /// The class of a job.
     pub fn of(spec: &JobSpec) -> Self {
-        let milli = |x: f64| (x * 1000.0).round() as u64;
+        let thousandths = |size: f64| (size * SIZE_SCALE).round() as u64;
         Self {
             image: spec.image.clone(),
-            cores: milli(spec.cores),
-            memory: milli(spec.memory_gb),
-            accelerators: milli(spec.accelerators),
+            cores: thousandths(spec.cores),
+            memory: thousandths(spec.memory_gb),
+            accelerators: thousandths(spec.accelerators),
         }
     }
 }
 
-/// τ for each class and type, and what finished in the current round.
+/// A task that ended well in the current round.
+struct FinishedTask {
+    machine_type: String,
+    /// What it cost, in the provider's currency.
+    cost: f64,
+}
+
+/// The pheromone τ of each class and machine type, and what finished in the current round.
 #[derive(Default)]
 pub struct Pheromone {
     tau: HashMap<ClassKey, BTreeMap<String, f64>>,
-    finished: HashMap<ClassKey, Vec<(String, f64)>>,
+    finished: HashMap<ClassKey, Vec<FinishedTask>>,
 }
 
 impl Pheromone {
+    /// The pheromone of a class for a machine type; 1 while nothing is known.
     pub fn tau(&self, class: &ClassKey, machine_type: &str) -> f64 {
         self.tau
             .get(class)
-            .and_then(|t| t.get(machine_type))
+            .and_then(|by_type| by_type.get(machine_type))
             .copied()
-            .unwrap_or(1.0)
+            .unwrap_or(TAU_INITIAL)
     }
 
-    /// A task of the class ended well on the type, at this cost.
+    /// Records that a task of the class ended well on a machine of the type, at this cost. A cost
+    /// that is not positive and finite says nothing and is ignored.
     pub fn finished(&mut self, class: ClassKey, machine_type: &str, cost: f64) {
         if cost > 0.0 && cost.is_finite() {
-            self.finished
-                .entry(class)
-                .or_default()
-                .push((machine_type.to_owned(), cost));
+            self.finished.entry(class).or_default().push(FinishedTask {
+                machine_type: machine_type.to_owned(),
+                cost,
+            });
         }
     }
 
-    /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), the paper's (4) and (5).
+    /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), equations (4) and (5), for the
+    /// classes of which a task finished in it. `rho` is the share that evaporates.
     pub fn round(&mut self, rho: f64, machine_types: &[String]) {
-        let finished = std::mem::take(&mut self.finished);
-        for (class, tasks) in finished {
-            let mean = tasks.iter().map(|t| t.1).sum::<f64>() / tasks.len() as f64;
+        for (class, tasks) in std::mem::take(&mut self.finished) {
+            let mean = tasks.iter().map(|task| task.cost).sum::<f64>() / tasks.len() as f64;
             let mut deposits: BTreeMap<&str, f64> = BTreeMap::new();
-            for (machine_type, cost) in &tasks {
-                *deposits.entry(machine_type).or_default() += mean / cost;
+            for task in &tasks {
+                *deposits.entry(&task.machine_type).or_default() += mean / task.cost;
             }
-            let tau = self.tau.entry(class).or_default();
+            let by_type = self.tau.entry(class).or_default();
             for machine_type in machine_types {
-                let old = tau.get(machine_type).copied().unwrap_or(1.0);
+                let old = by_type.get(machine_type).copied().unwrap_or(TAU_INITIAL);
                 let deposit = deposits.get(machine_type.as_str()).copied().unwrap_or(0.0);
-                tau.insert(
-                    machine_type.clone(),
-                    ((1.0 - rho) * old + rho * deposit).max(TAU_FLOOR),
-                );
+                let new = ((1.0 - rho) * old + rho * deposit).max(TAU_MIN);
+                by_type.insert(machine_type.clone(), new);
             }
         }
     }
 
-    /// Draws a type with chance τ over the summed τ of the types given.
+    /// Draws one of the machine types, each with a chance in proportion to its pheromone, equation
+    /// (3); `None` if there is none to draw from.
     pub fn draw<'a>(
         &self,
         class: &ClassKey,
         machine_types: &[&'a str],
         rng: &mut impl Rng,
     ) -> Option<&'a str> {
-        let taus: Vec<f64> = machine_types.iter().map(|s| self.tau(class, s)).collect();
-        let mut left = rng.random::<f64>() * taus.iter().sum::<f64>();
+        let taus: Vec<f64> = machine_types
+            .iter()
+            .map(|machine_type| self.tau(class, machine_type))
+            .collect();
+        let mut remaining = rng.random::<f64>() * taus.iter().sum::<f64>();
         for (machine_type, tau) in machine_types.iter().zip(&taus) {
-            left -= tau;
-            if left <= 0.0 {
+            remaining -= tau;
+            if remaining <= 0.0 {
                 return Some(machine_type);
             }
         }
+        // Rounding may leave a rest.
         machine_types.last().copied()
     }
 }
 
-/// The paper's η (7): above 1 while a job holds less than it is owed.
+/// The fairness weight η, equation (7): above 1 while a job holds less than it is owed. `owed` and
+/// `held` are the cores of the job, `all` those of the cluster.
 pub fn eta(owed: f64, held: f64, all: f64) -> f64 {
     if all <= 0.0 {
         return 1.0;
