--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -1,125 +1,174 @@
-//! The ledger of what may be on each machine, and the orders on their way there.
+//! The ledger of what may be on each machine, and of the commands on their way there.
 //!
-//! A task leaves the ledger only on proof: a report that is newer and also excludes every start
-//! still in flight, a session that moved on, a machine that is returned or failed, or a lease
-//! that is surely over. That a task or a machine is missing from some list proves nothing.
+//! Owns, for the term of one leader, every machine that may hold a task and every attempt that may
+//! exist on it; learns of both from the store (at a failover), from the scheduler's decisions and
+//! from heartbeats. Sends starts, stops and probes as outputs; performs no I/O, stores nothing and
+//! decides no placement.
+//!
+//! The invariant at its door: an attempt leaves the ledger only on proof that it neither runs nor
+//! can be started any more. Proof is a newer heartbeat that also excludes every start still in
+//! flight, a restart of the agent, a machine that is released or failed, or a lease that is surely
+//! over. That a task or a machine is missing from some list proves nothing.
+//!
+//! | module | concern |
+//! | --- | --- |
+//! | `machine`, `task_entry` | what is known of one machine, of one attempt |
+//! | `heartbeat`, `reported_tasks` | taking heartbeats in and answering them |
+//! | `commands`, `direct_calls` | which commands are due, and calls that do not wait for a heartbeat |
+//! | `probes` | which machines are probed, and by whom |
+//! | `leases` | when a machine's lease is over, and silence |
 
 mod commands;
+mod direct_calls;
 mod heartbeat;
+mod leases;
 mod machine;
+mod probes;
+mod reported_tasks;
+mod task_entry;
 
 use crate::accounting::StopReason;
-use crate::clock::{MILLISECOND, Micros, Now, SECOND, drift_upper_bound, from_secs};
+use crate::clock::Micros;
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::messages::{Outcome, Output, Ticket};
-use crate::reconciliation::{ReconciliationCounts, ReportedState};
-use crate::schema::is_storable_name;
+use crate::messages::Ticket;
+use crate::reconciliation::ReconciliationCounts;
 use crate::seeded_hash::{HashMap, HashSet};
-use crate::task_id::{JobDirectory, TaskId};
-use crate::wire::{Command, Commands, Heartbeat, JobSpec};
+use crate::task_id::TaskId;
+use crate::wire::JobSpec;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
-use std::ops::Bound;
 use std::sync::Arc;
 
-use commands::DirectPathHealth;
+use direct_calls::DirectPathHealth;
 pub use heartbeat::RepeatOutcome;
-use machine::{Delivery, InFlightCall, StopRequest};
-pub use machine::{Machine, PROXY_PROBE_HEAD_START, TaskEntry, TaskState};
+pub use machine::{Machine, UnavailableReason};
+pub use probes::PROXY_PROBE_HEAD_START;
+use task_entry::StopRequest;
+pub use task_entry::{TaskEntry, TaskState};
 
-/// Bits of the token below the leader's term: the fence against lost direct commands.
+/// Low bits of a fencing token, below the leader's term: a counter for each machine that voids
+/// direct commands whose outcome was lost.
 const FENCE_COUNTER_BITS: u32 = 24;
-/// Reports list everything until it is reaped; an answer needs a bound all the same.
-const COMMANDS_PER_ANSWER_MAX: usize = 300;
+/// The upper bits of an attempt number are the leader's term.
+const ATTEMPT_TERM_SHIFT: u32 = 32;
 const TOMBSTONES_MAX: usize = 4096;
-/// How often all machines are looked at for what only time makes due.
-const SCAN_INTERVAL: Micros = 250 * MILLISECOND;
-/// Of a large fleet a scan looks at that part only: what is repeated at all is repeated after seconds,
-/// and a walk over all tasks four times a second took a twentieth of a leader's time.
-const SCAN_PARTS: usize = 4;
-/// A fleet of that size is looked at whole.
-const FULL_SCAN_MACHINES: usize = 256;
-/// The lowest token of a term.
+
+/// The lowest fencing token of a term.
 pub fn first_fencing_token(term: u64) -> u64 {
     term << FENCE_COUNTER_BITS
 }
 
-/// Why an attempt is surely not there any more, as far as its end was a loss.
+/// Why an attempt was lost: the worker's lease ran out, or its agent restarted.
 pub const LEASE_EXPIRED: &str = "the worker's lease ran out";
+/// Why an attempt was lost: its machine was released or has failed.
 pub const MACHINE_GONE: &str = "its machine is gone";
+/// Why an attempt was lost: its machine has proven that it does not hold it.
 pub const NOT_THERE: &str = "not on its machine";
+/// Why an attempt was lost: its placement was taken back before its start was sent.
+const WITHDRAWN: &str = "withdrawn";
 
-/// What the ledger learned.
+/// A change that the ledger learned of.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskEvent {
+    /// The machine that it happened on.
     pub machine: Arc<str>,
+    /// The task that it is about.
     pub task: TaskId,
+    /// The attempt of the task; 0 stands for a stored placement whose attempt is not known.
     pub attempt: u64,
+    /// What happened.
     pub kind: TaskEventKind,
 }
 
+impl TaskEvent {
+    fn lost(machine: &Arc<str>, task: TaskId, attempt: u64, why: &'static str) -> Self {
+        Self {
+            machine: machine.clone(),
+            task,
+            attempt,
+            kind: TaskEventKind::Lost { why },
+        }
+    }
+}
+
+/// What happened to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskEventKind {
-    /// A task that the ledger had not placed there is reported.
+    /// A heartbeat lists an attempt that the ledger had not placed there.
     Discovered,
+    /// The attempt runs.
     Started,
-    /// A stored placement is the one that a report has shown.
+    /// A stored placement is the attempt that a heartbeat has listed.
     PlacementConfirmed,
+    /// The attempt ended.
     Ended {
+        /// Why it ended, in the worker's words.
         cause: CompactString,
+        /// Whether its state was saved.
         saved: bool,
+        /// How long it ran; 0 unless this leader started it.
         ran: Micros,
-        /// Why it was told to stop, if it was.
+        /// Why it was commanded to stop, if it was.
         stop: Option<StopReason>,
     },
-    /// Surely not there any more, or never was.
+    /// The attempt is surely not there any more, or never was.
     Lost {
+        /// What is the proof of it.
         why: &'static str,
     },
 }
 
+/// All machines and attempts that a leader answers for, during one term.
 pub struct WorkerLedger {
     term: u64,
     elected_at: Micros,
+    /// The time without an answered heartbeat after which a worker kills its tasks.
     lease: Micros,
+    /// How often a worker sends a heartbeat.
     report_period: Micros,
+    /// The machines by name.
     pub machines: BTreeMap<Arc<str>, Machine>,
     tombstones: HashSet<Arc<str>>,
     /// Session and count of the last report of machines that went without a word.
     last_observed: HashMap<Arc<str>, (u64, u64)>,
     tombstone_order: VecDeque<Arc<str>>,
     calls: HashMap<Ticket, Arc<str>>,
+    /// The other controllers.
     peers: Vec<SocketAddr>,
-    next_attempt: u64,
+    /// The last attempt number that was handed out.
+    last_attempt: u64,
+    /// What the ledger learned since the events were last taken, oldest first.
     pub events: Vec<TaskEvent>,
-    /// Machines whose tasks or fitness changed since the scheduler last looked.
+    /// Machines whose tasks or availability changed since the scheduler last took them.
     changed_machines: BTreeSet<Arc<str>>,
     /// Machines that may have something to be sent now.
     machines_to_send: BTreeSet<Arc<str>>,
-    /// Machines that said that they are about to be taken away.
+    /// Machines whose provider announced that it will reclaim them.
     noticed_machines: BTreeSet<Arc<str>>,
     /// Machines whose stored entry may have to be written (again).
     registry_updates: BTreeSet<Arc<str>>,
     next_scan_at: Micros,
-    /// The last machine of the part that was looked at in the last scan.
+    /// The last machine of the part that the last scan covered.
     scan_position: Option<Arc<str>>,
     direct_path: DirectPathHealth,
-    /// When any machine was last heard.
+    /// When anything was last received from any machine.
     pub any_machine_seen_at: Micros,
-    /// How what was stored and what machines said at their first word agreed.
+    /// How the stored placements agreed with the first heartbeats of the machines under this term.
     pub reconciled: ReconciliationCounts,
-    /// Orders sent.
+    /// Commands sent in direct calls.
     pub commands_sent: u64,
-    /// When the first start of this term was sent.
+    /// When the first start of this term was sent in a direct call.
     pub first_start_at: Option<Micros>,
-    /// How far behind its inputs this node is.
+    /// How far this node is behind its inputs.
     pub loop_lag: Micros,
-    /// How many machines `flush` has looked at: the cost of an event must not grow with them.
+    /// How many machines `send_due` has examined: the cost of an event must not grow with the fleet.
     pub machines_examined: u64,
 }
 
 impl WorkerLedger {
+    /// An empty ledger for the term of a leader elected `now`, whose workers have a lease of that
+    /// length and send a heartbeat every `report_period`.
     pub fn new(
         term: u64,
         now: Micros,
@@ -139,10 +188,10 @@
             calls: HashMap::default(),
             peers,
             // An attempt number is used once: the term makes it new, the count keeps it so.
-            next_attempt: if fault_injected(InjectedFault::AttemptReused) {
+            last_attempt: if fault_injected(InjectedFault::AttemptReused) {
                 0
             } else {
-                term << 32
+                term << ATTEMPT_TERM_SHIFT
             },
             events: Vec::new(),
             changed_machines: BTreeSet::new(),
@@ -161,25 +210,29 @@
         }
     }
 
-    /// The machines that changed since the last call.
+    /// The machines whose tasks or availability changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<Arc<str>> {
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Machines that said that they are about to be taken away, as far as they are still there.
+    /// Machines whose provider announced that it will reclaim them, as far as they are still there.
     pub fn noticed_machines(&mut self) -> impl Iterator<Item = &Machine> {
         let machines = &self.machines;
-        let there = |id: &Arc<str>| machines.get(id).is_some_and(|m| m.reclaim_at.is_some());
-        self.noticed_machines.retain(there);
+        let is_noticed = |id: &Arc<str>| {
+            machines
+                .get(id)
+                .is_some_and(|machine| machine.reclaim_at.is_some())
+        };
+        self.noticed_machines.retain(is_noticed);
         self.noticed_machines
             .iter()
             .filter_map(|id| machines.get(id))
     }
 
-    /// What is stored of a machine is to be written again.
+    /// Marks what is stored of a machine as out of date.
     pub fn mark_registry_stale(&mut self, id: &Arc<str>) {
-        if let Some(m) = self.machines.get_mut(id) {
-            m.registry_stale = true;
+        if let Some(machine) = self.machines.get_mut(id) {
+            machine.registry_stale = true;
             self.registry_updates.insert(id.clone());
         }
     }
@@ -189,206 +242,143 @@
         std::mem::take(&mut self.registry_updates)
     }
 
-    /// The next part of the machines, in the order of names; after the last comes the first again.
-    fn next_scan_part(&mut self, now: Micros) -> Vec<Arc<str>> {
-        // After a takeover all wait to be asked, or for what was not asked to be taken back.
-        let most = if now < self.elected_at + self.lease {
-            usize::MAX
-        } else {
-            (self.machines.len() / SCAN_PARTS).max(FULL_SCAN_MACHINES)
-        };
-        let from = match self.scan_position.take() {
-            Some(id) if most < self.machines.len() => Bound::Excluded(id),
-            _ => Bound::Unbounded,
-        };
-        let part = self.machines.range::<Arc<str>, _>((from, Bound::Unbounded));
-        let part: Vec<Arc<str>> = part.take(most).map(|m| m.0.clone()).collect();
-        self.scan_position = part.last().filter(|_| part.len() == most).cloned();
-        part
-    }
-
-    /// Says that a machine's fitness changed outside of the ledger.
+    /// Marks a machine whose availability changed outside of the ledger.
     pub fn mark_changed(&mut self, id: &Arc<str>) {
         self.changed_machines.insert(id.clone());
     }
 
+    /// The lowest fencing token of this term.
     fn base_fencing_token(&self) -> u64 {
         first_fencing_token(self.term)
     }
 
-    fn fencing_token(&self, m: &Machine) -> u64 {
-        self.base_fencing_token() + m.fence_counter
+    /// The fencing token of commands to a machine; `None` for a machine that is not in the ledger.
+    pub fn fencing_token_of(&self, id: &str) -> Option<u64> {
+        let machine = self.machines.get(id)?;
+        Some(self.base_fencing_token() + machine.fence_counter)
     }
 
-    /// A machine that earlier leaders may have started tasks on.
+    /// Adds a machine of the stored registry: earlier leaders may have started tasks on it. An
+    /// address that does not parse counts as unknown.
     pub fn add_registered_machine(
         &mut self,
         id: Arc<str>,
-        addr: &str,
-        build: &str,
+        address: &str,
+        machine_type: &str,
         zone: &str,
         spot: bool,
         now: Micros,
     ) {
-        let m = self
+        let machine = self
             .machines
             .entry(id.clone())
-            .or_insert_with(|| Self::machine(&id, build, zone, spot, now));
-        m.registered = true;
-        m.address = m.address.or(addr.parse().ok());
+            .or_insert_with(|| Machine::new(id.clone(), machine_type, zone, spot, now));
+        machine.registered = true;
+        machine.address = machine.address.or(address.parse().ok());
         self.changed_machines.insert(id);
     }
 
-    /// An earlier leader's mark: nobody has answered the machine or started anything there
-    /// since, and nobody will before the mark is removed from the store.
-    pub fn load_silence_mark(&mut self, id: &str, quiet: Micros, now: Now, time_bound: Micros) {
-        let over = quiet + drift_upper_bound(self.lease) + 2 * time_bound + SECOND;
-        if let Some(m) = self.machines.get_mut(id) {
-            m.silent_since = Some(quiet);
-            m.silence_stored = true;
-            m.silence_lease_end = Some(now.steady + over.saturating_sub(now.wall));
-        }
-    }
-
-    /// Marks machines that hold tasks and have been silent for long; the marks are to be stored.
-    pub fn mark_silent_machines(&mut self, now: Now, since: Micros) {
-        let silence = self.report_period * 3;
-        for m in self.machines.values_mut() {
-            // Before it was heard under this term, only an earlier leader can have answered it.
-            let before = if m.term_confirmed { 0 } else { self.elected_at };
-            let contact = m.last_seen_at.max(m.last_answered_at).max(before);
-            if m.registered
-                && !m.silence_stored
-                && !m.tasks.is_empty()
-                && now.steady > contact.max(since) + silence
-            {
-                m.silent_since = Some(now.wall.saturating_sub(now.steady - contact));
-                m.silence_stored = true;
-                m.registry_stale = true;
-                self.changed_machines.insert(m.id.clone());
-                self.registry_updates.insert(m.id.clone());
-            }
-        }
-    }
-
-    /// A stored placement: until its machine has spoken, the task may be there.
+    /// Adds a stored placement: until its machine reports under this term, the task may be there.
+    /// Returns whether the ledger holds an attempt of the task on that machine.
     pub fn add_unconfirmed(
         &mut self,
         machine: &Arc<str>,
-        key: TaskId,
+        task: TaskId,
         spec: &Arc<JobSpec>,
         now: Micros,
     ) -> bool {
-        let Some(m) = self.machines.get_mut(machine) else {
+        let Some(entries) = self.machines.get_mut(machine) else {
             return false;
         };
-        if m.term_confirmed || m.tasks.keys().any(|(k, _)| *k == key) {
-            return m.tasks.keys().any(|(k, _)| *k == key);
+        let is_held = entries.tasks.keys().any(|(held, _)| *held == task);
+        if entries.term_confirmed || is_held {
+            return is_held;
         }
         self.changed_machines.insert(machine.clone());
-        m.tasks.insert(
-            (key, 0),
-            Self::entry(
-                TaskState::Unconfirmed,
-                0,
-                spec.uid.clone(),
-                Some(spec.clone()),
-                Delivery::Unsent,
-                now,
-            ),
-        );
+        let entry = TaskEntry::placed(TaskState::Unconfirmed, spec, now);
+        entries.tasks.insert((task, 0), entry);
         true
     }
 
     /// An attempt number that no leader has used or will use.
     pub fn new_attempt(&mut self) -> u64 {
-        self.next_attempt += 1;
-        self.next_attempt
+        self.last_attempt += 1;
+        self.last_attempt
     }
 
-    /// Takes the room; nothing is sent before `confirm`.
+    /// Plans an attempt: it takes its resources, and nothing is sent before
+    /// [`confirm_stored`](Self::confirm_stored).
     pub fn plan_task(
         &mut self,
         machine: &Arc<str>,
-        key: TaskId,
+        task: TaskId,
         attempt: u64,
         spec: &Arc<JobSpec>,
         now: Micros,
     ) {
-        if let Some(m) = self.machines.get_mut(machine) {
+        if let Some(target) = self.machines.get_mut(machine) {
             self.changed_machines.insert(machine.clone());
-            m.tasks.insert(
-                (key, attempt),
-                Self::entry(
-                    TaskState::Planned,
-                    attempt,
-                    spec.uid.clone(),
-                    Some(spec.clone()),
-                    Delivery::Unsent,
-                    now,
-                ),
-            );
+            let entry = TaskEntry::placed(TaskState::Planned, spec, now);
+            target.tasks.insert((task, attempt), entry);
         }
         if fault_injected(InjectedFault::StartBeforeStored) {
-            self.confirm_stored(machine, key, attempt);
+            self.confirm_stored(machine, task, attempt);
         }
     }
 
-    /// The placement is stored: its start may go out.
-    pub fn confirm_stored(&mut self, machine: &Arc<str>, key: TaskId, attempt: u64) {
-        if let Some(e) = self
-            .machines
-            .get_mut(machine)
-            .and_then(|m| m.tasks.get_mut(&(key, attempt)))
-            && e.state == TaskState::Planned
+    fn entry_mut(
+        &mut self,
+        machine: &Arc<str>,
+        task: TaskId,
+        attempt: u64,
+    ) -> Option<&mut TaskEntry> {
+        self.machines
+            .get_mut(machine)?
+            .tasks
+            .get_mut(&(task, attempt))
+    }
+
+    /// Records that the placement is stored: its start may be sent.
+    pub fn confirm_stored(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
+        if let Some(entry) = self.entry_mut(machine, task, attempt)
+            && entry.state == TaskState::Planned
         {
-            e.state = TaskState::Ready;
+            entry.state = TaskState::Ready;
             self.machines_to_send.insert(machine.clone());
         }
     }
 
-    /// Takes back what was surely never sent.
-    pub fn withdraw(&mut self, machine: &Arc<str>, key: TaskId, attempt: u64) {
-        if let Some(m) = self.machines.get_mut(machine)
-            && let Some(e) = m.tasks.get(&(key, attempt))
-            && matches!(e.state, TaskState::Planned | TaskState::Ready)
+    /// Takes back an attempt whose start was surely never sent.
+    pub fn withdraw(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
+        if let Some(target) = self.machines.get_mut(machine)
+            && let Some(entry) = target.tasks.get(&(task, attempt))
+            && matches!(entry.state, TaskState::Planned | TaskState::Ready)
         {
-            m.tasks.remove(&(key, attempt));
+            target.remove_lost(task, attempt, WITHDRAWN, &mut self.events);
             self.changed_machines.insert(machine.clone());
-            self.events.push(TaskEvent {
-                machine: machine.clone(),
-                task: key,
-                attempt,
-                kind: TaskEventKind::Lost { why: "withdrawn" },
-            });
         }
     }
 
-    /// Stops a task; repeated until a report proves it gone. A shorter grace replaces a longer.
+    /// Stops an attempt; the command is repeated until a heartbeat proves the attempt gone. A
+    /// shorter grace replaces a longer one, the first reason stays.
     pub fn stop_task(
         &mut self,
         machine: &Arc<str>,
-        key: TaskId,
+        task: TaskId,
         attempt: u64,
         grace_s: f64,
-        why: StopReason,
+        reason: StopReason,
     ) {
-        let Some(m) = self.machines.get_mut(machine) else {
-            return;
-        };
-        let Some(e) = m.tasks.get_mut(&(key, attempt)) else {
+        let Some(entry) = self.entry_mut(machine, task, attempt) else {
             return;
         };
-        match e.state {
-            // A ghost has no known attempt to stop; its machine's first report decides.
+        match entry.state {
+            // An unconfirmed placement has no known attempt to stop; its machine's first heartbeat decides.
             TaskState::Ended | TaskState::Unconfirmed => {}
-            TaskState::Planned | TaskState::Ready => self.withdraw(machine, key, attempt),
-            _ if e.stop.is_none_or(|h| grace_s < h.grace_s) => {
-                e.stop = Some(StopRequest {
-                    grace_s,
-                    sent_at: None,
-                    reason: e.stop.map_or(why, |h| h.reason),
-                });
+            TaskState::Planned | TaskState::Ready => self.withdraw(machine, task, attempt),
+            _ if entry.stop.is_none_or(|stop| grace_s < stop.grace_s) => {
+                let reason = entry.stop.map_or(reason, |stop| stop.reason);
+                entry.stop = Some(StopRequest::new(grace_s, reason));
                 self.machines_to_send.insert(machine.clone());
                 self.changed_machines.insert(machine.clone());
             }
@@ -396,104 +386,22 @@
         }
     }
 
-    /// The ending is stored or of no use: the worker may drop it.
-    pub fn allow_acknowledge(&mut self, machine: &Arc<str>, key: TaskId, attempt: u64) {
-        if let Some(e) = self
-            .machines
-            .get_mut(machine)
-            .and_then(|m| m.tasks.get_mut(&(key, attempt)))
-        {
-            e.acknowledge_allowed = true;
-        }
-    }
-
-    pub fn owns(&self, ticket: Ticket) -> bool {
-        self.calls.contains_key(&ticket)
-    }
-
-    /// The end of a machine's lease, on the safe side.
-    fn lease_end(&self, m: &Machine) -> Micros {
-        let lease = drift_upper_bound(self.lease);
-        let contact = match m.last_answered_at.max(m.last_seen_at) {
-            0 => 0,
-            at => at + lease,
-        };
-        let earlier = if m.term_confirmed {
-            0
-        } else {
-            let held = if fault_injected(InjectedFault::HoldLetGo) {
-                SECOND
-            } else {
-                lease
-            };
-            let takeover = self.elected_at + held;
-            m.silence_lease_end.map_or(takeover, |q| q.min(takeover))
-        };
-        contact.max(earlier)
-    }
-
-    /// How many machines have not been heard for three report periods.
-    pub fn count_silent(&self, now: Micros) -> usize {
-        let silence = self.report_period * 3;
-        let silent = |m: &&Machine| now > m.last_seen_at.max(self.elected_at) + silence;
-        self.machines.values().filter(silent).count()
-    }
-
-    /// Machines that answer nobody: no report for `silence`, and calls failed by every way. When
-    /// much of a zone is silent the network is to blame, and nothing is said.
-    pub fn unreachable_machines(
-        &self,
-        now: Micros,
-        since: Micros,
-        silence: Micros,
-    ) -> Vec<Arc<str>> {
-        let silent = |m: &Machine| {
-            now > m.last_seen_at.max(self.elected_at).max(since) + silence && m.direct_failures >= 3
-        };
-        let mut zones: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-        for m in self.machines.values() {
-            let z = zones.entry(&m.zone).or_default();
-            z.0 += usize::from(silent(m));
-            z.1 += 1;
-        }
-        let fine = |zone: &str| zones.get(zone).is_some_and(|z| z.0 == 1 || z.0 * 3 <= z.1);
-        self.machines
-            .values()
-            .filter(|m| !m.releasing && silent(m) && fine(&m.zone))
-            .map(|m| m.id.clone())
-            .collect()
-    }
-
-    /// Frees what a lease that is surely over has killed.
-    pub fn expire_leases(&mut self, now: Micros) {
-        let over: Vec<Arc<str>> = self
-            .machines
-            .values()
-            .filter(|m| !m.tasks.is_empty() && now > self.lease_end(m))
-            .map(|m| m.id.clone())
-            .collect();
-        for id in over {
-            self.clear_machine(&id, LEASE_EXPIRED);
-            if let Some(m) = self.machines.get_mut(&id) {
-                m.term_confirmed = false;
-                m.in_doubt = false;
-            }
+    /// Allows the worker to drop its record of an attempt: its end is stored or of no use.
+    pub fn allow_acknowledge(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
+        if let Some(entry) = self.entry_mut(machine, task, attempt) {
+            entry.acknowledge_allowed = true;
         }
     }
 
+    /// Removes all attempts of a machine, with an event for each that was not known to have ended.
     fn clear_machine(&mut self, id: &Arc<str>, why: &'static str) {
-        let Some(m) = self.machines.get_mut(id) else {
+        let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         self.changed_machines.insert(id.clone());
-        for ((key, attempt), e) in std::mem::take(&mut m.tasks) {
-            if e.state != TaskState::Ended {
-                self.events.push(TaskEvent {
-                    machine: id.clone(),
-                    task: key,
-                    attempt,
-                    kind: TaskEventKind::Lost { why },
-                });
+        for ((task, attempt), entry) in std::mem::take(&mut machine.tasks) {
+            if entry.occupies() {
+                self.events.push(TaskEvent::lost(id, task, attempt, why));
             }
         }
     }
@@ -525,25 +433,8 @@
         self.changed_machines.insert(id.clone());
     }
 
+    /// Whether the machine is surely gone, so that an agent of its name must get no answer.
     pub fn is_tombstoned(&self, id: &str) -> bool {
         self.tombstones.contains(id)
     }
-
-    /// True when nothing can run there: its lease is surely over and it stayed silent.
-    pub fn is_surely_empty(&self, m: &Machine, now: Micros) -> bool {
-        m.tasks.is_empty() && now > self.lease_end(m)
-    }
-
-    /// What waits to be sent goes with the next `flush`; only the scan needs a time.
-    pub fn wake_at(&self, now: Micros) -> Micros {
-        if self.next_scan_at > now {
-            self.next_scan_at
-        } else {
-            now + SCAN_INTERVAL
-        }
-    }
-
-    pub fn fencing_token_of(&self, id: &str) -> Option<u64> {
-        self.machines.get(id).map(|m| self.fencing_token(m))
-    }
 }
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -1,412 +1,344 @@
-//! What workers say of themselves, taken into the ledger.
+//! Takes what workers report of themselves into the ledger, and answers their heartbeats.
+//!
+//! Heartbeats come in three ways: posted by a worker (directly or through a peer), as the answer
+//! to a direct command, and as the answer to a peer that probed the worker. Only the first kind
+//! renews the worker's lease. A heartbeat that is not newer than the last one taken changes
+//! nothing, and its answer carries no commands; a machine with a tombstone, or one whose silence
+//! is stored, never gets a successful answer.
 
-use super::commands::start_command;
-use super::*;
-use crate::seeded_hash::HashSet;
-use crate::wire::{HeartbeatRow, TaskStatus, split_task_name};
-use compact_str::ToCompactString;
+use super::commands::CommandChannel;
+use super::task_entry::{Delivery, TaskEntry};
+use super::{FENCE_COUNTER_BITS, Machine, TaskEvent, TaskEventKind, WorkerLedger};
+use crate::clock::{Micros, from_secs};
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::task_id::JobDirectory;
+use crate::wire::{Commands, Heartbeat, HeartbeatRow};
+use compact_str::{CompactString, ToCompactString};
+use std::net::SocketAddr;
 
-/// What a report that is said to be like an earlier one leads to.
+/// What a heartbeat that repeats an earlier one leads to.
 #[derive(Debug)]
 pub enum RepeatOutcome {
-    /// There is no such report here.
+    /// The earlier heartbeat is not held here: the sender must send this one whole.
     Unknown,
-    /// This worker must get no 200.
+    /// This worker must get no successful answer.
     Refused,
+    /// The answer for the worker.
     Answer(Commands),
 }
 
+impl RepeatOutcome {
+    fn from_answer(answer: Option<Commands>) -> Self {
+        answer.map_or(Self::Refused, Self::Answer)
+    }
+}
+
+/// How a heartbeat reached this node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HeartbeatSource {
+    /// The worker posted it, through a peer where one is given; the answer renews its lease.
+    CheckIn { proxy: Option<SocketAddr> },
+    /// The worker answered a command or a probe; this renews no lease.
+    CommandAnswer,
+}
+
+impl HeartbeatSource {
+    pub(super) fn renews_lease(self) -> bool {
+        matches!(self, Self::CheckIn { .. })
+    }
+}
+
+/// A heartbeat that is kept so that another which differs only in its sequence number need not be
+/// sent and parsed again.
+pub(super) struct DigestedHeartbeat {
+    /// Digest of the heartbeat without its sequence number.
+    digest: u128,
+    heartbeat: Box<Heartbeat>,
+}
+
 impl WorkerLedger {
-    /// Takes a worker's report from `/checkin` and returns the answer, or None when this worker
-    /// must get no 200 (its machine is gone). The digest, if there is one, is of the report
-    /// without its count.
+    /// Takes a heartbeat that a worker posted and returns the answer, or `None` when the worker
+    /// must get no successful answer: its machine is gone, or its silence is stored. `digest`, if
+    /// there is one, is of the heartbeat without its sequence number; `via` is the peer that
+    /// forwarded it.
     pub fn take_heartbeat(
         &mut self,
         now: Micros,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         digest: Option<u128>,
         via: Option<SocketAddr>,
-        dir: &mut dyn JobDirectory,
+        jobs: &mut dyn JobDirectory,
     ) -> Option<Commands> {
-        if self.tombstones.contains(&report.machine) {
+        if self.is_tombstoned(&heartbeat.machine) {
             return None;
         }
-        let newest = self.apply_heartbeat(now, &report, true, via, dir);
-        let base = self.base_fencing_token();
-        let m = self.machines.get_mut(&report.machine)?;
-        if newest {
-            m.settled_digest = digest;
+        let source = HeartbeatSource::CheckIn { proxy: via };
+        let is_newest = self.apply_heartbeat(now, &heartbeat, source, jobs);
+        let term_base = self.base_fencing_token();
+        let machine = self.machines.get_mut(&heartbeat.machine)?;
+        if is_newest {
+            machine.settled_digest = digest;
             if let Some(digest) = digest {
-                m.last_heartbeat = Some((digest, Box::new(report)));
+                machine.last_heartbeat = Some(DigestedHeartbeat {
+                    digest,
+                    heartbeat: Box::new(heartbeat),
+                });
             }
         }
-        if m.silence_stored {
+        if machine.silence_stored {
             // An answer now would renew a lease that a later leader may count as over.
             return None;
         }
-        let mut orders = Vec::new();
-        // A report that was overtaken gets no orders: it says nothing of the present.
-        if newest {
-            Self::collect_commands(now, m, &mut orders, true);
-            if m.direct_failures > 0 && m.in_flight.is_none() && m.registered {
-                let (agent_epoch, sequence) = (m.agent_epoch, m.sequence);
-                for ((key, attempt), e) in &mut m.tasks {
-                    if e.state == TaskState::Ready && orders.len() < COMMANDS_PER_ANSWER_MAX {
-                        orders.push(start_command(&e.uid, key.index, *attempt));
-                        e.state = TaskState::Sent;
-                        e.delivery = Delivery::Piggybacked {
-                            agent_epoch,
-                            sequence,
-                        };
-                    }
-                }
+        let mut commands = Vec::new();
+        // A heartbeat that was overtaken gets no commands: it says nothing of the present.
+        if is_newest {
+            machine.collect_stops(now, CommandChannel::HeartbeatAnswer, &mut commands);
+            if machine.direct_failures > 0 && machine.in_flight.is_none() && machine.registered {
+                let delivery = Delivery::Piggybacked {
+                    agent_epoch: machine.agent_epoch,
+                    sequence: machine.sequence,
+                };
+                machine.collect_starts(delivery, &mut commands);
             }
         }
-        m.last_answered_at = now;
+        machine.last_answered_at = now;
         Some(Commands {
-            fencing_token: base + m.fence_counter,
+            fencing_token: term_base + machine.fence_counter,
             agent_epoch: None,
-            commands: orders,
+            commands,
         })
     }
 
-    /// Takes what a worker answered to another controller that asked it for us.
+    /// Takes what a worker answered to a peer that probed it for this leader.
     pub fn take_probe_answer(
         &mut self,
         now: Micros,
-        report: &Heartbeat,
-        dir: &mut dyn JobDirectory,
+        heartbeat: &Heartbeat,
+        jobs: &mut dyn JobDirectory,
     ) {
-        // One that is not in the ledger comes by its own report.
-        if self.machines.contains_key(&report.machine) {
-            self.apply_heartbeat(now, report, false, None, dir);
+        // A machine that is not in the ledger enters it by a heartbeat that it posts itself.
+        if self.machines.contains_key(&heartbeat.machine) {
+            self.apply_heartbeat(now, heartbeat, HeartbeatSource::CommandAnswer, jobs);
         }
     }
 
-    /// Takes a report that differs from an earlier one only in its count. What it leads to is
-    /// what that report would lead to now; it is only not read again, and where the machine is at
-    /// rest not even looked through: at any size most reports are of that kind.
+    /// Takes a heartbeat that differs from an earlier one only in its sequence number. It leads to
+    /// what that heartbeat would lead to now, without being parsed again; where the machine is
+    /// settled its tasks are not even looked through. At any fleet size most heartbeats are of
+    /// that kind.
     pub fn take_repeated_heartbeat(
         &mut self,
         now: Micros,
         row: &HeartbeatRow,
         via: Option<SocketAddr>,
-        dir: &mut dyn JobDirectory,
+        jobs: &mut dyn JobDirectory,
     ) -> RepeatOutcome {
-        if self.tombstones.contains(row.machine()) {
+        if self.is_tombstoned(row.machine()) {
             return RepeatOutcome::Refused;
         }
-        let base = self.base_fencing_token();
+        let term_base = self.base_fencing_token();
+        let silence = self.silence_timeout();
         let digest = row.digest.get();
-        let Some(m) = self.machines.get_mut(row.machine()) else {
+        let Some(machine) = self.machines.get_mut(row.machine()) else {
             return RepeatOutcome::Unknown;
         };
-        let (agent_epoch, sequence) = (row.agent_epoch.get(), row.sequence.get());
-        if fault_injected(InjectedFault::FormerDigestsTrusted) && m.last_heartbeat.is_none() {
-            let at_rest = Heartbeat {
-                machine: m.id.clone(),
-                address: m
-                    .address
-                    .map_or(CompactString::default(), |a| a.to_compact_string()),
-                machine_type: m.machine_type.as_str().into(),
-                zone: m.zone.as_str().into(),
-                spot: m.spot,
-                agent_epoch,
-                sequence,
-                fencing_token: base + m.fence_counter,
-                notice_s: None,
-                tasks: Vec::new(),
-            };
-            return match self.take_heartbeat(now, at_rest, None, via, dir) {
-                Some(orders) => RepeatOutcome::Answer(orders),
-                None => RepeatOutcome::Refused,
-            };
+        if fault_injected(InjectedFault::FormerDigestsTrusted) && machine.last_heartbeat.is_none() {
+            let assumed = machine.idle_heartbeat(row, term_base);
+            return RepeatOutcome::from_answer(self.take_heartbeat(now, assumed, None, via, jobs));
         }
-        let Some((_, last)) = m.last_heartbeat.take_if(|l| l.0 == digest) else {
+        let is_held = |held: &DigestedHeartbeat| held.digest == digest;
+        if !machine.last_heartbeat.as_ref().is_some_and(is_held) {
             return RepeatOutcome::Unknown;
-        };
-        if m.settled_digest == Some(digest)
-            && m.agent_epoch == agent_epoch
-            && sequence > m.sequence
-            && m.is_settled()
-        {
-            if now >= m.last_seen_at + self.report_period * 3 {
-                self.changed_machines.insert(m.id.clone());
+        }
+        if machine.is_settled_repeat(row) {
+            if now >= machine.last_seen_at + silence {
+                // It counted as silent until now.
+                self.changed_machines.insert(machine.id.clone());
             }
-            (
-                m.sequence,
-                m.last_seen_at,
-                m.last_heartbeat_at,
-                m.last_answered_at,
-            ) = (sequence, now, now, now);
             self.any_machine_seen_at = now;
-            m.heartbeat_proxy = via;
-            m.use_proxy &= via.is_some();
-            if m.held_tasks().next().is_some() {
-                m.idle_since = now;
-            }
-            m.last_heartbeat = Some((digest, last));
+            machine.record_settled_repeat(now, row.sequence.get(), via);
             return RepeatOutcome::Answer(Commands {
-                fencing_token: base + m.fence_counter,
+                fencing_token: term_base + machine.fence_counter,
                 agent_epoch: None,
                 commands: Vec::new(),
             });
         }
-        let mut report = *last;
-        report.sequence = sequence;
-        match self.take_heartbeat(now, report, Some(digest), via, dir) {
-            Some(orders) => RepeatOutcome::Answer(orders),
-            None => RepeatOutcome::Refused,
-        }
+        let Some(held) = machine.last_heartbeat.take() else {
+            return RepeatOutcome::Unknown;
+        };
+        let mut heartbeat = *held.heartbeat;
+        heartbeat.sequence = row.sequence.get();
+        RepeatOutcome::from_answer(self.take_heartbeat(now, heartbeat, Some(digest), via, jobs))
     }
 
-    /// Takes what a worker says into the ledger; false when it had been overtaken.
+    /// Takes a heartbeat into the ledger; false when a newer one was taken before.
     pub(super) fn apply_heartbeat(
         &mut self,
         now: Micros,
-        r: &Heartbeat,
-        checkin: bool,
-        via: Option<SocketAddr>,
-        dir: &mut dyn JobDirectory,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        jobs: &mut dyn JobDirectory,
     ) -> bool {
-        let id = r.machine.clone();
-        let base = self.base_fencing_token();
-        let m = self.machines.entry(id.clone()).or_insert_with(|| {
-            let mut m = Self::machine(&id, &r.machine_type, &r.zone, r.spot, now);
-            // Once more a name that was let go: a copy of what it said before proves nothing new.
-            (m.agent_epoch, m.sequence) = self.last_observed.get(&id).copied().unwrap_or_default();
-            m
+        let id = heartbeat.machine.clone();
+        let term_base = self.base_fencing_token();
+        let machine = self.machines.entry(id.clone()).or_insert_with(|| {
+            let last_observed = self.last_observed.get(&id).copied().unwrap_or_default();
+            Machine::from_heartbeat(heartbeat, last_observed, now)
         });
         self.changed_machines.insert(id.clone());
-        let nameless = m.address.is_none();
-        if (r.agent_epoch, r.sequence) <= (m.agent_epoch, m.sequence)
-            && !fault_injected(InjectedFault::CopyTaken)
-        {
+        if !machine.is_older_than(heartbeat) && !fault_injected(InjectedFault::CopyTaken) {
             return false;
         }
-        m.settled_digest = None;
-        // Worker and machine description may change only with the machine, so take it as told.
-        m.address = r.address.parse().ok().or(m.address);
-        let session_moved = r.agent_epoch > m.agent_epoch && m.agent_epoch > 0;
-        // Its lease ran out though it was answered: it may not hear us. It gets no start before it has shown
-        // that it does, by a token that only an answer or a command of now can have told it.
-        if session_moved && m.term_confirmed && now < m.last_answered_at + self.lease {
-            m.fence_counter = (m.fence_counter + 1).min((1 << FENCE_COUNTER_BITS) - 1);
-            m.in_doubt = true;
-        }
-        m.agent_epoch = r.agent_epoch;
-        m.sequence = r.sequence;
-        m.fencing_token_seen = m.fencing_token_seen.max(r.fencing_token);
-        m.last_seen_at = now;
+        let had_address = machine.address.is_some();
+        let agent_restarted = machine.record_agent_epoch(now, heartbeat, self.lease);
+        machine.record_contact(now, heartbeat, source);
         self.any_machine_seen_at = now;
-        if m.silent_since.take().is_some() {
-            m.registry_stale = true;
-        }
-        if checkin {
-            m.last_heartbeat_at = now;
-            m.heartbeat_proxy = via;
-            if via.is_none() {
-                // It reaches us, so we reach it.
-                m.use_proxy = false;
-            }
-        }
-        m.reclaim_at = r.notice_s.map(|s| now + from_secs(s));
-        if m.reclaim_at.is_some() {
+        if machine.reclaim_at.is_some() {
             self.noticed_machines.insert(id.clone());
         }
-        let assumed = fault_injected(InjectedFault::HearingAssumed);
-        let first = !m.term_confirmed && (r.fencing_token >= base || assumed);
-        m.term_confirmed |= r.fencing_token >= base || assumed;
-        if r.fencing_token >= base + m.fence_counter || assumed {
-            m.in_doubt = false;
-        }
-        if r.fencing_token > base + m.fence_counter
-            && r.fencing_token < base + (1 << FENCE_COUNTER_BITS)
-        {
-            // Only possible if this node lost count; a later term's token is never taken over.
-            m.fence_counter = r.fencing_token - base;
-        }
-        // What is stored as here and not proven, against what this report tells for the first time.
-        let unproven = first || !m.term_confirmed;
-        let known = |key: TaskId| m.attempts(key).next().is_some();
-        let unconfirmed = m
-            .tasks
-            .iter()
-            .filter(|t| t.1.state == TaskState::Unconfirmed);
-        let stored: Vec<TaskId> = if unproven {
-            let unconfirmed = unconfirmed.map(|((key, _), _)| *key);
-            unconfirmed.filter(|key| !known(*key)).collect()
+        let first_under_term = machine.confirm_fencing_token(heartbeat.fencing_token, term_base);
+
+        // What is stored as being here and not proven is compared with what is reported for the first time.
+        let unproven = first_under_term || !machine.term_confirmed;
+        let stored = if unproven {
+            machine.unreported_placements()
         } else {
             Vec::new()
         };
-        let mut told = Vec::new();
-        let mut shown = Vec::new();
-        let mut listed = HashSet::default();
-        for p in &r.tasks {
-            let Some((uid, part)) = split_task_name(&p.task) else {
-                continue;
-            };
-            let (job, spec) = match dir.find(uid) {
-                Some((job, spec)) => (job, Some(spec)),
-                None => (dir.number_unknown_job(uid), None),
-            };
-            let key = TaskId { job, index: part };
-            listed.insert((key, p.attempt));
-            // The stored placement has turned into a real one; but only a report under this term tells the
-            // attempt that it stands for. An earlier word, or a copy of one, may tell of an attempt before that:
-            // were the placement taken for it, the task would be free once that attempt is gone.
-            let ripe = m.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
-            if p.attempt != 0 && ripe && m.tasks.remove(&(key, 0)).is_some() {
-                shown.push(key);
-            }
-            let known = m.tasks.contains_key(&(key, p.attempt));
-            let e = m.tasks.entry((key, p.attempt)).or_insert_with(|| {
-                Self::entry(
-                    TaskState::Sent,
-                    p.attempt,
-                    uid.into(),
-                    spec.clone(),
-                    Delivery::Settled,
-                    now,
-                )
-            });
-            e.delivery = Delivery::Settled;
-            // The answer to this very report stops it: were it left to a command of its own, a worker that
-            // hears answers alone would have its lease renewed with the task on it.
-            let cancelled = spec.is_some() && dir.is_cancelled(job);
-            if !known && (spec.is_none() || cancelled) {
-                e.stop = Some(StopRequest {
-                    grace_s: 0.0,
-                    sent_at: None,
-                    reason: if cancelled {
-                        StopReason::Cancelled
-                    } else {
-                        StopReason::Redundant
-                    },
-                });
-            }
-            if unproven && !known {
-                let ended = p.status == TaskStatus::Ended;
-                told.push((
-                    key,
-                    if ended {
-                        ReportedState::Ended
-                    } else {
-                        ReportedState::Present
-                    },
-                ));
-            }
-            let fresh = !known && spec.is_some() && p.status != TaskStatus::Ended;
-            let event = |what| TaskEvent {
-                machine: id.clone(),
-                task: key,
-                attempt: p.attempt,
-                kind: what,
-            };
-            if fresh {
-                self.events.push(event(TaskEventKind::Discovered));
-            }
-            match p.status {
-                _ if e.state == TaskState::Ended => {}
-                TaskStatus::Fetching => e.state = TaskState::Fetching,
-                TaskStatus::Running | TaskStatus::WaitingForGang | TaskStatus::Checkpointing => {
-                    if e.running_since.is_none() {
-                        e.running_since = Some(now);
-                        if let Some(s) = &e.spec {
-                            let held = m.images.insert(s.image.clone(), (now, s.image_gb));
-                            m.images_stale |= held.is_none();
-                        }
-                        self.events.push(event(TaskEventKind::Started));
-                    }
-                    e.state = if p.status == TaskStatus::Checkpointing {
-                        TaskState::Checkpointing
-                    } else {
-                        TaskState::Running
-                    };
-                }
-                TaskStatus::Ended => {
-                    e.state = TaskState::Ended;
-                    let since = e.running_since.filter(|_| e.started_here);
-                    let ran = since.map_or(0, |t| now.saturating_sub(t));
-                    let cause = p.cause.clone().unwrap_or_else(|| "unknown".into());
-                    e.cause = Some(cause.clone());
-                    if e.spec.is_none() {
-                        e.acknowledge_allowed = true;
-                    }
-                    self.events.push(event(TaskEventKind::Ended {
-                        cause,
-                        saved: p.saved == Some(true),
-                        ran,
-                        stop: e.stop.map(|h| h.reason),
-                    }));
-                }
-            }
-        }
+        let events = &mut self.events;
+        let reported = machine.apply_reported_tasks(now, heartbeat, unproven, jobs, events);
         if unproven {
-            self.reconciled.reconcile(&stored, &told, first);
-        }
-        let heard = m.term_confirmed;
-        let (agent_epoch, sequence, token) = (r.agent_epoch, r.sequence, r.fencing_token);
-        let mut gone = Vec::new();
-        for ((key, attempt), e) in &m.tasks {
-            if listed.contains(&(*key, *attempt)) {
-                continue;
-            }
-            let proof = if e.state == TaskState::Unconfirmed {
-                // Only a report under this term rules out an older leader's late start.
-                heard
-            } else {
-                match e.delivery {
-                    Delivery::Unsent => false,
-                    Delivery::Settled => true,
-                    Delivery::Direct {
-                        agent_epoch: s,
-                        token: t,
-                        open,
-                    } => agent_epoch > s || (!open && token > t),
-                    Delivery::Piggybacked {
-                        agent_epoch: s,
-                        sequence: n,
-                    } => agent_epoch > s || (checkin && sequence > n),
-                }
-            };
-            if proof {
-                gone.push((*key, *attempt, e.state == TaskState::Ended));
-            }
-        }
-        for key in shown {
-            self.events.push(TaskEvent {
-                machine: id.clone(),
-                task: key,
-                attempt: 0,
-                kind: TaskEventKind::PlacementConfirmed,
-            });
-        }
-        let why = if session_moved {
-            LEASE_EXPIRED
-        } else {
-            NOT_THERE
-        };
-        for (key, attempt, ended) in gone {
-            m.tasks.remove(&(key, attempt));
-            if !ended {
-                self.events.push(TaskEvent {
-                    machine: id.clone(),
-                    task: key,
-                    attempt,
-                    kind: TaskEventKind::Lost { why },
-                });
-            }
+            self.reconciled
+                .reconcile(&stored, &reported.newly_reported, first_under_term);
         }
-        if m.held_tasks().next().is_some() {
-            m.idle_since = now;
+        events.extend(reported.confirmed_placements.iter().map(|task| TaskEvent {
+            machine: id.clone(),
+            task: *task,
+            attempt: 0,
+            kind: TaskEventKind::PlacementConfirmed,
+        }));
+        machine.drop_unlisted_tasks(heartbeat, source, &reported.listed, agent_restarted, events);
+
+        if machine.held_tasks().next().is_some() {
+            machine.idle_since = now;
         }
-        if m.registry_stale || m.images_stale || (nameless && !m.registered) {
+        let is_new = !had_address && !machine.registered;
+        if machine.registry_stale || machine.images_stale || is_new {
             self.registry_updates.insert(id.clone());
         }
-        if m.tasks.values().any(TaskEntry::has_unsent_command) {
+        if machine.tasks.values().any(TaskEntry::has_unsent_command) {
             self.machines_to_send.insert(id);
         }
         true
     }
 }
+
+impl Machine {
+    /// A machine that enters the ledger by its heartbeat. `last_observed` is the agent epoch and
+    /// sequence number up to which an earlier machine of that name was known, or zeros: a copy of an
+    /// earlier heartbeat proves nothing new.
+    fn from_heartbeat(heartbeat: &Heartbeat, last_observed: (u64, u64), now: Micros) -> Self {
+        let mut machine = Self::new(
+            heartbeat.machine.clone(),
+            &heartbeat.machine_type,
+            &heartbeat.zone,
+            heartbeat.spot,
+            now,
+        );
+        (machine.agent_epoch, machine.sequence) = last_observed;
+        machine
+    }
+
+    /// Whether the heartbeat is newer than the last one taken.
+    fn is_older_than(&self, heartbeat: &Heartbeat) -> bool {
+        (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence)
+    }
+
+    /// Takes over the agent epoch; true when the agent has restarted since the last heartbeat, so
+    /// that every task of its former epoch is gone.
+    fn record_agent_epoch(&mut self, now: Micros, heartbeat: &Heartbeat, lease: Micros) -> bool {
+        let restarted = heartbeat.agent_epoch > self.agent_epoch && self.agent_epoch > 0;
+        // Its lease ran out though it was answered: answers may not reach it. It gets no start before it
+        // has shown a fencing token that only an answer or a command sent from now on can have carried.
+        if restarted && self.term_confirmed && now < self.last_answered_at + lease {
+            self.raise_fence();
+        }
+        self.agent_epoch = heartbeat.agent_epoch;
+        restarted
+    }
+
+    /// Takes over what a heartbeat says of the machine itself, and that and how it got through.
+    fn record_contact(&mut self, now: Micros, heartbeat: &Heartbeat, source: HeartbeatSource) {
+        self.settled_digest = None;
+        // The agent's address may change with each of its starts, so the latest holds.
+        self.address = heartbeat.address.parse().ok().or(self.address);
+        self.sequence = heartbeat.sequence;
+        self.last_seen_at = now;
+        if self.silent_since.take().is_some() {
+            self.registry_stale = true;
+        }
+        if let HeartbeatSource::CheckIn { proxy } = source {
+            self.last_heartbeat_at = now;
+            self.heartbeat_proxy = proxy;
+            // A worker that reaches this node is taken to be reachable from it.
+            self.use_proxy &= proxy.is_some();
+        }
+        self.reclaim_at = heartbeat.notice_s.map(|notice| now + from_secs(notice));
+    }
+
+    /// Takes over the fencing token that the worker has seen; true when it has shown this term's
+    /// for the first time. `term_base` is the lowest token of this term.
+    fn confirm_fencing_token(&mut self, token: u64, term_base: u64) -> bool {
+        let assumed = fault_injected(InjectedFault::HearingAssumed);
+        let shows_term = token >= term_base || assumed;
+        let is_first = !self.term_confirmed && shows_term;
+        self.term_confirmed |= shows_term;
+        if token >= term_base + self.fence_counter || assumed {
+            self.in_doubt = false;
+        }
+        if token > term_base + self.fence_counter && token < term_base + (1 << FENCE_COUNTER_BITS) {
+            // Only possible if this node lost count; a later term's token is never adopted.
+            self.fence_counter = token - term_base;
+        }
+        is_first
+    }
+
+    /// Whether the row repeats the heartbeat taken last, and nothing has been open since.
+    fn is_settled_repeat(&self, row: &HeartbeatRow) -> bool {
+        self.settled_digest == Some(row.digest.get())
+            && self.agent_epoch == row.agent_epoch.get()
+            && row.sequence.get() > self.sequence
+            && self.is_settled()
+    }
+
+    /// Records a repeated heartbeat of a settled machine, and that it is answered.
+    fn record_settled_repeat(&mut self, now: Micros, sequence: u64, proxy: Option<SocketAddr>) {
+        self.sequence = sequence;
+        self.last_seen_at = now;
+        self.last_heartbeat_at = now;
+        self.last_answered_at = now;
+        self.heartbeat_proxy = proxy;
+        self.use_proxy &= proxy.is_some();
+        if self.held_tasks().next().is_some() {
+            self.idle_since = now;
+        }
+    }
+
+    /// The heartbeat of a machine that has nothing to report; an injected fault takes it for one
+    /// that was never received.
+    fn idle_heartbeat(&self, row: &HeartbeatRow, term_base: u64) -> Heartbeat {
+        let address = self.address;
+        Heartbeat {
+            machine: self.id.clone(),
+            address: address.map_or(CompactString::default(), |a| a.to_compact_string()),
+            machine_type: self.machine_type.as_str().into(),
+            zone: self.zone.as_str().into(),
+            spot: self.spot,
+            agent_epoch: row.agent_epoch.get(),
+            sequence: row.sequence.get(),
+            fencing_token: term_base + self.fence_counter,
+            notice_s: None,
+            tasks: Vec::new(),
+        }
+    }
+}
--- a/src/worker_ledger/machine.rs
+++ b/src/worker_ledger/machine.rs
@@ -1,262 +1,326 @@
-//! One machine of the ledger, and what may be on it.
+//! One machine of the ledger: what is known of it and its agent, and the attempts that are, or
+//! may be, on it.
+//!
+//! A machine decides nothing by itself: it answers what it may be used for
+//! ([`Machine::unavailable_reason`]) and keeps its record of failures (quarantine). What heartbeats,
+//! commands, probes and leases change in it stands in the sibling module of that name.
 
-use super::*;
+use super::heartbeat::DigestedHeartbeat;
+use super::task_entry::{TaskEntry, TaskState};
+use super::{FENCE_COUNTER_BITS, TaskEvent};
+use crate::clock::{Micros, SECOND};
+use crate::messages::Ticket;
+use crate::schema::is_storable_name;
+use crate::task_id::TaskId;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
+use std::net::SocketAddr;
+use std::sync::Arc;
 
-/// How long a machine that fails what it is given gets no new tasks, the first time.
+/// How long a machine that fails its tasks gets no new ones, the first time.
 const QUARANTINE: Micros = 45 * SECOND;
-/// And the longest: what only that machine fits waits no longer than 90 s for it once it is sound again. It comes
-/// last among those that fit until something has ended well there.
+/// The longest quarantine: a task that fits only that machine waits no longer than 90 s for it once it is sound
+/// again. The machine is ranked last among those that fit until a task has ended well there.
 const QUARANTINE_MAX: Micros = 75 * SECOND;
+/// The quarantine doubles that many times at most.
+const QUARANTINE_DOUBLINGS_MAX: u32 = 4;
+/// Run times are compared in steps of this share.
+const RUN_TIME_BIAS_STEP: f64 = 0.04;
+/// Weight, in run times, of the assumption that the machine is as fast as others.
+const RUN_TIME_BIAS_PRIOR: f64 = 3.0;
+/// That many direct calls in a row that fail make a machine unreachable.
+const UNREACHABLE_FAILURES: u32 = 2;
 
-/// After a takeover the controllers that carry workers' reports ask those; the leader asks the rest.
-pub const PROXY_PROBE_HEAD_START: Micros = SECOND;
-
-/// How the start reached, or may yet reach, the worker.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Delivery {
-    Unsent,
-    /// By `/commands`; while `open`, the call has no outcome. A lost call may be executed
-    /// minutes later, as long as the worker has seen no higher token and keeps its session.
-    Direct {
-        token: u64,
-        agent_epoch: u64,
-        open: bool,
-    },
-    /// In the answer to report `seq`: executed or dropped before the worker's next report.
-    Piggybacked {
-        agent_epoch: u64,
-        sequence: u64,
-    },
-    /// The worker has shown it, or the start was surely handled.
-    Settled,
-}
-
-#[derive(Clone, Copy, Debug)]
-pub(super) struct StopRequest {
-    pub(super) grace_s: f64,
-    pub(super) sent_at: Option<Micros>,
-    pub(super) reason: StopReason,
+/// A direct call to the machine that has no outcome yet.
+pub(super) struct InFlightCall {
+    /// Identifies the call's outcome.
+    pub(super) ticket: Ticket,
+    /// The attempts that it carries start commands for.
+    pub(super) starts: Vec<(TaskId, u64)>,
+    /// The fencing token that it carries.
+    pub(super) fencing_token: u64,
+    /// Whether it goes through a peer.
+    pub(super) proxied: bool,
 }
 
+/// Why a machine may take no new tasks. How each of these states ends stands in
+/// `docs/meetings.md`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskState {
-    /// Decided, but the placement is not stored yet; nothing has been sent.
-    Planned,
-    /// Stored; the start is to be sent.
-    Ready,
-    /// Sent, and not seen in a report so far.
-    Sent,
-    /// From a stored placement of an earlier leader; may be there or not.
+pub enum UnavailableReason {
+    /// It has not shown this term's fencing token.
     Unconfirmed,
-    Fetching,
-    Running,
-    Checkpointing,
-    Ended,
-}
-
-#[derive(Debug)]
-pub struct TaskEntry {
-    pub attempt: u64,
-    pub state: TaskState,
-    pub spec: Option<Arc<JobSpec>>,
-    pub uid: Arc<str>,
-    pub(super) delivery: Delivery,
-    pub(super) stop: Option<StopRequest>,
-    pub cause: Option<CompactString>,
-    pub(super) acknowledge_allowed: bool,
-    pub(super) acknowledge_sent_at: Option<Micros>,
-    pub added_at: Micros,
-    pub running_since: Option<Micros>,
-    /// Started by this leader, so that its run time is known.
-    pub(super) started_here: bool,
+    /// Its silence is stored, and the mark not yet removed.
+    SilenceStored,
+    /// Its entry in the stored registry is not written.
+    NotRegistered,
+    /// It is being released to its provider.
+    Releasing,
+    /// A lost command may still be executed, or it receives nothing.
+    InDoubt,
+    /// Its provider announced that it will reclaim it.
+    SpotNotice,
+    /// Tasks failed on it.
+    Quarantined,
+    /// Its address is not known, or its name cannot be stored.
+    NoAddress,
+    /// Nothing is received from it.
+    Unresponsive,
+    /// It answers calls, and its heartbeats reach no controller.
+    OutboundPartitioned,
+    /// Calls to it fail by every path.
+    Unreachable,
 }
 
-impl TaskEntry {
-    /// Whether this leader started it, so that its run time is known.
-    pub fn started_here(&self) -> bool {
-        self.started_here
-    }
-
-    pub fn is_stopping(&self) -> bool {
-        self.stop.is_some()
-    }
-
-    /// A start or a first stop waits to be sent.
-    pub(super) fn has_unsent_command(&self) -> bool {
-        self.state == TaskState::Ready
-            || (self.occupies() && self.stop.is_some_and(|h| h.sent_at.is_none()))
-    }
-
-    /// True while it takes room on its machine.
-    pub fn occupies(&self) -> bool {
-        self.state != TaskState::Ended
+impl UnavailableReason {
+    /// The reason's name, as operators see it.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Self::Unconfirmed => "unconfirmed",
+            Self::SilenceStored => "silence_stored",
+            Self::NotRegistered => "not_registered",
+            Self::Releasing => "releasing",
+            Self::InDoubt => "in_doubt",
+            Self::SpotNotice => "spot_notice",
+            Self::Quarantined => "quarantined",
+            Self::NoAddress => "no_address",
+            Self::Unresponsive => "unresponsive",
+            Self::OutboundPartitioned => "outbound_partitioned",
+            Self::Unreachable => "unreachable",
+        }
     }
 }
 
-pub(super) struct InFlightCall {
-    pub(super) ticket: Ticket,
-    pub(super) starts: Vec<(TaskId, u64)>,
-    pub(super) fencing_token: u64,
-    pub(super) proxied: bool,
+impl fmt::Display for UnavailableReason {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.as_str())
+    }
 }
 
+/// A machine that runs a worker agent. Times are on this node's steady clock unless said
+/// otherwise; 0 is "never".
 pub struct Machine {
+    /// Its name, unique within the cluster.
     pub id: Arc<str>,
+    /// Where its agent takes commands; `None` until known.
     pub address: Option<SocketAddr>,
+    /// Name of its machine type, by which its size is looked up.
     pub machine_type: String,
+    /// The zone that it is in.
     pub zone: String,
+    /// Whether the provider may reclaim it at short notice.
     pub spot: bool,
+    /// Grows with each start of the agent; a restart ends all tasks of the epoch before.
     pub agent_epoch: u64,
+    /// Sequence number of the last heartbeat taken, within the agent epoch.
     pub sequence: u64,
-    pub fencing_token_seen: u64,
-    /// Has shown this term's token: no older leader's order can start anything any more.
+    /// Has shown this term's fencing token: no command of an older leader can start anything there
+    /// any more.
     pub term_confirmed: bool,
+    /// When anything was last received from it: a heartbeat or an answer.
     pub last_seen_at: Micros,
-    /// When its last report came, by whichever way; before the first, when this leader came to know it. Direct
-    /// answers prove what they show, but renew no lease: a machine that reaches no controller loses its tasks.
+    /// When it last posted a heartbeat, directly or through a peer; before the first, when this
+    /// leader came to know it. Answers to direct calls prove what they list, but renew no lease: a
+    /// machine that reaches no controller loses its tasks.
     pub(super) last_heartbeat_at: Micros,
+    /// When a heartbeat of it was last answered, which renews its lease.
     pub(super) last_answered_at: Micros,
+    /// Its entry in the stored registry is written, so that later leaders know of it.
     pub registered: bool,
-    /// The stored entry is to be written again; for the images alone that can wait.
+    /// The stored entry is out of date and is to be written again.
     pub registry_stale: bool,
+    /// Only the images of the stored entry are out of date; writing them can wait.
     pub images_stale: bool,
-    /// Time of day of the last contact, once it is silent: stored, so that a later leader can
-    /// count the lease from there and not from its takeover.
+    /// Wall-clock time of the last contact, once it is silent. Stored, so that a later leader can
+    /// count the lease from there and not from its own election.
     pub silent_since: Option<Micros>,
-    /// The mark may be stored: until its removal is, there is no 200 and no start.
+    /// The silence mark may be stored: until its removal is, the machine gets no successful answer
+    /// and no start.
     pub silence_stored: bool,
-    /// By an earlier leader's mark, when its lease is surely over.
+    /// When its lease is surely over, by the silence mark that an earlier leader stored.
     pub(super) silence_lease_end: Option<Micros>,
-    /// The time by which the cloud takes it away.
+    /// When the provider takes it away, once that was announced.
     pub reclaim_at: Option<Micros>,
+    /// The attempts that are, or may be, on it, by task and attempt number. Attempt 0 stands for a
+    /// stored placement whose attempt is not known.
     pub tasks: BTreeMap<(TaskId, u64), TaskEntry>,
+    /// Low bits of the fencing token of commands to this machine.
     pub(super) fence_counter: u64,
+    /// At most one direct call is open at a time.
     pub(super) in_flight: Option<InFlightCall>,
+    /// When the last direct call was sent.
     pub(super) last_call_at: Micros,
-    /// Calls in a row that failed, and whether the next goes through another controller.
+    /// Direct calls in a row that failed, by either path.
     pub(super) direct_failures: u32,
+    /// The next direct call goes through a peer.
     pub(super) use_proxy: bool,
+    /// Since when calls go through a peer.
     pub(super) proxied_at: Micros,
-    /// The peer that its last report came through.
-    pub heartbeat_proxy: Option<SocketAddr>,
+    /// The peer that its last heartbeat came through.
+    pub(super) heartbeat_proxy: Option<SocketAddr>,
+    /// A lost command may still arrive, or the machine may receive nothing; see
+    /// [`Machine::is_in_doubt`].
     pub(super) in_doubt: bool,
-    /// Another controller asks it; until then it is not probed from here.
+    /// A peer probes it; until then it is not probed from here.
     pub(super) probed_elsewhere_until: Micros,
+    /// Images in its cache: when each was last used, and its size in GB.
     pub images: BTreeMap<Arc<str>, (Micros, f64)>,
-    /// Failures since a task last ended well here, and the jobs they were of.
+    /// Failures since a task last ended well here.
     pub error_streak: u32,
+    /// The jobs that those failures were of.
     pub failed_jobs: BTreeSet<u32>,
+    /// It gets no new tasks until then.
     pub quarantined_until: Micros,
-    pub quarantines: u32,
+    /// How often it was quarantined; each lasts longer than the one before.
+    quarantines: u32,
+    /// Moving average of the run times here against those expected; 1 is as expected.
     pub slowness: f64,
     /// Logarithms of run times here against those of the same jobs elsewhere: sum and count.
     pub run_time_bias: (f64, f64),
+    /// When it last held a task, or was first known.
     pub idle_since: Micros,
-    pub first_seen: Micros,
+    /// It is being released to its provider and gets nothing more.
     pub releasing: bool,
-    /// The last report that came with a digest, so that another like it need not be read.
-    pub(super) last_heartbeat: Option<(u128, Box<Heartbeat>)>,
-    /// Its digest, while nothing else has been taken from the machine since.
+    /// The last heartbeat that came with a digest, so that another like it need not be parsed.
+    pub(super) last_heartbeat: Option<DigestedHeartbeat>,
+    /// Digest of the last heartbeat, while nothing else has been taken from the machine since.
     pub(super) settled_digest: Option<u128>,
 }
 
 impl Machine {
-    /// It is to be asked how it is: not heard yet, or not for long.
-    pub(super) fn needs_probe(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
-        let since = self
-            .last_seen_at
-            .max(if self.term_confirmed { 0 } else { took_over });
-        let silent = now.saturating_sub(since);
-        // Most are asked by the controllers that carry their reports; were the leader to ask them too,
-        // those that nobody carries would have to wait.
-        let unheard = !self.term_confirmed
-            && now
-                >= self
-                    .probed_elsewhere_until
-                    .max(took_over + PROXY_PROBE_HEAD_START);
-        (unheard || self.in_doubt || silent > period * 7 / 5) && now >= self.last_call_at + SECOND
-    }
-
-    /// Whether something may have to be sent to it now.
-    pub(super) fn has_due_command(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
-        let open =
-            |e: &TaskEntry| e.state == TaskState::Ready || (e.stop.is_some() && e.occupies());
-        self.in_flight.is_none()
-            && !self.releasing
-            && (self.needs_probe(now, took_over, period) || self.tasks.values().any(open))
+    /// A machine that nothing has been received from yet.
+    pub(super) fn new(
+        id: Arc<str>,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        now: Micros,
+    ) -> Self {
+        Self {
+            id,
+            address: None,
+            machine_type: machine_type.to_owned(),
+            zone: zone.to_owned(),
+            spot,
+            agent_epoch: 0,
+            sequence: 0,
+            term_confirmed: false,
+            last_seen_at: 0,
+            last_heartbeat_at: now,
+            last_answered_at: 0,
+            registered: false,
+            registry_stale: false,
+            images_stale: false,
+            silent_since: None,
+            silence_stored: false,
+            silence_lease_end: None,
+            reclaim_at: None,
+            tasks: BTreeMap::new(),
+            fence_counter: 0,
+            in_flight: None,
+            last_call_at: 0,
+            direct_failures: 0,
+            use_proxy: false,
+            proxied_at: 0,
+            heartbeat_proxy: None,
+            in_doubt: false,
+            probed_elsewhere_until: 0,
+            images: BTreeMap::new(),
+            error_streak: 0,
+            failed_jobs: BTreeSet::new(),
+            quarantined_until: 0,
+            quarantines: 0,
+            slowness: 1.0,
+            run_time_bias: (0.0, 0.0),
+            idle_since: now,
+            releasing: false,
+            last_heartbeat: None,
+            settled_digest: None,
+        }
     }
 
-    /// Nothing is due to it and nothing about it is open: a report like the last one says only
-    /// that it lives.
+    /// Whether nothing is due to it and nothing about it is open, so that a heartbeat like the
+    /// last one says only that it is alive.
     pub(super) fn is_settled(&self) -> bool {
-        let settled = |e: &TaskEntry| {
-            e.delivery == Delivery::Settled
-                && e.stop.is_none()
-                && !matches!(
-                    e.state,
-                    TaskState::Planned | TaskState::Ready | TaskState::Unconfirmed
-                )
-                && !(e.state == TaskState::Ended && e.acknowledge_allowed)
-        };
         self.term_confirmed
             && !self.in_doubt
             && !self.silence_stored
             && self.silent_since.is_none()
             && self.reclaim_at.is_none()
             && self.direct_failures == 0
-            && self.tasks.values().all(settled)
+            && self.tasks.values().all(TaskEntry::is_settled)
     }
 
-    /// Whether a command to it may be under way, or it may not hear: it gets nothing new before it has shown
-    /// the present token.
+    /// Whether a lost command to it may still be executed, or it may receive nothing: it gets
+    /// nothing new before it has shown the present fencing token.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
 
+    /// Makes every command sent so far void once the machine has seen the raised token, and holds
+    /// back starts until it has.
+    pub(super) fn raise_fence(&mut self) {
+        self.fence_counter = (self.fence_counter + 1).min((1 << FENCE_COUNTER_BITS) - 1);
+        self.in_doubt = true;
+    }
+
     /// How much longer than elsewhere tasks run here, in steps of 4 %, shrunk towards none
     /// while little is known.
     pub fn run_time_bias_step(&self) -> i32 {
-        (self.run_time_bias.0 / (self.run_time_bias.1 + 3.0) / 0.04).round() as i32
+        let (sum, count) = self.run_time_bias;
+        (sum / (count + RUN_TIME_BIAS_PRIOR) / RUN_TIME_BIAS_STEP).round() as i32
     }
 
-    /// What takes room here, each task once: a stored placement stands for its task until the machine has shown
-    /// this term's token, beside the attempt that an earlier word of it told.
+    /// What takes resources here, each task once: a stored placement stands for its task until the
+    /// machine has shown this term's token, unless an earlier heartbeat has listed an attempt of it.
     pub fn held_tasks(&self) -> impl Iterator<Item = (&(TaskId, u64), &TaskEntry)> {
-        let held = |(_, e): &(&(TaskId, u64), &TaskEntry)| e.occupies();
-        self.tasks.iter().filter(held).filter(|((key, _), e)| {
-            e.state != TaskState::Unconfirmed || !self.has_known_attempt(*key)
+        let held = |(_, entry): &(&(TaskId, u64), &TaskEntry)| entry.occupies();
+        self.tasks.iter().filter(held).filter(|((task, _), entry)| {
+            entry.state != TaskState::Unconfirmed || !self.has_known_attempt(*task)
         })
     }
 
-    /// Whether an attempt of the task is known to take room here.
-    fn has_known_attempt(&self, key: TaskId) -> bool {
-        self.attempts(key).any(TaskEntry::occupies)
+    /// Whether an attempt of the task is known to take resources here.
+    fn has_known_attempt(&self, task: TaskId) -> bool {
+        self.attempts(task).any(TaskEntry::occupies)
+    }
+
+    /// The known attempts of the task here, without the entry of a stored placement.
+    pub(super) fn attempts(&self, task: TaskId) -> impl Iterator<Item = &TaskEntry> {
+        let range = (task, 1)..=(task, u64::MAX);
+        self.tasks.range(range).map(|(_, entry)| entry)
     }
 
-    /// The attempts of the task that were told here, beside what stands for a stored placement.
-    pub(super) fn attempts(&self, key: TaskId) -> impl Iterator<Item = &TaskEntry> {
-        let range = (key, 1)..=(key, u64::MAX);
-        self.tasks.range(range).map(|(_, e)| e)
+    /// Removes an attempt that is surely not there, and adds the event that it is lost.
+    pub(super) fn remove_lost(
+        &mut self,
+        task: TaskId,
+        attempt: u64,
+        why: &'static str,
+        events: &mut Vec<TaskEvent>,
+    ) {
+        self.tasks.remove(&(task, attempt));
+        events.push(TaskEvent::lost(&self.id, task, attempt, why));
     }
 
-    /// A task failed here. Two jobs failing in a row, or two tasks of a job that does well
-    /// elsewhere, put the machine aside, longer each time; tells whether it was put aside now.
+    /// Records that a task failed here. Two jobs that fail in a row, or two tasks of a job that
+    /// does well elsewhere (`does_well`), quarantine the machine, longer each time; true when it
+    /// was quarantined now.
     pub fn record_failure(&mut self, job: u32, does_well: bool, now: Micros) -> bool {
         self.error_streak += 1;
         self.failed_jobs.insert(job);
-        let proven = self.failed_jobs.len() >= 2 || (does_well && self.error_streak >= 2);
-        // What was started before it was put aside says nothing new.
-        if !proven || self.quarantined_until > now {
+        let is_proven = self.failed_jobs.len() >= 2 || (does_well && self.error_streak >= 2);
+        // The failure of a task that was started before the quarantine says nothing new.
+        if !is_proven || self.quarantined_until > now {
             return false;
         }
+        let doublings = self.quarantines.min(QUARANTINE_DOUBLINGS_MAX);
         self.quarantines += 1;
-        self.quarantined_until =
-            now + (QUARANTINE << (self.quarantines - 1).min(4)).min(QUARANTINE_MAX);
+        self.quarantined_until = now + (QUARANTINE << doublings).min(QUARANTINE_MAX);
         true
     }
 
-    /// The job turned out to fail everywhere. Without this, each job submitted with a mistake
-    /// took machines out of use for minutes.
+    /// Takes back the failures of a job that turned out to fail everywhere. Without this, each job
+    /// submitted with a mistake took machines out of use for minutes.
     pub fn forgive_failure(&mut self, job: u32, now: Micros) {
         if !self.failed_jobs.remove(&job) {
             return;
@@ -270,122 +334,50 @@
         }
     }
 
-    /// May take new tasks now.
+    /// Whether it may take new tasks now. `silence` is the time after which a machine that sends
+    /// nothing counts as unresponsive.
     pub fn is_usable(&self, now: Micros, silence: Micros) -> bool {
         self.unavailable_reason(now, silence).is_none()
     }
 
-    /// Why it may take no new tasks now, in a word for operators; None when it may. How each of these ends stands in
-    /// `docs/meetings.md`.
+    /// The name of [`Machine::unavailability`], as operators see it.
     pub fn unavailable_reason(&self, now: Micros, silence: Micros) -> Option<&'static str> {
+        self.unavailability(now, silence)
+            .map(UnavailableReason::as_str)
+    }
+
+    /// Why it may take no new tasks now; `None` when it may.
+    pub fn unavailability(&self, now: Micros, silence: Micros) -> Option<UnavailableReason> {
         if !self.term_confirmed {
-            Some("unheard")
+            Some(UnavailableReason::Unconfirmed)
         } else if self.silence_stored {
-            Some("silence_stored")
+            Some(UnavailableReason::SilenceStored)
         } else if !self.registered {
-            Some("not_registered")
+            Some(UnavailableReason::NotRegistered)
         } else if self.releasing {
-            Some("returning")
+            Some(UnavailableReason::Releasing)
         } else if self.in_doubt {
-            Some("in_doubt")
+            Some(UnavailableReason::InDoubt)
         } else if self.reclaim_at.is_some() {
-            Some("notice")
+            Some(UnavailableReason::SpotNotice)
         } else if self.quarantined_until > now {
-            Some("put_aside")
+            Some(UnavailableReason::Quarantined)
         } else if self.address.is_none() || !is_storable_name(&self.id) {
-            Some("no_address")
+            Some(UnavailableReason::NoAddress)
         } else if now >= self.last_seen_at + silence {
-            Some("silent")
+            Some(UnavailableReason::Unresponsive)
         } else if now >= self.last_heartbeat_at + silence {
-            Some("mute")
+            Some(UnavailableReason::OutboundPartitioned)
         } else if self.is_unreachable() {
-            Some("out_of_reach")
+            Some(UnavailableReason::Unreachable)
         } else {
             None
         }
     }
 
-    /// Two calls in a row did not get through, by either way, and nothing has come from it since.
+    /// Two calls in a row did not get through, by either path, and nothing has come from it since.
     /// First fit would send it the same tasks again and again.
-    pub(super) fn is_unreachable(&self) -> bool {
-        self.direct_failures >= 2 && self.last_seen_at <= self.last_call_at
-    }
-}
-
-impl WorkerLedger {
-    pub(super) fn machine(
-        id: &Arc<str>,
-        build: &str,
-        zone: &str,
-        spot: bool,
-        now: Micros,
-    ) -> Machine {
-        Machine {
-            id: id.clone(),
-            address: None,
-            machine_type: build.to_owned(),
-            zone: zone.to_owned(),
-            spot,
-            agent_epoch: 0,
-            sequence: 0,
-            fencing_token_seen: 0,
-            term_confirmed: false,
-            last_seen_at: 0,
-            last_heartbeat_at: now,
-            last_answered_at: 0,
-            registered: false,
-            registry_stale: false,
-            images_stale: false,
-            silent_since: None,
-            silence_stored: false,
-            silence_lease_end: None,
-            reclaim_at: None,
-            tasks: BTreeMap::new(),
-            fence_counter: 0,
-            in_flight: None,
-            last_call_at: 0,
-            direct_failures: 0,
-            use_proxy: false,
-            proxied_at: 0,
-            heartbeat_proxy: None,
-            in_doubt: false,
-            probed_elsewhere_until: 0,
-            images: BTreeMap::new(),
-            error_streak: 0,
-            failed_jobs: BTreeSet::new(),
-            quarantined_until: 0,
-            quarantines: 0,
-            slowness: 1.0,
-            run_time_bias: (0.0, 0.0),
-            idle_since: now,
-            first_seen: now,
-            releasing: false,
-            last_heartbeat: None,
-            settled_digest: None,
-        }
-    }
-
-    pub(super) fn entry(
-        state: TaskState,
-        attempt: u64,
-        uid: Arc<str>,
-        spec: Option<Arc<JobSpec>>,
-        delivery: Delivery,
-        now: Micros,
-    ) -> TaskEntry {
-        TaskEntry {
-            attempt,
-            state,
-            spec,
-            uid,
-            delivery,
-            stop: None,
-            cause: None,
-            acknowledge_allowed: false,
-            acknowledge_sent_at: None,
-            added_at: now,
-            running_since: None,
-            started_here: state == TaskState::Planned,
-        }
+    fn is_unreachable(&self) -> bool {
+        self.direct_failures >= UNREACHABLE_FAILURES && self.last_seen_at <= self.last_call_at
     }
 }
--- /dev/null
+++ b/src/worker_ledger/reported_tasks.rs
@@ -0,0 +1,198 @@
+//! Compares the tasks that a heartbeat lists with the entries of its machine.
+//!
+//! Works on one [`Machine`] at a time and appends to the ledger's events; it sends nothing. An
+//! entry that the heartbeat does not list is removed only on proof that its start can no longer
+//! be executed: that a task is missing from one heartbeat proves nothing by itself.
+
+use super::heartbeat::HeartbeatSource;
+use super::task_entry::{Delivery, StopRequest, TaskEntry, TaskState};
+use super::{LEASE_EXPIRED, Machine, NOT_THERE, TaskEvent, TaskEventKind};
+use crate::accounting::StopReason;
+use crate::clock::Micros;
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::reconciliation::ReportedState;
+use crate::seeded_hash::HashSet;
+use crate::task_id::{JobDirectory, TaskId};
+use crate::wire::{Heartbeat, JobSpec, ReportedTask, TaskStatus, split_task_name};
+use std::collections::btree_map;
+use std::sync::Arc;
+
+/// What the task list of one heartbeat amounts to.
+#[derive(Default)]
+pub(super) struct ReportedTasks {
+    /// Every attempt that the heartbeat lists.
+    pub(super) listed: HashSet<(TaskId, u64)>,
+    /// Attempts that the ledger did not know, while the machine is unproven.
+    pub(super) newly_reported: Vec<(TaskId, ReportedState)>,
+    /// Stored placements that turned out to be one of the listed attempts.
+    pub(super) confirmed_placements: Vec<TaskId>,
+}
+
+impl Machine {
+    /// Tasks whose stored placement here is unconfirmed and of which no attempt is known.
+    pub(super) fn unreported_placements(&self) -> Vec<TaskId> {
+        self.tasks
+            .iter()
+            .filter(|(_, entry)| entry.state == TaskState::Unconfirmed)
+            .map(|((task, _), _)| *task)
+            .filter(|task| self.attempts(*task).next().is_none())
+            .collect()
+    }
+
+    /// Takes the tasks that the heartbeat lists into the machine's entries. `unproven` says that
+    /// the machine had not shown this term's fencing token before this heartbeat.
+    pub(super) fn apply_reported_tasks(
+        &mut self,
+        now: Micros,
+        heartbeat: &Heartbeat,
+        unproven: bool,
+        jobs: &mut dyn JobDirectory,
+        events: &mut Vec<TaskEvent>,
+    ) -> ReportedTasks {
+        let mut outcome = ReportedTasks::default();
+        // Only a heartbeat under this term shows the attempt that a stored placement stands for. An
+        // earlier one, or a copy of it, may list the attempt before that: were the placement taken for
+        // it, the task would be free once that attempt is gone.
+        let confirms = self.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
+        for reported in &heartbeat.tasks {
+            let Some((uid, task, spec)) = identify(reported, jobs) else {
+                continue;
+            };
+            let attempt = reported.attempt;
+            outcome.listed.insert((task, attempt));
+            if attempt != 0 && confirms && self.tasks.remove(&(task, 0)).is_some() {
+                outcome.confirmed_placements.push(task);
+            }
+            let event = |kind| TaskEvent {
+                machine: self.id.clone(),
+                task,
+                attempt,
+                kind,
+            };
+            let entry = match self.tasks.entry((task, attempt)) {
+                btree_map::Entry::Occupied(known) => {
+                    let entry = known.into_mut();
+                    entry.delivery = Delivery::Settled;
+                    entry
+                }
+                btree_map::Entry::Vacant(unknown) => {
+                    if unproven {
+                        outcome
+                            .newly_reported
+                            .push((task, reported_state(reported.status)));
+                    }
+                    if spec.is_some() && reported.status != TaskStatus::Ended {
+                        events.push(event(TaskEventKind::Discovered));
+                    }
+                    // The answer to this very heartbeat stops it: were that left to a command of its own, a
+                    // worker that receives answers alone would have its lease renewed with the task on it.
+                    let stop = unwanted_reason(task, spec.is_some(), &*jobs)
+                        .map(|reason| StopRequest::new(0.0, reason));
+                    unknown.insert(TaskEntry::reported(uid, spec, stop, now))
+                }
+            };
+            if let Some(kind) = entry.apply_reported_status(now, reported) {
+                if kind == TaskEventKind::Started
+                    && let Some(spec) = &entry.spec
+                {
+                    let cached = (now, spec.image_gb);
+                    self.images_stale |= self.images.insert(spec.image.clone(), cached).is_none();
+                }
+                events.push(event(kind));
+            }
+        }
+        outcome
+    }
+
+    /// Removes the entries that the heartbeat does not list and whose start it rules out, with an
+    /// event for each that was not known to have ended.
+    pub(super) fn drop_unlisted_tasks(
+        &mut self,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        listed: &HashSet<(TaskId, u64)>,
+        agent_restarted: bool,
+        events: &mut Vec<TaskEvent>,
+    ) {
+        let why = if agent_restarted {
+            LEASE_EXPIRED
+        } else {
+            NOT_THERE
+        };
+        let (machine, term_confirmed) = (&self.id, self.term_confirmed);
+        self.tasks.retain(|(task, attempt), entry| {
+            if listed.contains(&(*task, *attempt))
+                || !rules_out(heartbeat, source, entry, term_confirmed)
+            {
+                return true;
+            }
+            if entry.occupies() {
+                events.push(TaskEvent::lost(machine, *task, *attempt, why));
+            }
+            false
+        });
+    }
+}
+
+/// The uid of the job, the task, and the description of the job if it is live. `None` for a name
+/// that is not of a task.
+fn identify<'a>(
+    reported: &'a ReportedTask,
+    jobs: &mut dyn JobDirectory,
+) -> Option<(&'a str, TaskId, Option<Arc<JobSpec>>)> {
+    let (uid, index) = split_task_name(&reported.task)?;
+    let (job, spec) = match jobs.find(uid) {
+        Some((job, spec)) => (job, Some(spec)),
+        None => (jobs.number_unknown_job(uid), None),
+    };
+    Some((uid, TaskId { job, index }, spec))
+}
+
+/// Whether an entry that the heartbeat does not list is surely not on the machine, and cannot be
+/// started there any more.
+fn rules_out(
+    heartbeat: &Heartbeat,
+    source: HeartbeatSource,
+    entry: &TaskEntry,
+    term_confirmed: bool,
+) -> bool {
+    if entry.state == TaskState::Unconfirmed {
+        // Only a heartbeat under this term rules out a late start by an older leader.
+        return term_confirmed;
+    }
+    match entry.delivery {
+        Delivery::Unsent => false,
+        Delivery::Settled => true,
+        Delivery::Direct {
+            token,
+            agent_epoch,
+            open,
+        } => heartbeat.agent_epoch > agent_epoch || (!open && heartbeat.fencing_token > token),
+        Delivery::Piggybacked {
+            agent_epoch,
+            sequence,
+        } => {
+            heartbeat.agent_epoch > agent_epoch
+                || (source.renews_lease() && heartbeat.sequence > sequence)
+        }
+    }
+}
+
+fn reported_state(status: TaskStatus) -> ReportedState {
+    if status == TaskStatus::Ended {
+        ReportedState::Ended
+    } else {
+        ReportedState::Present
+    }
+}
+
+/// Why an attempt that the ledger did not place must be stopped; `None` when it may stay.
+fn unwanted_reason(task: TaskId, is_live: bool, jobs: &dyn JobDirectory) -> Option<StopReason> {
+    if !is_live {
+        Some(StopReason::Redundant)
+    } else if jobs.is_cancelled(task.job) {
+        Some(StopReason::Cancelled)
+    } else {
+        None
+    }
+}
--- a/tests/suite/holds.rs
+++ b/tests/suite/holds.rs
@@ -50,7 +50,11 @@
         let leader = w.leader().expect("one leads");
         let status = w.ask(leader, "GET", "/inspect/status", Value::Null).1;
         let held = &status["machines_held"];
-        assert_eq!(*held, json!({"mute": 1}), "and operators see why");
+        assert_eq!(
+            *held,
+            json!({"outbound_partitioned": 1}),
+            "and operators see why"
+        );
         w.workers[mute].mute = false;
         w.run(6.0);
         assert!(
