--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -124,9 +124,9 @@
     term: u64,
     elected_at: Micros,
     /// The time without an answered heartbeat after which a worker kills its tasks.
-    lease: Micros,
+    lease_duration: Micros,
     /// How often a worker sends a heartbeat.
-    report_period: Micros,
+    heartbeat_period: Micros,
     /// The machines by name.
     pub machines: BTreeMap<Arc<str>, Machine>,
     tombstones: HashSet<Arc<str>>,
@@ -168,19 +168,19 @@
 
 impl WorkerLedger {
     /// An empty ledger for the term of a leader elected `now`, whose workers have a lease of that
-    /// length and send a heartbeat every `report_period`.
+    /// duration and send a heartbeat every `heartbeat_period`.
     pub fn new(
         term: u64,
         now: Micros,
-        lease: Micros,
-        report_period: Micros,
+        lease_duration: Micros,
+        heartbeat_period: Micros,
         peers: Vec<SocketAddr>,
     ) -> Self {
         Self {
             term,
             elected_at: now,
-            lease,
-            report_period,
+            lease_duration,
+            heartbeat_period,
             machines: BTreeMap::new(),
             tombstones: HashSet::default(),
             last_observed: HashMap::default(),
--- a/src/worker_ledger/commands.rs
+++ b/src/worker_ledger/commands.rs
@@ -2,7 +2,7 @@
 //!
 //! Fills lists of commands and marks the entries that they are for; how a list reaches the worker
 //! is the business of the heartbeat answer or of the direct call that carries it. A list never
-//! grows past [`COMMANDS_PER_ANSWER_MAX`]: workers list every attempt until its end is
+//! grows past [`COMMANDS_PER_MESSAGE_MAX`]: workers list every attempt until its end is
 //! acknowledged, so without a bound an answer could grow with a backlog.
 
 use super::Machine;
@@ -11,7 +11,7 @@
 use crate::task_id::TaskId;
 use crate::wire::{Command, CommandKind};
 
-const COMMANDS_PER_ANSWER_MAX: usize = 300;
+const COMMANDS_PER_MESSAGE_MAX: usize = 300;
 const STOP_RETRY_INTERVAL: Micros = 1_500 * MILLISECOND;
 const ACK_RETRY_INTERVAL: Micros = 2 * SECOND;
 
@@ -38,7 +38,7 @@
             sent_at.is_none_or(|sent_at| now >= sent_at + interval)
         };
         for ((task, attempt), entry) in &mut self.tasks {
-            if commands.len() >= COMMANDS_PER_ANSWER_MAX {
+            if commands.len() >= COMMANDS_PER_MESSAGE_MAX {
                 break;
             }
             if entry.state == TaskState::Ended {
@@ -74,7 +74,7 @@
     ) -> Vec<(TaskId, u64)> {
         let mut started = Vec::new();
         for ((task, attempt), entry) in &mut self.tasks {
-            if commands.len() >= COMMANDS_PER_ANSWER_MAX {
+            if commands.len() >= COMMANDS_PER_MESSAGE_MAX {
                 break;
             }
             if entry.state == TaskState::Ready {
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -82,7 +82,7 @@
             let scanned = self.next_scan_part(now);
             let machines = scanned.iter().filter_map(|id| self.machines.get(id));
             let with_due =
-                machines.filter(|m| m.has_due_command(now, self.elected_at, self.report_period));
+                machines.filter(|m| m.has_due_command(now, self.elected_at, self.heartbeat_period));
             due.extend(with_due.map(|machine| machine.id.clone()));
         }
         self.machines_examined += due.len() as u64;
@@ -117,7 +117,7 @@
             machine.use_proxy = false;
         }
         let is_probe =
-            *probes_left > 0 && machine.needs_probe(now, self.elected_at, self.report_period);
+            *probes_left > 0 && machine.needs_probe(now, self.elected_at, self.heartbeat_period);
         let fencing_token = term_base + machine.fence_counter;
         let mut commands = Vec::new();
         machine.collect_stops(now, CommandChannel::DirectCall, &mut commands);
@@ -195,7 +195,7 @@
     /// first again.
     fn next_scan_part(&mut self, now: Micros) -> Vec<Arc<str>> {
         // After a failover all wait to be probed, or to be taken back from peers that did not probe them.
-        let part_max = if now < self.elected_at + self.lease {
+        let part_max = if now < self.elected_at + self.lease_duration {
             usize::MAX
         } else {
             (self.machines.len() / SCAN_PARTS).max(FULL_SCAN_MACHINES)
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -190,7 +190,7 @@
             return false;
         }
         let had_address = machine.address.is_some();
-        let agent_restarted = machine.record_agent_epoch(now, heartbeat, self.lease);
+        let agent_restarted = machine.record_agent_epoch(now, heartbeat, self.lease_duration);
         machine.record_contact(now, heartbeat, source);
         self.any_machine_seen_at = now;
         if machine.reclaim_at.is_some() {
@@ -256,11 +256,16 @@
 
     /// Takes over the agent epoch; true when the agent has restarted since the last heartbeat, so
     /// that every task of its former epoch is gone.
-    fn record_agent_epoch(&mut self, now: Micros, heartbeat: &Heartbeat, lease: Micros) -> bool {
+    fn record_agent_epoch(
+        &mut self,
+        now: Micros,
+        heartbeat: &Heartbeat,
+        lease_duration: Micros,
+    ) -> bool {
         let restarted = heartbeat.agent_epoch > self.agent_epoch && self.agent_epoch > 0;
         // Its lease ran out though it was answered: answers may not reach it. It gets no start before it
         // has shown a fencing token that only an answer or a command sent from now on can have carried.
-        if restarted && self.term_confirmed && now < self.last_answered_at + lease {
+        if restarted && self.term_confirmed && now < self.last_answered_at + lease_duration {
             self.raise_fence();
         }
         self.agent_epoch = heartbeat.agent_epoch;
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -37,16 +37,16 @@
 impl WorkerLedger {
     /// Takes over the silence mark that an earlier leader stored at wall-clock time `silent_since`:
     /// nobody has answered the machine or started anything there since, and nobody will before the
-    /// mark is removed from the store. `time_bound` is the error of a node's wall clock.
+    /// mark is removed from the store. `clock_offset_max` is how far a controller's wall clock may be off.
     pub fn load_silence_mark(
         &mut self,
         id: &str,
         silent_since: Micros,
         now: Now,
-        time_bound: Micros,
+        clock_offset_max: Micros,
     ) {
-        let lease = drift_upper_bound(self.lease);
-        let lease_end = silent_since + lease + 2 * time_bound + SILENCE_MARK_MARGIN;
+        let lease = drift_upper_bound(self.lease_duration);
+        let lease_end = silent_since + lease + 2 * clock_offset_max + SILENCE_MARK_MARGIN;
         if let Some(machine) = self.machines.get_mut(id) {
             machine.silent_since = Some(silent_since);
             machine.silence_stored = true;
@@ -85,12 +85,12 @@
 
     /// The time after which a machine counts as silent.
     pub(super) fn silence_timeout(&self) -> Micros {
-        self.report_period * SILENT_HEARTBEAT_PERIODS
+        self.heartbeat_period * SILENT_HEARTBEAT_PERIODS
     }
 
     /// The end of a machine's lease, on the safe side.
     fn lease_end(&self, machine: &Machine) -> Micros {
-        let lease = drift_upper_bound(self.lease);
+        let lease = drift_upper_bound(self.lease_duration);
         let by_contact = match machine.last_answered_at.max(machine.last_seen_at) {
             0 => 0,
             contact => contact + lease,
