--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -12,14 +12,18 @@
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `machine`, `task_entry` | what is known of one machine, of one attempt |
+//! | `event`, `task_entry`, `machine` | what happened to an attempt; what is known of one attempt, of one machine |
 //! | `heartbeat`, `reported_tasks` | taking heartbeats in and answering them |
 //! | `commands`, `direct_calls` | which commands are due, and calls that do not wait for a heartbeat |
 //! | `probes` | which machines are probed, and by whom |
 //! | `leases` | when a machine's lease is over, and silence |
+//!
+//! The modules of the first row know nothing of the others; the others add methods to
+//! [`WorkerLedger`] and [`Machine`].
 
 mod commands;
 mod direct_calls;
+mod event;
 mod heartbeat;
 mod leases;
 mod machine;
@@ -35,21 +39,19 @@
 use crate::seeded_hash::{HashMap, HashSet};
 use crate::task_id::TaskId;
 use crate::wire::JobSpec;
-use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
 use direct_calls::DirectPathHealth;
+pub use event::{LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WITHDRAWN};
 pub use heartbeat::RepeatOutcome;
+use machine::FENCE_COUNTER_BITS;
 pub use machine::{Machine, UnavailableReason};
 pub use probes::PROXY_PROBE_HEAD_START;
 use task_entry::StopRequest;
 pub use task_entry::{TaskEntry, TaskState};
 
-/// Low bits of a fencing token, below the leader's term: a counter for each machine that voids
-/// direct commands whose outcome was lost.
-const FENCE_COUNTER_BITS: u32 = 24;
 /// The upper bits of an attempt number are the leader's term.
 const ATTEMPT_TERM_SHIFT: u32 = 32;
 const TOMBSTONES_MAX: usize = 4096;
@@ -59,66 +61,6 @@
     term << FENCE_COUNTER_BITS
 }
 
-/// Why an attempt was lost: the worker's lease ran out, or its agent restarted.
-pub const LEASE_EXPIRED: &str = "the worker's lease ran out";
-/// Why an attempt was lost: its machine was released or has failed.
-pub const MACHINE_GONE: &str = "its machine is gone";
-/// Why an attempt was lost: its machine has proven that it does not hold it.
-pub const NOT_THERE: &str = "not on its machine";
-/// Why an attempt was lost: its placement was taken back before its start was sent.
-const WITHDRAWN: &str = "withdrawn";
-
-/// A change that the ledger learned of.
-#[derive(Clone, Debug, PartialEq)]
-pub struct TaskEvent {
-    /// The machine that it happened on.
-    pub machine: Arc<str>,
-    /// The task that it is about.
-    pub task: TaskId,
-    /// The attempt of the task; 0 stands for a stored placement whose attempt is not known.
-    pub attempt: u64,
-    /// What happened.
-    pub kind: TaskEventKind,
-}
-
-impl TaskEvent {
-    fn lost(machine: &Arc<str>, task: TaskId, attempt: u64, why: &'static str) -> Self {
-        Self {
-            machine: machine.clone(),
-            task,
-            attempt,
-            kind: TaskEventKind::Lost { why },
-        }
-    }
-}
-
-/// What happened to an attempt.
-#[derive(Clone, Debug, PartialEq)]
-pub enum TaskEventKind {
-    /// A heartbeat lists an attempt that the ledger had not placed there.
-    Discovered,
-    /// The attempt runs.
-    Started,
-    /// A stored placement is the attempt that a heartbeat has listed.
-    PlacementConfirmed,
-    /// The attempt ended.
-    Ended {
-        /// Why it ended, in the worker's words.
-        cause: CompactString,
-        /// Whether its state was saved.
-        saved: bool,
-        /// How long it ran; 0 unless this leader started it.
-        ran: Micros,
-        /// Why it was commanded to stop, if it was.
-        stop: Option<StopReason>,
-    },
-    /// The attempt is surely not there any more, or never was.
-    Lost {
-        /// What is the proof of it.
-        why: &'static str,
-    },
-}
-
 /// All machines and attempts that a leader answers for, during one term.
 pub struct WorkerLedger {
     term: u64,
--- a/src/worker_ledger/commands.rs
+++ b/src/worker_ledger/commands.rs
@@ -5,7 +5,7 @@
 //! grows past [`COMMANDS_PER_MESSAGE_MAX`]: workers list every attempt until its end is
 //! acknowledged, so without a bound an answer could grow with a backlog.
 
-use super::Machine;
+use super::machine::Machine;
 use super::task_entry::{Delivery, TaskState};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::task_id::TaskId;
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -5,11 +5,10 @@
 //! outcome is unknown raises the machine's fence, so that no new start is sent before the lost one
 //! can no longer be executed; a call that was surely not executed may be repeated at once.
 
+use super::WorkerLedger;
 use super::commands::CommandChannel;
-use super::heartbeat::HeartbeatSource;
-use super::machine::InFlightCall;
+use super::machine::{HeartbeatSource, InFlightCall, Machine};
 use super::task_entry::{Delivery, TaskEntry, TaskState};
-use super::{Machine, WorkerLedger};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::messages::{Outcome, Output, Ticket};
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -6,9 +6,11 @@
 //! nothing, and its answer carries no commands; a machine with a tombstone, or one whose silence
 //! is stored, never gets a successful answer.
 
+use super::WorkerLedger;
 use super::commands::CommandChannel;
+use super::event::{TaskEvent, TaskEventKind};
+use super::machine::{DigestedHeartbeat, FENCE_COUNTER_BITS, HeartbeatSource, Machine};
 use super::task_entry::{Delivery, TaskEntry};
-use super::{FENCE_COUNTER_BITS, Machine, TaskEvent, TaskEventKind, WorkerLedger};
 use crate::clock::{Micros, from_secs};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::task_id::JobDirectory;
@@ -33,29 +35,6 @@
     }
 }
 
-/// How a heartbeat reached this node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum HeartbeatSource {
-    /// The worker posted it, through a peer where one is given; the answer renews its lease.
-    CheckIn { proxy: Option<SocketAddr> },
-    /// The worker answered a command or a probe; this renews no lease.
-    CommandAnswer,
-}
-
-impl HeartbeatSource {
-    pub(super) fn renews_lease(self) -> bool {
-        matches!(self, Self::CheckIn { .. })
-    }
-}
-
-/// A heartbeat that is kept so that another which differs only in its sequence number need not be
-/// sent and parsed again.
-pub(super) struct DigestedHeartbeat {
-    /// Digest of the heartbeat without its sequence number.
-    digest: u128,
-    heartbeat: Box<Heartbeat>,
-}
-
 impl WorkerLedger {
     /// Takes a heartbeat that a worker posted and returns the answer, or `None` when the worker
     /// must get no successful answer: its machine is gone, or its silence is stored. `digest`, if
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -4,7 +4,9 @@
 //! lease. Every bound here is on the safe side: it allows for the drift between the clocks and for
 //! answers that an earlier leader may have given. Nothing is freed before the bound has passed.
 
-use super::{LEASE_EXPIRED, Machine, WorkerLedger};
+use super::WorkerLedger;
+use super::event::LEASE_EXPIRED;
+use super::machine::Machine;
 use crate::clock::{Micros, Now, SECOND, drift_upper_bound};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use std::collections::BTreeMap;
--- a/src/worker_ledger/machine.rs
+++ b/src/worker_ledger/machine.rs
@@ -5,18 +5,21 @@
 //! ([`Machine::unavailable_reason`]) and keeps its record of failures (quarantine). What heartbeats,
 //! commands, probes and leases change in it stands in the sibling module of that name.
 
-use super::heartbeat::DigestedHeartbeat;
+use super::event::TaskEvent;
 use super::task_entry::{TaskEntry, TaskState};
-use super::{FENCE_COUNTER_BITS, TaskEvent};
 use crate::clock::{Micros, SECOND};
 use crate::messages::Ticket;
 use crate::schema::is_storable_name;
 use crate::task_id::TaskId;
+use crate::wire::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Low bits of a fencing token, below the leader's term: a counter for each machine that voids
+/// direct commands whose outcome was lost.
+pub(super) const FENCE_COUNTER_BITS: u32 = 24;
 /// How long a machine that fails its tasks gets no new ones, the first time.
 const QUARANTINE: Micros = 45 * SECOND;
 /// The longest quarantine: a task that fits only that machine waits no longer than 90 s for it once it is sound
@@ -31,6 +34,31 @@
 /// That many direct calls in a row that fail make a machine unreachable.
 const UNREACHABLE_FAILURES: u32 = 2;
 
+/// How a heartbeat reached this node.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HeartbeatSource {
+    /// The worker posted it, through a peer where one is given; the answer renews its lease.
+    CheckIn { proxy: Option<SocketAddr> },
+    /// The worker answered a command or a probe; this renews no lease.
+    CommandAnswer,
+}
+
+impl HeartbeatSource {
+    /// Whether an answer to it renews the worker's lease.
+    pub(super) fn renews_lease(self) -> bool {
+        matches!(self, Self::CheckIn { .. })
+    }
+}
+
+/// A heartbeat that is kept so that another which differs only in its sequence number need not be
+/// sent and parsed again.
+pub(super) struct DigestedHeartbeat {
+    /// Digest of the heartbeat without its sequence number.
+    pub(super) digest: u128,
+    /// The heartbeat as it was received.
+    pub(super) heartbeat: Box<Heartbeat>,
+}
+
 /// A direct call to the machine that has no outcome yet.
 pub(super) struct InFlightCall {
     /// Identifies the call's outcome.
--- a/src/worker_ledger/probes.rs
+++ b/src/worker_ledger/probes.rs
@@ -4,7 +4,8 @@
 //! the leader shares the machines that have not reported under its term among the controllers, so
 //! that no node has to call the whole fleet. A probe renews no lease.
 
-use super::{Machine, WorkerLedger};
+use super::WorkerLedger;
+use super::machine::Machine;
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::wire::ProbeRow;
 use std::collections::BTreeMap;
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -4,9 +4,9 @@
 //! entry that the heartbeat does not list is removed only on proof that its start can no longer
 //! be executed: that a task is missing from one heartbeat proves nothing by itself.
 
-use super::heartbeat::HeartbeatSource;
+use super::event::{LEASE_EXPIRED, NOT_THERE, TaskEvent, TaskEventKind};
+use super::machine::{HeartbeatSource, Machine};
 use super::task_entry::{Delivery, StopRequest, TaskEntry, TaskState};
-use super::{LEASE_EXPIRED, Machine, NOT_THERE, TaskEvent, TaskEventKind};
 use crate::accounting::StopReason;
 use crate::clock::Micros;
 use crate::fault_injection::{InjectedFault, fault_injected};
--- a/src/worker_ledger/task_entry.rs
+++ b/src/worker_ledger/task_entry.rs
@@ -4,7 +4,7 @@
 //! Owns no map and sends nothing: a [`Machine`](super::Machine) holds the entries. The invariant
 //! kept here is that an entry whose end was reported never returns to a live state.
 
-use super::TaskEventKind;
+use super::event::TaskEventKind;
 use crate::accounting::StopReason;
 use crate::clock::Micros;
 use crate::wire::{Command, CommandKind, JobSpec, ReportedTask, TaskStatus};
