--- a/src/standby.rs
+++ b/src/standby.rs
@@ -1,59 +1,72 @@
-//! Who follows the leader, and what a mirror must show before a leader decides by it. Pure.
+//! Which controllers are standbys, how long each waits before it tries to become leader, and why a replica may
+//! not be used for decisions. Pure rules over what every controller knows; it owns no state.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::replica::Checksum;
 
-/// How many controllers follow.
+#[cfg(test)]
+mod tests;
+
+/// Number of standbys beside the leader.
 pub const STANDBYS: usize = 2;
-/// How often a standby asks for the changes since: each such question is one request, and the bytes
-/// are the same however often it is asked.
+/// How often a standby reads the changes since its last read. Each read is one request; the bytes
+/// transferred do not depend on how often it reads.
 pub const REPLICATION_INTERVAL: Micros = 4 * SECOND;
-/// Between two pages while a mirror is filled: there is time.
+/// Time between two pages while a replica is filled: nothing depends on it soon.
 pub const PAGE_INTERVAL: Micros = 500 * MILLISECOND;
-/// After a mirror was thrown away it is filled anew, but not at once.
+/// Time from discarding a replica to filling it again.
 pub const REBUILD_DELAY: Micros = 10 * SECOND;
-/// The leader's word is overdue: there may be no leader, and little will change until there is one
-/// again, so what is asked now need not be asked at the takeover.
+/// A standby that has had no message from the leader for this long reads the changes at once: there may be no
+/// leader, little changes until there is one again, and what is read now need not be read during the failover.
 pub const LEADER_OVERDUE_AFTER: Micros = 1_500 * MILLISECOND;
-/// How long the second standby, and all others, let the first try to lead.
+/// How long the second standby lets the first one try to become leader.
 const SECOND_STANDBY_DELAY: Micros = 120 * MILLISECOND;
+/// How long a controller without a warm replica lets the standbys try to become leader.
 const COLD_NODE_DELAY: Micros = 350 * MILLISECOND;
-/// A node whose former life led when it ended waits that much longer: one that ends again and again would
-/// else take the lead each time to lose it, as soon as no other is warm.
+/// A controller whose earlier incarnation was the leader when it ended waits this much longer: one that ends
+/// again and again would otherwise become leader each time, only to lose leadership, whenever no other
+/// controller is warm.
 pub const RESTARTED_LEADER_DELAY: Micros = 500 * MILLISECOND;
 
-/// The nodes that follow, named by rule from what every node knows: first those in other zones than
-/// the leader, and the second, where there is one, in another zone than the first. `nodes` are label
-/// and zone of all, the leader among them; the order in the settings does not matter.
+/// Penalty of a candidate in the leader's zone; more than that of one beside another standby.
+const LEADER_ZONE_PENALTY: usize = 2;
+
+/// The names of the standbys for a leader, in the order of their rank. Every controller computes the same ones:
+/// first those in other zones than the leader, and the second, where possible, in another zone than the first.
+///
+/// `nodes` are the names and zones of all controllers, with the leader among them; their order does not
+/// matter. Without the leader among them there are no standbys.
 pub fn choose_standbys<'a>(leader: &str, nodes: &[(&'a str, &str)]) -> Vec<&'a str> {
-    let mut ring = nodes.to_vec();
-    ring.sort_unstable();
-    let Some(at) = ring.iter().position(|n| n.0 == leader) else {
+    let mut candidates = nodes.to_vec();
+    candidates.sort_unstable();
+    let Some(position) = candidates.iter().position(|(name, _)| *name == leader) else {
         return Vec::new();
     };
-    // From the leader on around, so that not the same two follow whoever leads.
-    ring.rotate_left(at);
-    let home = ring.remove(0).1;
-    let mut chosen: Vec<(&str, &str)> = Vec::new();
+    // Counted from the leader on, so that the standbys are not the same two for every leader.
+    candidates.rotate_left(position);
+    let (_, leader_zone) = candidates.remove(0);
+    let mut chosen: Vec<(&'a str, &str)> = Vec::new();
     while chosen.len() < STANDBYS {
-        let free = |n: &&(&'a str, &str)| !chosen.iter().any(|c| c.0 == n.0);
-        let apart = |n: &&(&'a str, &str)| {
-            let beside = chosen.iter().filter(|c| c.1 == n.1).count();
-            2 * usize::from(n.1 == home) + beside
+        let penalty = |(_, zone): &(&'a str, &str)| {
+            let in_same_zone = chosen.iter().filter(|(_, other)| other == zone).count();
+            LEADER_ZONE_PENALTY * usize::from(*zone == leader_zone) + in_same_zone
         };
-        let Some(next) = ring.iter().filter(free).min_by_key(apart) else {
+        let free = candidates
+            .iter()
+            .filter(|(name, _)| !chosen.iter().any(|(other, _)| other == name));
+        let Some(next) = free.min_by_key(|candidate| penalty(candidate)) else {
             break;
         };
         chosen.push(*next);
     }
-    chosen
-        .iter()
-        .filter_map(|c| ring.iter().find(|n| n.0 == c.0).map(|n| n.0))
-        .collect()
+    chosen.into_iter().map(|(name, _)| name).collect()
 }
 
-/// How long a node waits before it asks for the lead, once that is free. One standby alone asks at
-/// once; a cold node leaves the lead to a warm one, for a moment.
+/// How long a controller waits before it tries to become leader, once there is none, in microseconds. The
+/// first warm standby does not wait; a controller that is cold or no standby waits for the warm ones.
+///
+/// `rank` is the controller's place among the standbys, None where it is none; `warm` tells whether its
+/// replica is complete and verified.
 pub fn candidacy_delay(rank: Option<usize>, warm: bool) -> Micros {
     match rank {
         Some(0) if warm => 0,
@@ -62,24 +75,25 @@
     }
 }
 
-/// Why a mirror is not decided by.
+/// Why a replica may not be used for decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdReason {
-    /// This node did not follow.
+    /// This controller was no standby.
     NotReplicating,
-    /// It was still being filled.
+    /// The replica was still being filled.
     Incomplete,
-    /// The leader never told a sum that it could be compared with.
+    /// The leader announced no checksum that the replica's could be compared with.
     Unverified,
-    /// Its sum differed from the leader's.
+    /// The replica's checksum differed from the leader's.
     ChecksumDiffers,
-    /// It had fallen too far behind: changes are missing.
+    /// The replica was too old: the state service no longer has all changes since.
     ChangesMissing,
-    /// The state service did not tell the changes since.
+    /// The state service refused to list the changes.
     ChangesUnavailable,
 }
 
 impl ColdReason {
+    /// The name that operators see in logs and in the inspection.
     pub fn as_str(self) -> &'static str {
         match self {
             ColdReason::NotReplicating => "not-following",
@@ -92,44 +106,11 @@
     }
 }
 
-/// What the leader tells of the live jobs it knows: their sum at an epoch.
+/// A checksum that the leader announced, of the live jobs it knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderChecksum {
+    /// The store revision up to which the leader knows all changes.
     pub revision: u64,
+    /// Checksum over the live jobs at that revision.
     pub checksum: Checksum,
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn the_followers_are_in_other_zones_and_every_node_names_the_same() {
-        let seven = [
-            ("n-1", "a"),
-            ("n-2", "b"),
-            ("n-3", "c"),
-            ("n-4", "a"),
-            ("n-5", "b"),
-            ("n-6", "c"),
-            ("n-7", "a"),
-        ];
-        assert_eq!(choose_standbys("n-1", &seven), ["n-2", "n-3"]);
-        assert_eq!(choose_standbys("n-4", &seven), ["n-5", "n-6"]);
-        let mut turned = seven;
-        turned.reverse();
-        assert_eq!(choose_standbys("n-4", &turned), ["n-5", "n-6"]);
-        let one_zone = [("n-1", "a"), ("n-2", "a"), ("n-3", "a")];
-        assert_eq!(choose_standbys("n-3", &one_zone), ["n-1", "n-2"]);
-        let near = [("n-1", "a"), ("n-2", "a"), ("n-3", "b"), ("n-4", "b")];
-        assert_eq!(choose_standbys("n-1", &near), ["n-3", "n-4"]);
-        assert_eq!(
-            choose_standbys("n-1", &[("n-1", "a"), ("n-2", "a")]),
-            ["n-2"]
-        );
-        assert!(choose_standbys("n-9", &near).is_empty());
-        assert!(candidacy_delay(Some(0), true) < candidacy_delay(Some(1), true));
-        assert!(candidacy_delay(Some(1), true) < candidacy_delay(Some(0), false));
-        assert_eq!(candidacy_delay(Some(0), false), candidacy_delay(None, true));
-    }
-}
