--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,19 +1,23 @@
-//! A copy of what a leader needs of the state service: jobs, placements, the roll with its marks, the
-//! format. Filled page by page, then kept up by the changes that a watch tells, it holds what is stored
-//! at one epoch. A leader is built from one, whether it followed for hours or was filled just now.
+//! A copy of what a leader needs from the state service: live and stopping jobs with their chunks, the machine
+//! registry, and the schema version.
 //!
-//! Pure: `wants` says what to ask, `page` and `apply` take what was answered. Nothing is decided on a
-//! copy that is not whole; what proves it is the store's own answer, see `docs/standby.md`.
+//! A [`Replica`] is filled page by page and then kept up to date by the changes that a watch reports. Once it is
+//! complete it holds exactly what is stored at one store revision. Every leader is built from one, whether it
+//! was a standby for hours or filled the replica just now.
+//!
+//! It does no I/O: [`Replica::next_reads`] says what to read, [`Replica::apply_page`] and
+//! [`Replica::apply_changes`] take the replies. Nothing may be decided on a replica that is not complete; how a
+//! replica is verified is described in `docs/standby.md`.
 
-use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX};
+use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX, live_key};
 use crate::registry::REGISTRY_PREFIX;
 use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY};
-use crate::state_client::{Item, WatchEvent};
+use crate::state_client::{Item, Raw, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What is followed, by prefix.
+/// The prefixes of all replicated keys.
 pub const REPLICATED_PREFIXES: [&str; 5] = [
     LIVE_PREFIX,
     STOPPING_PREFIX,
@@ -21,66 +25,122 @@
     CHUNKS_PREFIX,
     SCHEMA_VERSION_KEY,
 ];
-/// So many sums of earlier epochs are kept, to be compared with what the leader tells.
+/// Number of revisions whose checksum over the live jobs is kept, for comparison with the leader's.
 const CHECKSUMS_KEPT: usize = 4096;
 
-/// A stored job, read when it came: at a takeover there is no time for that.
+/// A stored job, decoded when it was read: a failover has no time for that.
 pub struct JobHeader {
+    /// Revision of the job's key.
     pub mod_revision: u64,
     /// Length of the stored value.
     pub bytes: usize,
-    /// The job and how many pieces belong to it, or why it can't be read.
+    /// The job and the number of its chunks, or why it can't be decoded.
     pub decoded: Result<(JobRecord, usize), String>,
 }
 
-/// How far the filling of one prefix is.
+impl JobHeader {
+    fn decode(value: &Raw, mod_revision: u64) -> Self {
+        Self {
+            mod_revision,
+            bytes: value.get().len(),
+            decoded: schema::decode_job(value),
+        }
+    }
+}
+
+/// How far the reading of one prefix is.
 #[derive(Clone, Debug, PartialEq)]
 enum PageState {
-    /// To be asked, after this key.
+    /// The page after this key is to be read.
     Due(String),
+    /// A page was requested.
     Requested,
+    /// All pages were read.
     Complete,
 }
 
-/// What the mirror would ask next.
+/// A read that the replica needs next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaRead {
+    /// A page of one prefix.
     Page {
+        /// One of [`REPLICATED_PREFIXES`].
         prefix: &'static str,
+        /// The last key that was read; empty for the first page.
         after: String,
     },
-    /// All that changed since.
+    /// All changes of replicated keys since a store revision.
     Changes {
+        /// The revision up to which all changes are known.
         from: u64,
     },
 }
 
-/// A sum over keys and stamps that does not depend on their order.
+/// A checksum over keys and their revisions; it does not depend on the order of the keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checksum(pub u64);
 
 impl Checksum {
-    /// Adds a key, or takes it away again.
+    /// Adds a key at a revision, or removes it again.
     pub fn toggle(&mut self, path: &str, mod_revision: u64) {
         self.0 ^= xxh3_64_with_seed(path.as_bytes(), mod_revision);
     }
 }
 
+/// The checksum over the live jobs as of a store revision.
+struct ChecksumAt {
+    revision: u64,
+    checksum: Checksum,
+}
+
+/// A replicated key, by where its value is held.
+#[derive(Clone, Copy)]
+enum ReplicatedKey<'a> {
+    /// A live job, by its uid.
+    Live(&'a str),
+    /// A stopping job, by its uid.
+    Stopping(&'a str),
+    /// A registry page, a chunk, or the schema version.
+    Other,
+}
+
+impl<'a> ReplicatedKey<'a> {
+    /// None for a key that is not replicated.
+    fn parse(path: &'a str) -> Option<Self> {
+        if let Some(uid) = path.strip_prefix(LIVE_PREFIX) {
+            return Some(Self::Live(uid));
+        }
+        if let Some(uid) = path.strip_prefix(STOPPING_PREFIX) {
+            return Some(Self::Stopping(uid));
+        }
+        let other = path.starts_with(REGISTRY_PREFIX)
+            || path.starts_with(CHUNKS_PREFIX)
+            || path == SCHEMA_VERSION_KEY;
+        other.then_some(Self::Other)
+    }
+}
+
+/// A copy of the replicated keys; see the module's documentation.
 pub struct Replica {
+    /// Live jobs by uid.
     pub live: BTreeMap<Arc<str>, JobHeader>,
+    /// Stopping jobs by uid.
     pub stopping: BTreeMap<Arc<str>, JobHeader>,
-    /// Pages of the roll, pieces, and the format, by key.
+    /// Registry pages, chunks, and the schema version, by key.
     other_values: BTreeMap<String, Item>,
     pages: [PageState; REPLICATED_PREFIXES.len()],
-    /// All changes up to here are in it, once it is whole.
+    /// Once the replica is complete, it holds all changes up to this store revision.
     revision: u64,
-    /// Of the first and of the last page: changes between them may be missing.
+    /// Store revision of the earliest page: changes after it may be missing.
     first_page_revision: Option<u64>,
+    /// Store revision of the latest page.
     last_page_revision: u64,
+    /// Over all replicated keys.
     checksum: Checksum,
+    /// Over the live jobs.
     jobs_checksum: Checksum,
-    /// The sum over live jobs after each change of one, by epoch.
-    jobs_checksum_history: VecDeque<(u64, Checksum)>,
+    /// The checksum over the live jobs after each change of one, in the order of the revisions.
+    jobs_checksum_history: VecDeque<ChecksumAt>,
 }
 
 impl Default for Replica {
@@ -102,49 +162,50 @@
 
 impl Replica {
     fn all_pages_read(&self) -> bool {
-        self.pages.iter().all(|p| *p == PageState::Complete)
+        self.pages.iter().all(|page| *page == PageState::Complete)
     }
 
-    /// Whether it holds what is stored at `epoch()`, and nothing else.
+    /// Whether it holds exactly what is stored at [`Replica::revision`].
     pub fn is_complete(&self) -> bool {
         self.all_pages_read() && self.revision >= self.last_page_revision
     }
 
+    /// The store revision up to which all changes are applied, once the replica is complete.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
+    /// Number of keys held.
     pub fn key_count(&self) -> usize {
         self.live.len() + self.stopping.len() + self.other_values.len()
     }
 
-    /// Over all keys that are followed.
+    /// The checksum over all replicated keys.
     pub fn checksum(&self) -> Checksum {
         self.checksum
     }
 
-    /// Over the live jobs as they were at an epoch; None where that is not known.
+    /// The checksum over the live jobs as of a store revision; None where it is not known: the replica is not
+    /// complete, has not reached that revision, or no longer keeps the checksum.
     pub fn jobs_checksum_at(&self, revision: u64) -> Option<Checksum> {
         if !self.is_complete() || revision > self.revision {
             return None;
         }
-        let at = self
-            .jobs_checksum_history
-            .partition_point(|s| s.0 <= revision);
-        at.checked_sub(1).map(|n| self.jobs_checksum_history[n].1)
+        let history = &self.jobs_checksum_history;
+        let later = history.partition_point(|known| known.revision <= revision);
+        later.checked_sub(1).map(|last| history[last].checksum)
     }
 
-    /// What to ask now: pages that are due, or, when there are none and none is asked for, the
-    /// changes since.
+    /// The reads that are due: pages, or, once all pages are read, the changes since.
     pub fn next_reads(&self) -> Vec<ReplicaRead> {
-        let due = REPLICATED_PREFIXES.iter().zip(&self.pages);
-        let due: Vec<ReplicaRead> = due
+        let pages = REPLICATED_PREFIXES.iter().zip(&self.pages);
+        let due: Vec<ReplicaRead> = pages
             .filter_map(|(prefix, page)| match page {
                 PageState::Due(after) => Some(ReplicaRead::Page {
                     prefix,
                     after: after.clone(),
                 }),
-                _ => None,
+                PageState::Requested | PageState::Complete => None,
             })
             .collect();
         if due.is_empty() && self.all_pages_read() {
@@ -156,28 +217,28 @@
     }
 
     fn page_of(&mut self, prefix: &str) -> Option<&mut PageState> {
-        let at = REPLICATED_PREFIXES.iter().position(|p| *p == prefix)?;
-        Some(&mut self.pages[at])
+        let position = REPLICATED_PREFIXES.iter().position(|p| *p == prefix)?;
+        Some(&mut self.pages[position])
     }
 
-    /// A page was asked for.
+    /// Records that a page was requested.
     pub fn note_page_requested(&mut self, prefix: &str) {
         if let Some(page) = self.page_of(prefix) {
             *page = PageState::Requested;
         }
     }
 
-    /// A page was not answered: it is due again.
+    /// Records that a requested page was not returned: it is due again.
     pub fn note_page_unanswered(&mut self, prefix: &str, after: String) {
         if let Some(page) = self.page_of(prefix) {
             *page = PageState::Due(after);
         }
     }
 
-    /// Takes a page. Each shows its own epoch; what changed between them is told by the changes
-    /// since the first.
+    /// Applies a page that was read at `revision`. Pages are read at different revisions; the changes since the
+    /// earliest one complete what happened in between.
     pub fn apply_page(&mut self, prefix: &str, items: Vec<Item>, truncated: bool, revision: u64) {
-        let after = items.last().map(|i| i.path.clone());
+        let after = items.last().map(|item| item.path.clone());
         for item in items {
             self.set(item);
         }
@@ -194,117 +255,113 @@
         self.start_checksum_history();
     }
 
-    /// The changes between the first page and the last can't be had: what was read must do.
+    /// Takes the pages as complete where the changes between the earliest and the latest one can't be read.
     pub fn accept_pages_as_complete(&mut self) {
         self.last_page_revision = self.revision;
         self.start_checksum_history();
     }
 
-    /// Takes all changes up to an epoch, in their order.
+    /// Applies all changes up to a store revision.
     pub fn apply_changes(&mut self, mut events: Vec<WatchEvent>, revision: u64) {
-        events.sort_by_key(|e| e.mod_revision);
-        for e in events {
-            let mod_revision = e.mod_revision;
-            match e.value {
+        events.sort_by_key(|event| event.mod_revision);
+        for event in events {
+            let mod_revision = event.mod_revision;
+            match event.value {
                 Some(value) => self.set(Item {
-                    path: e.path,
+                    path: event.path,
                     value,
                     mod_revision,
                 }),
-                None => self.delete(&e.path, mod_revision),
+                None => self.delete(&event.path, mod_revision),
             }
         }
         self.revision = self.revision.max(revision);
         self.start_checksum_history();
     }
 
-    /// Once it is whole, sums can be told of it.
+    /// Once the replica is complete, its checksum belongs to a store revision.
     fn start_checksum_history(&mut self) {
         if self.is_complete() && self.jobs_checksum_history.is_empty() {
-            self.jobs_checksum_history
-                .push_back((self.revision, self.jobs_checksum));
+            self.jobs_checksum_history.push_back(ChecksumAt {
+                revision: self.revision,
+                checksum: self.jobs_checksum,
+            });
         }
     }
 
+    /// The revision of a key that is held.
+    fn held_revision(&self, key: ReplicatedKey<'_>, path: &str) -> Option<u64> {
+        match key {
+            ReplicatedKey::Live(uid) => self.live.get(uid).map(|job| job.mod_revision),
+            ReplicatedKey::Stopping(uid) => self.stopping.get(uid).map(|job| job.mod_revision),
+            ReplicatedKey::Other => self.other_values.get(path).map(|item| item.mod_revision),
+        }
+    }
+
+    /// Sets a key, unless it is held at this revision or a later one.
     fn set(&mut self, item: Item) {
         let Item {
             path,
             value,
             mod_revision,
         } = item;
-        let jobs = [(LIVE_PREFIX, true), (STOPPING_PREFIX, false)];
-        let job = jobs
-            .iter()
-            .find_map(|(p, live)| Some((path.strip_prefix(p)?, *live)));
-        let old = match job {
-            Some((uid, live)) => {
-                let heads = if live {
-                    &mut self.live
-                } else {
-                    &mut self.stopping
-                };
-                let known = heads.get(uid).map(|h| h.mod_revision);
-                if known.is_some_and(|s| s >= mod_revision) {
-                    return;
-                }
-                let head = JobHeader {
-                    mod_revision,
-                    bytes: value.get().len(),
-                    decoded: schema::decode_job(&value),
-                };
-                heads.insert(uid.into(), head);
-                known
+        let Some(key) = ReplicatedKey::parse(&path) else {
+            return;
+        };
+        let held = self.held_revision(key, &path);
+        if held.is_some_and(|held| held >= mod_revision) {
+            return;
+        }
+        match key {
+            ReplicatedKey::Live(uid) => {
+                self.live
+                    .insert(uid.into(), JobHeader::decode(&value, mod_revision));
             }
-            None if is_followed(&path) => {
-                let known = self.other_values.get(&path).map(|i| i.mod_revision);
-                if known.is_some_and(|s| s >= mod_revision) {
-                    return;
-                }
+            ReplicatedKey::Stopping(uid) => {
+                self.stopping
+                    .insert(uid.into(), JobHeader::decode(&value, mod_revision));
+            }
+            ReplicatedKey::Other => {
                 let item = Item {
                     path: path.clone(),
                     value,
                     mod_revision,
                 };
                 self.other_values.insert(path.clone(), item);
-                known
             }
-            None => return,
-        };
-        if let Some(old) = old {
-            self.toggle(&path, old);
+        }
+        if let Some(held) = held {
+            self.toggle(&path, held);
         }
         self.toggle(&path, mod_revision);
         self.record_checksum(&path, mod_revision);
     }
 
+    /// Deletes a key, unless it is held at a later revision.
     fn delete(&mut self, path: &str, mod_revision: u64) {
-        let older = |s: u64| s < mod_revision;
-        let old = if let Some(uid) = path.strip_prefix(LIVE_PREFIX) {
-            self.live
-                .get(uid)
-                .map(|h| h.mod_revision)
-                .filter(|s| older(*s))
-        } else if let Some(uid) = path.strip_prefix(STOPPING_PREFIX) {
-            let known = self.stopping.get(uid);
-            known.map(|h| h.mod_revision).filter(|s| older(*s))
-        } else {
-            self.other_values
-                .get(path)
-                .map(|i| i.mod_revision)
-                .filter(|s| older(*s))
+        let Some(key) = ReplicatedKey::parse(path) else {
+            return;
         };
-        let Some(old) = old else { return };
-        if let Some(uid) = path.strip_prefix(LIVE_PREFIX) {
-            self.live.remove(uid);
-        } else if let Some(uid) = path.strip_prefix(STOPPING_PREFIX) {
-            self.stopping.remove(uid);
-        } else {
-            self.other_values.remove(path);
+        let held = self.held_revision(key, path);
+        let Some(held) = held.filter(|held| *held < mod_revision) else {
+            return;
+        };
+        match key {
+            ReplicatedKey::Live(uid) => {
+                self.live.remove(uid);
+            }
+            ReplicatedKey::Stopping(uid) => {
+                self.stopping.remove(uid);
+            }
+            ReplicatedKey::Other => {
+                self.other_values.remove(path);
+            }
         }
-        self.toggle(path, old);
+        self.toggle(path, held);
         self.record_checksum(path, mod_revision);
     }
 
+    /// Adds a key at a revision to the checksums, or removes it again.
     fn toggle(&mut self, path: &str, mod_revision: u64) {
         self.checksum.toggle(path, mod_revision);
         if path.starts_with(LIVE_PREFIX) {
@@ -312,57 +369,59 @@
         }
     }
 
-    /// While it is being filled its sums are of no epoch.
+    /// Records the checksum over the live jobs after a change. While the replica is filled there is no history,
+    /// since its checksum belongs to no store revision.
     fn record_checksum(&mut self, path: &str, mod_revision: u64) {
-        if self.jobs_checksum_history.is_empty() || !path.starts_with(LIVE_PREFIX) {
+        let checksum = self.jobs_checksum;
+        let history = &mut self.jobs_checksum_history;
+        if history.is_empty() || !path.starts_with(LIVE_PREFIX) {
             return;
         }
-        match self.jobs_checksum_history.back_mut() {
-            Some(last) if last.0 == mod_revision => last.1 = self.jobs_checksum,
-            _ => self
-                .jobs_checksum_history
-                .push_back((mod_revision, self.jobs_checksum)),
+        match history.back_mut() {
+            Some(last) if last.revision == mod_revision => last.checksum = checksum,
+            _ => history.push_back(ChecksumAt {
+                revision: mod_revision,
+                checksum,
+            }),
         }
-        if self.jobs_checksum_history.len() > CHECKSUMS_KEPT {
-            self.jobs_checksum_history.pop_front();
+        if history.len() > CHECKSUMS_KEPT {
+            history.pop_front();
         }
     }
 
-    /// Pages of the roll, in the order of their keys.
+    /// The pages of the machine registry, in the order of their keys.
     pub fn registry_pages(&self) -> impl Iterator<Item = &Item> {
-        let pages = self.other_values.range(REGISTRY_PREFIX.to_owned()..);
-        pages
-            .map(|p| p.1)
-            .take_while(|i| i.path.starts_with(REGISTRY_PREFIX))
+        let from_first = self.other_values.range(REGISTRY_PREFIX.to_owned()..);
+        from_first
+            .map(|(_, item)| item)
+            .take_while(|item| item.path.starts_with(REGISTRY_PREFIX))
     }
 
-    pub fn chunk(&self, uid: &str, n: usize) -> Option<&Item> {
-        self.other_values.get(&schema::chunk_key(uid, n))
+    /// A chunk of a job, by its number.
+    pub fn chunk(&self, uid: &str, number: usize) -> Option<&Item> {
+        self.other_values.get(&schema::chunk_key(uid, number))
     }
 
+    /// The stored schema version.
     pub fn schema_version(&self) -> Option<&Item> {
         self.other_values.get(SCHEMA_VERSION_KEY)
     }
 
-    /// Makes it wrong in one stamp, for tests of what finds that.
+    /// Falsifies the revision of one live job, to test that the difference is found. Returns false where there
+    /// is no live job.
     pub fn corrupt(&mut self) -> bool {
-        // The one that has not changed for longest: the next change of it would set it right.
-        let Some((uid, head)) = self.live.iter_mut().min_by_key(|l| l.1.mod_revision) else {
+        // The job that has not changed for longest: its next change would correct the revision.
+        let oldest = self.live.iter_mut().min_by_key(|(_, job)| job.mod_revision);
+        let Some((uid, job)) = oldest else {
             return false;
         };
-        let (path, old) = (crate::job_record::live_key(uid), head.mod_revision);
-        head.mod_revision += 1;
-        self.toggle(&path, old);
-        self.toggle(&path, old + 1);
+        let (path, held) = (live_key(uid), job.mod_revision);
+        job.mod_revision += 1;
+        self.toggle(&path, held);
+        self.toggle(&path, held + 1);
         if let Some(last) = self.jobs_checksum_history.back_mut() {
-            last.1 = self.jobs_checksum;
+            last.checksum = self.jobs_checksum;
         }
         true
     }
 }
-
-fn is_followed(path: &str) -> bool {
-    path.starts_with(REGISTRY_PREFIX)
-        || path.starts_with(CHUNKS_PREFIX)
-        || path == SCHEMA_VERSION_KEY
-}
