--- a/src/heartbeat_batch.rs
+++ b/src/heartbeat_batch.rs
@@ -1,90 +1,169 @@
-//! Reports at a controller that does not lead: many go to the leader in one frame, and one that
-//! says what the last one said goes as a row instead of as text. Owns the reports that wait for
-//! their answer; decides nothing, and knows nothing that the leader does not check again.
+//! Heartbeat batching at a controller that is not the leader: many heartbeats are forwarded to the leader in one
+//! frame, and a heartbeat that repeats the last one goes as a row without its body.
+//!
+//! [`HeartbeatBatch`] owns the heartbeats that wait for the leader's answer. It decides nothing about tasks, and
+//! what it knows of the leader is a hint that the leader checks again.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::messages::{ConnId, Outcome, Ticket};
 use crate::seeded_hash::HashMap;
 use crate::wire::{AnswerRow, HeartbeatRow, HeartbeatSummary, SEND_FULL_HEARTBEAT};
-
 use zerocopy::{FromBytes, IntoBytes};
 
-/// A report that says something new waits this long for company.
+/// How long a heartbeat with something new waits for others.
 const BATCH_DELAY: Micros = 15 * MILLISECOND;
-/// While nobody leads, or the new leader still reads what is stored, a report waits this long for
-/// a leader. Its worker would else go to the next node a second later, and again, each time over
-/// a new connection: a thousand of them ask a node as many times a second when it can do least.
-/// With the time of a call to the leader it stays within the 4 s that a worker waits.
+/// How long a heartbeat with nothing new waits for others. Its worker waits 4 s for an answer, and its lease
+/// counts from the time it sent the heartbeat, so this costs nothing.
+const REPEAT_BATCH_DELAY: Micros = 150 * MILLISECOND;
+/// How long a heartbeat is held while there is no leader, or the new leader still loads the stored state. Its
+/// worker would otherwise go to the next controller a second later, and again, each time over a new connection:
+/// a thousand of them send a controller as many requests a second when it can do least. Together with the time
+/// of a call to the leader it stays within the 4 s that a worker waits.
 const LEADERLESS_HOLD: Micros = 2 * SECOND;
+/// Time between two attempts to forward held heartbeats.
 const LEADERLESS_RETRY_INTERVAL: Micros = 50 * MILLISECOND;
-/// One that says nothing new. Its worker gives an answer 4 s, and its lease counts from when it
-/// was sent, so this costs nobody anything.
-const REPEAT_BATCH_DELAY: Micros = 150 * MILLISECOND;
+/// Size of a frame, unless a single heartbeat is larger.
 const FRAME_BYTES_MAX: usize = 128 * 1024;
-/// Workers come and go; past that many the hints are started anew.
+/// Workers come and go; beyond this number, the digests are forgotten.
 const KNOWN_WORKERS_MAX: usize = 1 << 16;
+/// Length of a machine name in a row.
+const MACHINE_NAME_BYTES: usize = 24;
+const HTTP_OK: u16 = 200;
+const HTTP_SERVICE_UNAVAILABLE: u16 = 503;
 
-/// A report that waits for its answer.
+/// A heartbeat that waits for its answer.
 struct PendingHeartbeat {
     conn: ConnId,
     received_at: Micros,
     row: HeartbeatRow,
     body: Vec<u8>,
+    /// The body goes with the row.
     send_full: bool,
 }
 
-/// What became of a report.
+impl PendingHeartbeat {
+    /// The body as far as it is sent.
+    fn sent_body(&self) -> &[u8] {
+        if self.send_full { &self.body } else { &[] }
+    }
+
+    fn frame_bytes(&self) -> usize {
+        size_of::<HeartbeatRow>() + self.sent_body().len()
+    }
+
+    /// Whether it may still wait for a leader.
+    fn may_be_held(&self, now: Micros) -> bool {
+        now < self.received_at + LEADERLESS_HOLD
+    }
+}
+
+/// The answer to a forwarded heartbeat.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatAnswer {
-    /// No orders: the token alone.
+    /// Status 200 without commands: the leader's fencing token alone.
     NoCommands(u64),
+    /// Any other answer of the leader.
     Body {
+        /// HTTP status.
         status: u16,
+        /// Body of the answer.
         body: Vec<u8>,
     },
-    /// Nobody leads.
+    /// There is no leader.
     NoLeader,
-    /// The leader could not be reached, or does not answer.
+    /// The leader could not be reached, or did not answer.
     Failed,
 }
 
+impl HeartbeatAnswer {
+    fn is_ok(&self) -> bool {
+        matches!(
+            self,
+            HeartbeatAnswer::NoCommands(_)
+                | HeartbeatAnswer::Body {
+                    status: HTTP_OK,
+                    ..
+                }
+        )
+    }
+}
+
+/// One answer in the leader's reply to a frame.
+struct AnswerEntry<'a> {
+    status: u16,
+    fencing_token: u64,
+    body: &'a [u8],
+}
+
+impl AnswerEntry<'_> {
+    fn to_answer(&self) -> HeartbeatAnswer {
+        match (self.status, self.body) {
+            (HTTP_OK, []) => HeartbeatAnswer::NoCommands(self.fencing_token),
+            (status, body) if status >= HTTP_OK => HeartbeatAnswer::Body {
+                status,
+                body: body.to_vec(),
+            },
+            _ => HeartbeatAnswer::Failed,
+        }
+    }
+}
+
+/// The heartbeats that wait to be forwarded, and the frames that wait for the leader's reply.
 #[derive(Default)]
 pub struct HeartbeatBatch {
-    /// The digest of the report that the leader last answered, by worker: a hint that a row will
-    /// do. The leader compares it with what it holds.
-    leader_digests: HashMap<[u8; 24], u128>,
+    /// The digest of the heartbeat that the leader last answered, by machine: a hint that a row will do. The
+    /// leader compares it with the heartbeat it holds.
+    leader_digests: HashMap<[u8; MACHINE_NAME_BYTES], u128>,
     waiting: Vec<PendingHeartbeat>,
+    /// Size of a frame with all that waits.
     bytes: usize,
     due_at: Option<Micros>,
     in_flight: HashMap<Ticket, Vec<PendingHeartbeat>>,
 }
 
 impl HeartbeatBatch {
-    /// Takes a report; gives it back when it does not fit the rows.
+    /// Adds a heartbeat.
+    ///
+    /// # Errors
+    /// Returns the body where it does not fit a row, so that it must be forwarded alone.
     pub fn push(&mut self, now: Micros, conn: ConnId, body: Vec<u8>) -> Result<(), Vec<u8>> {
-        let Some(row) = HeartbeatSummary::of(&body).and_then(|g| g.row()) else {
+        let summary = HeartbeatSummary::of(&body);
+        let Some(row) = summary.and_then(|summary| summary.row()) else {
             return Err(body);
         };
-        let whole = self.leader_digests.get(&row.machine) != Some(&row.digest.get());
-        let at = now
-            + if whole {
-                BATCH_DELAY
-            } else {
-                REPEAT_BATCH_DELAY
-            };
-        self.due_at = Some(self.due_at.map_or(at, |d| d.min(at)));
-        self.bytes += size_of::<HeartbeatRow>() + if whole { body.len() } else { 0 };
-        self.waiting.push(PendingHeartbeat {
+        let send_full = self.leader_digests.get(&row.machine) != Some(&row.digest.get());
+        let delay = if send_full {
+            BATCH_DELAY
+        } else {
+            REPEAT_BATCH_DELAY
+        };
+        self.make_due_by(now + delay);
+        self.enqueue(PendingHeartbeat {
             conn,
             received_at: now,
             row,
             body,
-            send_full: whole,
+            send_full,
         });
         Ok(())
     }
 
-    /// When the next frame is to be sent.
+    fn enqueue(&mut self, heartbeat: PendingHeartbeat) {
+        self.bytes += heartbeat.frame_bytes();
+        self.waiting.push(heartbeat);
+    }
+
+    /// Makes the next frame due at `at` at the latest.
+    fn make_due_by(&mut self, at: Micros) {
+        self.due_at = Some(self.due_at.map_or(at, |due_at| due_at.min(at)));
+    }
+
+    /// Makes the next frame due at `at` at the earliest.
+    fn delay_until(&mut self, at: Micros) {
+        self.due_at = Some(self.due_at.map_or(at, |due_at| due_at.max(at)));
+    }
+
+    /// When the next frame is to be sent; None where nothing waits.
     pub fn due_at(&self) -> Option<Micros> {
         if self.bytes >= FRAME_BYTES_MAX {
             return Some(0);
@@ -92,22 +171,22 @@
         self.due_at
     }
 
-    /// The next frame under this ticket, if it is time.
+    /// The next frame, if it is due. Its reply is expected under `ticket`.
     pub fn next_frame(&mut self, now: Micros, ticket: Ticket) -> Option<Vec<u8>> {
-        if self.due_at().is_none_or(|d| d > now) {
+        if self.due_at().is_none_or(|due_at| due_at > now) {
             return None;
         }
         let mut frame = Vec::with_capacity(self.bytes.min(FRAME_BYTES_MAX));
         let mut taken = 0;
-        for (slot, w) in self.waiting.iter_mut().enumerate() {
-            let len = if w.send_full { w.body.len() } else { 0 };
+        for (slot, heartbeat) in self.waiting.iter_mut().enumerate() {
+            let len = heartbeat.sent_body().len();
             if taken > 0 && frame.len() + len > FRAME_BYTES_MAX {
                 break;
             }
-            w.row.slot = (slot as u32).into();
-            w.row.len = (len as u32).into();
-            frame.extend_from_slice(w.row.as_bytes());
-            frame.extend_from_slice(&w.body[..len]);
+            heartbeat.row.slot = (slot as u32).into();
+            heartbeat.row.len = (len as u32).into();
+            frame.extend_from_slice(heartbeat.row.as_bytes());
+            frame.extend_from_slice(heartbeat.sent_body());
             taken += 1;
         }
         let rest = self.waiting.split_off(taken);
@@ -120,106 +199,126 @@
         Some(frame)
     }
 
+    /// Whether a frame was sent under this ticket and has no reply yet.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.in_flight.contains_key(&ticket)
     }
 
-    /// The leader's answers. What it wants whole is sent again, and so is, for as long as it may
-    /// wait, what it can't answer yet, or where it is in doubt whether it is still there.
+    /// Handles the leader's reply to a frame; returns the answers by connection.
+    ///
+    /// A heartbeat that the leader wants in full is sent again. So is, while it may be held, one that the leader
+    /// can't answer yet, or any without an answer where it is doubtful whether the leader is still there
+    /// (`leader_in_doubt`).
     pub fn handle_outcome(
         &mut self,
         now: Micros,
         ticket: Ticket,
         outcome: &Outcome,
-        doubtful: bool,
+        leader_in_doubt: bool,
     ) -> Vec<(ConnId, HeartbeatAnswer)> {
         let Some(batch) = self.in_flight.remove(&ticket) else {
             return Vec::new();
         };
-        let mut answers: HashMap<usize, (AnswerRow, &[u8])> = HashMap::default();
-        if let Outcome::Reply { status: 200, body } = outcome {
-            let mut rest = body.as_slice();
-            while let Ok((row, after)) = AnswerRow::read_from_prefix(rest) {
-                let Some((text, after)) = after.split_at_checked(row.len.get() as usize) else {
-                    break;
-                };
-                answers.insert(row.slot.get() as usize, (row, text));
-                rest = after;
+        let entries = parse_answers(outcome);
+        let not_leading = matches!(
+            outcome,
+            Outcome::Reply {
+                status: HTTP_SERVICE_UNAVAILABLE,
+                ..
             }
-        }
-        let not_leading = matches!(outcome, Outcome::Reply { status: 503, .. });
-        let again = not_leading || doubtful;
-        let mut told = Vec::new();
-        for (slot, mut w) in batch.into_iter().enumerate() {
-            let answer = match answers.get(&slot) {
-                Some((row, _)) if row.status.get() == SEND_FULL_HEARTBEAT && !w.send_full => {
-                    self.leader_digests.remove(&w.row.machine);
-                    w.send_full = true;
-                    self.bytes += size_of::<HeartbeatRow>() + w.body.len();
-                    self.due_at = Some(self.due_at.map_or(now, |d| d.min(now)));
-                    self.waiting.push(w);
+        );
+        let mut answers = Vec::new();
+        for (slot, mut heartbeat) in batch.into_iter().enumerate() {
+            let answer = match entries.get(&slot) {
+                Some(entry) if entry.status == SEND_FULL_HEARTBEAT && !heartbeat.send_full => {
+                    self.leader_digests.remove(&heartbeat.row.machine);
+                    heartbeat.send_full = true;
+                    self.make_due_by(now);
+                    self.enqueue(heartbeat);
                     continue;
                 }
-                Some((row, [])) if row.status.get() == 200 => {
-                    HeartbeatAnswer::NoCommands(row.fencing_token.get())
-                }
-                Some((row, text)) if row.status.get() >= 200 => HeartbeatAnswer::Body {
-                    status: row.status.get(),
-                    body: text.to_vec(),
-                },
-                // It has the lead, but can't use it yet or at the moment.
-                None if again && now < w.received_at + LEADERLESS_HOLD => {
-                    self.bytes +=
-                        size_of::<HeartbeatRow>() + if w.send_full { w.body.len() } else { 0 };
-                    self.due_at = Some(self.due_at.map_or(now + LEADERLESS_RETRY_INTERVAL, |d| {
-                        d.max(now + LEADERLESS_RETRY_INTERVAL)
-                    }));
-                    self.waiting.push(w);
+                Some(entry) => entry.to_answer(),
+                // The leader is elected, but can't act yet or at the moment.
+                None if (not_leading || leader_in_doubt) && heartbeat.may_be_held(now) => {
+                    self.delay_until(now + LEADERLESS_RETRY_INTERVAL);
+                    self.enqueue(heartbeat);
                     continue;
                 }
                 None if not_leading => HeartbeatAnswer::NoLeader,
-                _ => HeartbeatAnswer::Failed,
+                None => HeartbeatAnswer::Failed,
             };
-            if matches!(
-                answer,
-                HeartbeatAnswer::NoCommands(_) | HeartbeatAnswer::Body { status: 200, .. }
-            ) {
-                if self.leader_digests.len() >= KNOWN_WORKERS_MAX {
-                    self.leader_digests.clear();
-                }
-                self.leader_digests
-                    .insert(w.row.machine, w.row.digest.get());
+            if answer.is_ok() {
+                self.remember_digest(&heartbeat.row);
             }
-            told.push((w.conn, answer));
+            answers.push((heartbeat.conn, answer));
         }
-        told
+        answers
     }
 
+    /// Remembers that the leader holds this heartbeat.
+    fn remember_digest(&mut self, row: &HeartbeatRow) {
+        if self.leader_digests.len() >= KNOWN_WORKERS_MAX {
+            self.leader_digests.clear();
+        }
+        self.leader_digests.insert(row.machine, row.digest.get());
+    }
+
+    /// Whether no heartbeat waits to be forwarded.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// There is nobody to send to at the moment: keeps what may wait for a leader, and gives back
-    /// those whose time for that is over.
+    /// There is no leader to forward to: keeps the heartbeats that may be held, and returns the connections of
+    /// the others, which are dropped here and must be answered.
     pub fn hold_for_leader(&mut self, now: Micros) -> Vec<ConnId> {
-        let mut over = Vec::new();
-        self.waiting.retain(|w| {
-            let waits = now < w.received_at + LEADERLESS_HOLD;
-            if !waits {
-                over.push(w.conn);
+        let mut expired = Vec::new();
+        self.waiting.retain(|heartbeat| {
+            let held = heartbeat.may_be_held(now);
+            if !held {
+                expired.push(heartbeat.conn);
             }
-            waits
+            held
         });
         self.due_at = (!self.waiting.is_empty()).then_some(now + LEADERLESS_RETRY_INTERVAL);
         if self.waiting.is_empty() {
             self.bytes = 0;
         }
-        over
+        expired
     }
 
-    /// All that waits, to go another way.
+    /// Removes and returns all waiting heartbeats, to be forwarded in another way.
     pub fn drain(&mut self) -> Vec<(ConnId, Vec<u8>)> {
         (self.bytes, self.due_at) = (0, None);
-        self.waiting.drain(..).map(|w| (w.conn, w.body)).collect()
+        let waiting = self.waiting.drain(..);
+        waiting
+            .map(|heartbeat| (heartbeat.conn, heartbeat.body))
+            .collect()
+    }
+}
+
+/// The answers in the leader's reply, by slot; none where it is not a reply with status 200. Stops at the first
+/// entry that is cut short.
+fn parse_answers(outcome: &Outcome) -> HashMap<usize, AnswerEntry<'_>> {
+    let mut entries = HashMap::default();
+    let Outcome::Reply {
+        status: HTTP_OK,
+        body,
+    } = outcome
+    else {
+        return entries;
+    };
+    let mut rest = body.as_slice();
+    while let Ok((row, after_row)) = AnswerRow::read_from_prefix(rest) {
+        let Some((body, after_body)) = after_row.split_at_checked(row.len.get() as usize) else {
+            break;
+        };
+        let entry = AnswerEntry {
+            status: row.status.get(),
+            fencing_token: row.fencing_token.get(),
+            body,
+        };
+        entries.insert(row.slot.get() as usize, entry);
+        rest = after_body;
     }
+    entries
 }
