--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,59 +1,66 @@
-//! Bugs that can be planted, so that whoever looks for bugs can show that it finds them. Without
-//! the feature `planted`, which the program is never built with, none of them exists.
+//! Fault injection: bugs that a test or the simulator can switch on, to show that it finds them.
+//!
+//! Each fault removes one safeguard of the controller, at the place where the safeguard stands. Without the
+//! feature `fault-injection`, which the controller program is never built with, `fault_injected` is a constant
+//! `false` and none of the faults exists.
 
-/// One guard of the service, taken away.
+/// A safeguard of the controller that is switched off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
-    /// A start is sent before its placement is stored.
+    /// A start command is sent before the placement is stored.
     StartBeforeStored,
-    /// The fence is not raised when the answer to a direct command is lost.
+    /// A machine's fence counter is not raised when the answer to a direct command is lost.
     FenceNotRaised,
-    /// A stored placement that nobody reported is let go a second after a takeover.
+    /// A stored placement that no heartbeat has confirmed is given up one second after a failover.
     HoldLetGo,
-    /// A task that its machine has not confirmed is not charged to its team.
+    /// A task that its machine has not confirmed is not charged to its team's quota.
     QuotaUncharged,
-    /// Workers are answered with 200 past the end of the grant.
+    /// Workers are answered with 200 after the leader's lease has expired.
     AnswerPastGrant,
-    /// An ending is reaped before it is stored.
+    /// The end of an attempt is acknowledged before it is stored.
     ReapedEarly,
-    /// Attempt numbers start anew with each term.
+    /// Attempt numbers start again at the same value in each term.
     AttemptReused,
-    /// A cancellation overwrites the final state.
+    /// A cancellation overwrites the final state of a job.
     FinalOverwritten,
-    /// Names of rentals start anew with each run of a process.
+    /// Names of rentals are numbered from the start again in each process incarnation.
     HireReused,
-    /// A takeover forgets the first of the live jobs.
+    /// A new leader skips the first of the live jobs.
     JobForgotten,
-    /// A standby's copy is not compared with the leader's sum.
+    /// A standby's replica is not compared with the leader's checksum.
     MirrorUnchecked,
-    /// A new leader does not ask for the changes since its copy was last kept up.
+    /// A new leader does not read the changes since its replica was last updated.
     CatchUpSkipped,
-    /// Each life of a process numbers what it asks from 0, so that an answer to the life before is
-    /// taken for its own.
+    /// Each process incarnation numbers its calls from 0, so that an answer to the incarnation before is taken
+    /// for an answer to its own call.
     TicketsReused,
-    /// A process that finds the key of its former life leads on under it, and renews its grant.
+    /// A process that finds the leader key of its earlier incarnation acts as leader under that key, and renews
+    /// its lease.
     FormerKeyKept,
-    /// A process that lets the lead of its former life go takes it anew under the same term, and
-    /// with it the same fences and attempt numbers.
+    /// A process that revokes the lease of its earlier incarnation becomes leader again under the same term, and
+    /// so with the same fencing tokens and attempt numbers.
     FormerTermReused,
-    /// A follower believes that the leader's next life holds the reports that its former life held.
+    /// A restarted leader is assumed to hold the heartbeats that its earlier incarnation held: a heartbeat that
+    /// repeats the last one is accepted without it.
     FormerDigestsTrusted,
-    /// What a leader knows of cancellations is good for ever.
+    /// A leader's knowledge of cancellations never becomes stale.
     KnowledgeNeverAges,
-    /// A leader whose grant outlived a gap takes what it knew before for what holds now.
+    /// A leader whose leadership was not valid for a while acts on what it knew before, without reading the
+    /// changes since.
     RegainedUnseen,
-    /// A machine whose report comes is taken to hear what it is told.
+    /// A machine whose heartbeats arrive is assumed to receive the answers and commands.
     HearingAssumed,
-    /// A copy of an old report is taken for a new one.
+    /// A repeated copy of an old heartbeat is accepted as a new one.
     CopyTaken,
-    /// Of a key that is absent it is taken that it was never written.
+    /// A key that is absent is assumed never to have been written.
     AbsenceTrusted,
-    /// A stored placement is taken for the attempt that any report shows, also one of an earlier term.
+    /// A stored placement is taken for the attempt that any heartbeat shows, even before the machine has
+    /// confirmed the term.
     PlacementShownEarly,
 }
 
 impl InjectedFault {
-    /// All of them, by the names they are chosen by.
+    /// All faults, by the names by which they are chosen in scenarios and on the command line.
     pub const ALL: [(&'static str, InjectedFault); 22] = [
         ("start-before-stored", InjectedFault::StartBeforeStored),
         ("fence-not-raised", InjectedFault::FenceNotRaised),
@@ -85,21 +92,22 @@
 
 #[cfg(feature = "fault-injection")]
 thread_local! {
-    static CHOSEN: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
+    static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Plants one bug, or none, in all nodes that this thread drives.
+/// Switches on one fault, or none, in all controllers that this thread drives.
 #[cfg(feature = "fault-injection")]
-pub fn inject_fault(bug: Option<InjectedFault>) {
-    CHOSEN.set(bug);
+pub fn inject_fault(fault: Option<InjectedFault>) {
+    INJECTED.set(fault);
 }
 
-/// Whether that bug is planted.
+/// Whether this fault is switched on.
 #[cfg(feature = "fault-injection")]
-pub(crate) fn fault_injected(bug: InjectedFault) -> bool {
-    CHOSEN.get() == Some(bug)
+pub(crate) fn fault_injected(fault: InjectedFault) -> bool {
+    INJECTED.get() == Some(fault)
 }
 
+/// Always false: the feature is off.
 #[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn fault_injected(_: InjectedFault) -> bool {
     false
