--- a/src/election.rs
+++ b/src/election.rs
@@ -152,8 +152,8 @@
 }
 
 /// A lease that is to replace the leader's lease. Until the reply to the transaction that attaches the leader
-/// key to it, both leases are renewed and leadership is valid only as long as both are: the key lives as
-/// long as one of the two, and it is unknown which one.
+/// key to it, both leases are renewed and leadership is valid only as long as both are: the key exists
+/// as long as the lease it is attached to, and it is unknown which of the two that is.
 struct ReplacementLease {
     lease_id: u64,
     ttl: Micros,
@@ -516,7 +516,7 @@
         Some(LeadershipChange::Lost)
     }
 
-    /// Leads on under the key of an earlier incarnation: what [`InjectedFault::FormerKeyKept`] does.
+    /// Acts as leader under the key of an earlier incarnation: what [`InjectedFault::FormerKeyKept`] does.
     fn resume_former_leadership(
         &mut self,
         now: Micros,
@@ -852,7 +852,7 @@
     }
 }
 
-/// Reads one key. The revision of the reply tells where a watch goes on.
+/// Reads one key. A watch can continue from the revision of the reply.
 fn list_key(prefix: &'static str) -> Op {
     Op::List {
         prefix,
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -64,8 +64,8 @@
     fencing_token: u64,
     next_batch_at: Micros,
     batch_size: usize,
-    /// Workers that the leader assigned to this controller, whoever receives their heartbeats; the last one is
-    /// next.
+    /// Workers that the leader assigned to this controller, whichever controller receives their heartbeats; the
+    /// last one is next.
     assigned: Vec<AssignedProbe>,
     in_flight: HashSet<Ticket>,
 }
