--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,6 +18,7 @@
 pub mod election;
 pub mod fault_injection;
 pub mod heartbeat_batch;
+pub mod http_call;
 pub mod input_queue;
 pub mod job_record;
 pub mod jobs;
