--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -220,7 +220,7 @@
                 };
                 for n in 0..count {
                     let piece = mirror.chunk(&uid, n).map(|i| &i.value);
-                    let read = piece.ok_or_else(|| "it is missing".to_owned());
+                    let read = piece.ok_or(schema::SchemaError::MissingChunk);
                     if let Err(e) = read.and_then(|p| schema::decode_chunk(p, &mut record)) {
                         log::error!("{} can't be read: {e}", chunk_key(&uid, n));
                         unread += 1;
--- a/src/job_record.rs
+++ b/src/job_record.rs
@@ -1,5 +1,9 @@
-//! Jobs as stored: their keys, the record of a live one and the final state of one that is over, and what
-//! users are told of either. Plain data; `schema` encodes it, `jobs` holds the live ones.
+//! Jobs as they are stored: their keys, the record of a live job and the final state of a finished one, and
+//! the answer that clients get about either.
+//!
+//! Plain data. `schema` encodes it for the key-value store, and `jobs` holds the leader's live jobs. A job has
+//! either a live record or a final state, never both: the transaction that writes the final state deletes the
+//! live record. A final state never changes.
 
 use crate::clock::Micros;
 use crate::state_client::raw;
@@ -9,83 +13,108 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
+/// Prefix of the keys of live jobs.
 pub const LIVE_PREFIX: &str = "job/";
+/// Prefix of the keys of final states.
 pub const FINISHED_PREFIX: &str = "over/";
-/// Cancelled jobs whose tasks may still be on machines, kept until all are gone.
+/// Prefix of the records of cancelled jobs whose tasks may still be on machines; each is kept until no machine
+/// has any of them.
 pub const STOPPING_PREFIX: &str = "stopping/";
 
+/// The [`FinalState::status`] of a job of which all tasks are done.
+const STATUS_DONE: &str = "done";
+
+/// A range of task indexes: the first, and the one after the last.
+pub type TaskRange = (u32, u32);
+
+/// The key of a live job.
 pub fn live_key(uid: &str) -> String {
     format!("{LIVE_PREFIX}{uid}")
 }
 
+/// The key of a job's final state.
 pub fn finished_key(uid: &str) -> String {
     format!("{FINISHED_PREFIX}{uid}")
 }
 
+/// The key of a cancelled job whose tasks are being stopped.
 pub fn stopping_key(uid: &str) -> String {
     format!("{STOPPING_PREFIX}{uid}")
 }
 
-/// Why a task's attempt ended, for the operators.
+/// Why an attempt of a task ended, for operators.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskEnding {
+    /// Index of the task within its job.
     pub part: u32,
+    /// The machine that the attempt was on.
     pub machine: String,
+    /// The cause, as the worker or the leader named it.
     pub cause: String,
-    /// Time of day, in whole microseconds.
+    /// Time of day, in microseconds.
     pub at: Micros,
 }
 
-/// A job as the state service holds it; `layout` says how.
+/// A live job as the key-value store holds it; `schema` defines its encoding.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobRecord {
+    /// The job as its user submitted it.
     pub spec: Arc<JobSpec>,
-    /// Time of day of acceptance, in whole microseconds.
+    /// Time of day of acceptance, in microseconds.
     pub accepted_at: Micros,
+    /// Name of the controller that accepted it.
     pub accepted_by: String,
-    /// Time of day when the last job that it needs was done, once the leader has found out.
+    /// Time of day when the last of its dependencies was done, in microseconds, once the leader knows of it.
     pub ready_at: Option<Micros>,
-    pub done: Vec<(u32, u32)>,
-    /// Tasks that may be on machines, stored before their first start.
-    pub placed: BTreeMap<Arc<str>, Vec<(u32, u32)>>,
+    /// The tasks that are done.
+    pub done: Vec<TaskRange>,
+    /// The tasks that may be on each machine, stored before their first start.
+    pub placed: BTreeMap<Arc<str>, Vec<TaskRange>>,
+    /// The latest endings of attempts, the oldest first.
     pub endings: VecDeque<TaskEnding>,
 }
 
-/// What is kept of a job for good.
+/// What is kept of a finished job for good.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct FinalState {
+    /// `done` or `cancelled`.
     pub status: String,
+    /// How many tasks were done.
     pub done: u64,
+    /// Time of day of acceptance, in microseconds.
     #[serde(rename = "accepted")]
     pub accepted_at: Micros,
+    /// Time of day of its end, in microseconds.
     #[serde(rename = "over")]
     pub finished_at: Micros,
-    /// The cancelled job that this one needed, if that is why it was cancelled.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    #[serde(rename = "because")]
+    /// The cancelled dependency, if that is why this job was cancelled.
+    #[serde(rename = "because", default, skip_serializing_if = "Option::is_none")]
     pub cancelled_with: Option<String>,
+    /// The latest endings of attempts, the oldest first.
     #[serde(default)]
     pub endings: VecDeque<TaskEnding>,
 }
 
 impl FinalState {
+    /// Whether all tasks are done, as opposed to a cancelled job.
     pub fn is_done(&self) -> bool {
-        self.status == "done"
+        self.status == STATUS_DONE
     }
 
-    /// Leaves out the oldest endings until it fits a value.
-    pub fn fit(mut self, usable: usize) -> Self {
-        while raw(&self).get().len() > usable && self.endings.pop_front().is_some() {}
+    /// Drops the oldest endings until the encoded state is at most `usable_bytes` long, or none is left.
+    pub fn fit(mut self, usable_bytes: usize) -> Self {
+        while raw(&self).get().len() > usable_bytes && self.endings.pop_front().is_some() {}
         self
     }
 }
 
 impl JobRecord {
-    pub fn new(spec: JobSpec, accepted: Micros, node: &str) -> Self {
+    /// The record of a job just accepted by the controller `accepted_by`, at this time of day.
+    pub fn new(spec: JobSpec, accepted_at: Micros, accepted_by: &str) -> Self {
         Self {
             spec: Arc::new(spec),
-            accepted_at: accepted,
-            accepted_by: node.to_owned(),
+            accepted_at,
+            accepted_by: accepted_by.to_owned(),
             ready_at: None,
             done: Vec::new(),
             placed: BTreeMap::new(),
@@ -93,47 +122,52 @@
         }
     }
 
+    /// How many tasks are done.
     pub fn done_count(&self) -> u64 {
-        self.done
-            .iter()
-            .map(|r| u64::from(r.1.saturating_sub(r.0)))
-            .sum()
+        count_tasks(&self.done)
     }
 
+    /// How many tasks may be on machines.
     pub fn placed_count(&self) -> u64 {
-        self.placed
-            .values()
-            .flatten()
-            .map(|r| u64::from(r.1.saturating_sub(r.0)))
-            .sum()
+        count_tasks(self.placed.values().flatten())
     }
 
-    /// What a user is told of a job that is not over.
+    /// The answer that a client gets about a live job.
     pub fn status_body(&self) -> Value {
         live_body(&self.spec.uid, self.done_count(), self.placed_count())
     }
 
-    pub fn finish(&self, status: &str, over: Micros) -> FinalState {
+    /// The final state of this job with the given status, at this time of day.
+    pub fn finish(&self, status: &str, finished_at: Micros) -> FinalState {
         FinalState {
             status: status.to_owned(),
-            done: if status == "done" {
+            done: if status == STATUS_DONE {
                 self.spec.tasks
             } else {
                 self.done_count()
             },
             accepted_at: self.accepted_at,
-            finished_at: over,
+            finished_at,
             cancelled_with: None,
             endings: self.endings.clone(),
         }
     }
 }
 
+fn count_tasks<'a>(ranges: impl IntoIterator<Item = &'a TaskRange>) -> u64 {
+    let lengths = ranges
+        .into_iter()
+        .map(|(start, end)| u64::from(end.saturating_sub(*start)));
+    lengths.sum()
+}
+
+/// The answer that a client gets about a live job with that many tasks done and placed.
 pub fn live_body(uid: &str, done: u64, running: u64) -> Value {
     let status = if running > 0 { "running" } else { "pending" };
     json!({"uid": uid, "status": status, "done": done, "running": running})
 }
 
-pub fn final_body(uid: &str, f: &FinalState) -> Value {
-    json!({"uid": uid, "status": f.status, "done": f.done, "running": 0})
+/// The answer that a client gets about a finished job.
+pub fn final_body(uid: &str, state: &FinalState) -> Value {
+    json!({"uid": uid, "status": state.status, "done": state.done, "running": 0})
 }
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -5,7 +5,7 @@
 //! old mark back.
 
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
-use crate::schema::{self, Schema, compress_prefix, expand_prefix, version_1};
+use crate::schema::{self, Schema, SchemaError, compress_prefix, expand_prefix, version_1};
 use crate::seeded_hash::{HashMap, HashSet};
 use crate::state_client::{Raw, raw};
 use crate::worker_ledger::{Machine, WorkerLedger};
@@ -60,32 +60,31 @@
 
 pub type Entries = BTreeMap<Arc<str>, RegistryEntry>;
 
-fn decode_page(value: &Raw) -> Result<Entries, String> {
+fn decode_page(value: &Raw) -> Result<Entries, SchemaError> {
     let Ok(page) = serde_json::from_str::<StoredPage>(value.get()) else {
-        let page: version_1::StoredPage =
-            serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
+        let page: version_1::StoredPage = serde_json::from_str(value.get())?;
         let entries = page.machines.into_iter().map(|(id, e)| {
             let images = e.images.iter().filter_map(|n| page.images.get(*n)).cloned();
             let entry = RegistryEntry {
                 images: images.collect(),
-                addr: e.addr,
+                addr: e.address,
                 machine_type: e.machine_type,
                 zone: e.zone,
                 spot: e.spot,
                 rented: e.rented,
-                quiet: e.quiet,
+                quiet: e.silent_since,
             };
             (id, entry)
         });
         return Ok(entries.collect());
     };
     if page.format > schema::SCHEMA_VERSION {
-        return Err(format!("its format is {}", page.format));
+        return Err(SchemaError::UnsupportedVersion(page.format));
     }
     let mut entries = Entries::new();
     let (mut name, mut addr) = (String::new(), String::new());
     for text in &page.machines {
-        let wrong = || format!("`{text}` is no machine");
+        let wrong = || SchemaError::InvalidRegistryEntry(text.clone());
         let fields: Vec<&str> = text.split(' ').collect();
         let [id, at, kind, images, rest @ ..] = fields.as_slice() else {
             return Err(wrong());
@@ -170,13 +169,13 @@
         let Some(addr) = m.address else { continue };
         let held = m.images.keys().filter(|_| images);
         let entry = version_1::RegistryEntry {
-            addr: addr.to_string(),
+            address: addr.to_string(),
             machine_type: m.machine_type.clone(),
             zone: m.zone.clone(),
             spot: m.spot,
             rented: rented.contains(&m.id),
             images: held.map(|i| intern(&mut page.images, i.clone())).collect(),
-            quiet: m.silent_since,
+            silent_since: m.silent_since,
         };
         page.machines.insert(m.id.clone(), entry);
     }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -7,7 +7,7 @@
 
 use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX};
 use crate::registry::REGISTRY_PREFIX;
-use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY};
+use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY, SchemaError};
 use crate::state_client::{Item, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -30,7 +30,7 @@
     /// Length of the stored value.
     pub bytes: usize,
     /// The job and how many pieces belong to it, or why it can't be read.
-    pub decoded: Result<(JobRecord, usize), String>,
+    pub decoded: Result<(JobRecord, usize), SchemaError>,
 }
 
 /// How far the filling of one prefix is.
--- a/src/schema.rs
+++ b/src/schema.rs
@@ -1,84 +1,126 @@
-//! How jobs are laid out in the state service, by the format number stored there.
+//! Storage schema: how jobs are encoded in the key-value store, by the schema version stored there.
 //!
-//! Format 1 is the old layout: one value for a job, see `old`. Format 2 fits small values: a head
-//! for each job, and what does not fit the head in numbered pieces under a prefix of their own.
-//! Machine names, which are alike, are written as what differs from the name before. Head and
-//! pieces change only together, in one transaction that is conditional on the head's stamp, so
-//! whoever takes over finds them of one moment.
+//! Version 1 stores a job as one value, see [`version_1`]. Version 2 fits small values: a header per job, and
+//! what does not fit the header in numbered chunks under a prefix of their own. Header and chunks change only
+//! together, in one transaction with the header's revision as precondition, so a new leader finds them as of one
+//! moment.
 //!
-//! Both formats are always read. What is written is the stored format's: it only goes up, once
-//! every controller of the settings has said that it understands the next.
+//! Both versions are always read. Jobs are written in the stored version, which only goes up, once every
+//! controller of the settings has declared that it supports the next one.
+//!
+//! Owns the encoding alone: it reads and writes no key, and decides nothing about jobs.
 
+mod prefix_compression;
 pub mod version_1;
+mod version_2;
+
+pub use prefix_compression::{compress_prefix, expand_prefix};
+pub use version_2::decode_chunk;
 
-use crate::clock::Micros;
-use crate::job_record::{JobRecord, TaskEnding};
+use crate::job_record::JobRecord;
 use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, VecDeque};
-use std::sync::Arc;
 
-/// The newest format that this program understands.
+/// The newest schema version that this program supports.
 pub const SCHEMA_VERSION: u32 = 2;
-/// Holds the format that everybody writes; absent: 1.
+/// The key of the schema version that all controllers write; absent for version 1.
 pub const SCHEMA_VERSION_KEY: &str = "format";
-/// Under it each controller says which format it understands.
+/// Prefix of the keys under which each controller declares the schema version that it supports.
 pub const CONTROLLERS_PREFIX: &str = "node/";
-/// What did not fit a job's head.
+/// Prefix of the keys of chunks.
 pub const CHUNKS_PREFIX: &str = "piece/";
 
-/// A value is kept that much below the largest allowed.
+/// Values are kept this much below the largest that the store takes.
 const VALUE_SLACK_BYTES: usize = 96;
-/// Field names, node, times and number of pieces of a head.
-const HEADER_BYTES: usize = 300;
-const CHUNK_BYTES: usize = 40;
-/// `99998-99999,`
-const RANGE_BYTES: usize = 12;
-
-pub fn chunk_key(uid: &str, n: usize) -> String {
-    format!("{CHUNKS_PREFIX}{uid}/{n}")
-}
-
-/// The job and the number that a piece's key names.
+/// The longest machine name that can be stored.
+const MACHINE_NAME_BYTES_MAX: usize = 64;
+/// What a chunk takes in a transaction beside its value, at most.
+const CHUNK_REQUEST_BYTES: usize = 120;
+/// What a job's transaction takes beside its values, at most.
+const JOB_REQUEST_BYTES: usize = 400;
+
+/// Why a stored value cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub enum SchemaError {
+    /// Not the JSON that the schema asks for.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// Written by a newer program.
+    #[error("its format is {0}")]
+    UnsupportedVersion(u32),
+    /// A placement names no tasks.
+    #[error("a placement without tasks")]
+    PlacementWithoutTasks,
+    /// A machine's name refers to more of the previous name than there is.
+    #[error("a machine's name that can't be completed")]
+    IncompleteMachineName,
+    /// A text that should be a task index.
+    #[error("`{0}` is no task")]
+    InvalidTask(String),
+    /// A range that is empty or beyond the job's tasks.
+    #[error("`{0}` are no tasks of the job")]
+    InvalidTaskRange(String),
+    /// A chunk that the header counts is not stored.
+    #[error("it is missing")]
+    MissingChunk,
+    /// An entry of a registry page that is none.
+    #[error("`{0}` is no machine")]
+    InvalidRegistryEntry(String),
+}
+
+/// The key of a job's `number`th chunk.
+pub fn chunk_key(uid: &str, number: usize) -> String {
+    format!("{CHUNKS_PREFIX}{uid}/{number}")
+}
+
+/// The job and the chunk number that a chunk's key names; `None` if it is no such key.
 pub fn split_chunk_key(key: &str) -> Option<(&str, usize)> {
-    let (uid, n) = key.strip_prefix(CHUNKS_PREFIX)?.rsplit_once('/')?;
-    Some((uid, n.parse().ok()?))
+    let (uid, number) = key.strip_prefix(CHUNKS_PREFIX)?.rsplit_once('/')?;
+    Some((uid, number.parse().ok()?))
 }
 
-pub fn controller_key(label: &str) -> String {
-    format!("{CONTROLLERS_PREFIX}{label}")
+/// The key under which the controller of that name declares what it supports.
+pub fn controller_key(name: &str) -> String {
+    format!("{CONTROLLERS_PREFIX}{name}")
 }
 
-/// The stored format number.
+/// The value of [`SCHEMA_VERSION_KEY`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct StoredSchemaVersion {
+    /// The version that all controllers write.
     pub format: u32,
 }
 
-/// What a controller says of itself at its start.
+/// What a controller declares about itself at its start, under [`controller_key`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SchemaSupport {
+    /// The newest schema version that it supports.
     pub format: u32,
+    /// The version of its program.
     #[serde(default)]
     pub version: String,
 }
 
-/// What is written, and within which limits.
+/// The schema version that is written, and the store's limits that it is written within.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schema {
+    /// The schema version.
     pub version: u32,
+    /// The largest value that the store takes, in bytes.
     pub value_bytes: usize,
+    /// The most changes of one transaction.
     pub txn_ops: usize,
 }
 
 impl Schema {
-    /// The most that a value of ours may take.
+    /// The largest value that is written, in bytes.
     pub fn usable_bytes(&self) -> usize {
         self.value_bytes.saturating_sub(VALUE_SLACK_BYTES)
     }
 
-    /// The most pieces of a job: its end removes them, and the head, and writes the final state.
+    /// The most chunks of a job. One transaction must be able to end it: delete the chunks and the header,
+    /// and write the final state.
     pub fn chunks_max(&self) -> usize {
         match self.version {
             0 | 1 => 0,
@@ -86,319 +128,107 @@
         }
     }
 
-    /// Room for placements and endings in all values of a job, on the safe side.
+    /// The capacity of all values of a job for placements and endings, in bytes; a lower bound.
     pub fn job_capacity_bytes(&self, spec_bytes: usize) -> usize {
-        if self.version < 2 {
-            return version_1::job_capacity_bytes(self.value_bytes, spec_bytes);
+        match self.version {
+            0 | 1 => version_1::job_capacity_bytes(self.value_bytes, spec_bytes),
+            _ => version_2::job_capacity_bytes(self.usable_bytes(), self.chunks_max(), spec_bytes),
         }
-        let head = self
-            .usable_bytes()
-            .saturating_sub(spec_bytes + HEADER_BYTES);
-        // In each piece a part of an entry may stay unused.
-        let piece = self.usable_bytes().saturating_sub(CHUNK_BYTES + 40);
-        head + self.chunks_max() * piece
     }
 
-    /// What a placement takes at most.
+    /// What a placement on a machine takes, in bytes; an upper bound.
     pub fn placement_bytes(&self, name_bytes: usize) -> usize {
         match self.version {
             0 | 1 => version_1::placement_bytes(name_bytes),
-            _ => name_bytes + 9,
+            _ => version_2::placement_bytes(name_bytes),
         }
     }
 
-    /// What a range of ended tasks takes at most.
+    /// What a range of done tasks takes, in bytes; an upper bound.
     pub fn range_bytes(&self) -> usize {
         match self.version {
             0 | 1 => version_1::RANGE_BYTES,
-            _ => RANGE_BYTES,
+            _ => version_2::RANGE_BYTES,
         }
     }
 
-    /// The longest description that can be stored with room for some placements.
+    /// The longest encoded [`JobSpec`] that can be stored with capacity left for some placements, in bytes.
     pub fn spec_bytes_max(&self) -> usize {
         self.usable_bytes() * 3 / 4
     }
 
-    /// Whether a job of this description can be stored at all, and run some tasks.
+    /// Whether a job can be stored at all, with at least two of its tasks placed.
     pub fn can_store(&self, spec: &JobSpec) -> bool {
-        let bytes = raw(spec).get().len();
-        bytes <= self.spec_bytes_max()
-            && self.job_capacity_bytes(bytes) >= 2 * self.placement_bytes(64)
+        let spec_bytes = raw(spec).get().len();
+        spec_bytes <= self.spec_bytes_max()
+            && self.job_capacity_bytes(spec_bytes)
+                >= 2 * self.placement_bytes(MACHINE_NAME_BYTES_MAX)
     }
 
-    /// The values of a job; None when it doesn't fit.
+    /// The values of a job; `None` if it does not fit the limits.
     pub fn encode_job(&self, record: &JobRecord) -> Option<StoredValues> {
-        if self.version < 2 {
-            return version_1::encode_job(record, self.usable_bytes()).map(StoredValues::single);
+        match self.version {
+            0 | 1 => version_1::encode_job(record, self.usable_bytes()).map(StoredValues::single),
+            _ => version_2::encode_job(record, self.usable_bytes(), self.chunks_max()),
         }
-        encode_chunks(record, self.usable_bytes(), self.chunks_max())
     }
 }
 
-/// The values of a job.
+/// The encoded values of a job.
 pub struct StoredValues {
+    /// The value under the job's own key.
     pub header: Raw,
+    /// The values of its chunks, in the order of their numbers.
     pub chunks: Vec<Raw>,
 }
 
 impl StoredValues {
-    pub fn single(head: Raw) -> Self {
+    /// A job that is one value.
+    pub fn single(header: Raw) -> Self {
         Self {
-            header: head,
+            header,
             chunks: Vec::new(),
         }
     }
 
+    /// What writing them takes in a transaction, in bytes; an upper bound.
     pub fn request_bytes(&self) -> usize {
-        let pieces = self.chunks.iter().map(|p| p.get().len() + 120);
-        self.header.get().len() + 400 + pieces.sum::<usize>()
-    }
-}
-
-/// The value under `job/<uid>` or `stopping/<uid>` in format 2.
-#[derive(Serialize, Deserialize)]
-struct StoredHeader {
-    format: u32,
-    spec: Arc<JobSpec>,
-    accepted: Micros,
-    node: String,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    ready: Option<Micros>,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    done: String,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    placed: String,
-    #[serde(default, skip_serializing_if = "is_zero")]
-    pieces: usize,
-    #[serde(default, skip_serializing_if = "VecDeque::is_empty")]
-    endings: VecDeque<TaskEnding>,
-}
-
-fn is_zero(n: &usize) -> bool {
-    *n == 0
-}
-
-#[derive(Default, Serialize, Deserialize)]
-struct StoredChunk {
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    done: String,
-    #[serde(default, skip_serializing_if = "String::is_empty")]
-    placed: String,
-}
-
-/// Reads a job's head in either format; with it, how many pieces belong to it.
-pub fn decode_job(value: &Raw) -> Result<(JobRecord, usize), String> {
-    let head = match serde_json::from_str::<StoredHeader>(value.get()) {
-        Ok(head) => head,
-        Err(e) => {
-            #[derive(Deserialize)]
-            struct VersionProbe {
-                format: Option<u32>,
-            }
-            let probe: VersionProbe =
-                serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
+        let chunks = self.chunks.iter();
+        let chunk_bytes: usize = chunks
+            .map(|chunk| chunk.get().len() + CHUNK_REQUEST_BYTES)
+            .sum();
+        self.header.get().len() + JOB_REQUEST_BYTES + chunk_bytes
+    }
+}
+
+/// Decodes a job's header of either version. Returns the job, still without what its chunks hold, and how many
+/// chunks belong to it.
+///
+/// # Errors
+///
+/// If the value is of neither version, or of one newer than [`SCHEMA_VERSION`].
+pub fn decode_job(value: &Raw) -> Result<(JobRecord, usize), SchemaError> {
+    #[derive(Deserialize)]
+    struct VersionProbe {
+        format: Option<u32>,
+    }
+    let header: version_2::StoredHeader = match serde_json::from_str(value.get()) {
+        Ok(header) => header,
+        Err(error) => {
+            let probe: VersionProbe = serde_json::from_str(value.get())?;
             if probe.format.is_some() {
-                return Err(e.to_string());
+                return Err(error.into());
             }
             return Ok((version_1::decode_job(value)?, 0));
         }
     };
-    if head.format > SCHEMA_VERSION {
-        return Err(format!("its format is {}", head.format));
-    }
-    let mut record = JobRecord {
-        spec: head.spec,
-        accepted_at: head.accepted,
-        accepted_by: head.node,
-        ready_at: head.ready,
-        done: Vec::new(),
-        placed: BTreeMap::new(),
-        endings: head.endings,
-    };
-    add_ranges(&mut record, &head.done, &head.placed)?;
-    Ok((record, head.pieces))
-}
-
-/// Adds to a record what one of its pieces holds.
-pub fn decode_chunk(value: &Raw, record: &mut JobRecord) -> Result<(), String> {
-    let piece: StoredChunk = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
-    add_ranges(record, &piece.done, &piece.placed)
-}
-
-fn add_ranges(record: &mut JobRecord, done: &str, placed: &str) -> Result<(), String> {
-    let tasks = record.spec.tasks;
-    record.done.extend(read_ranges(done, tasks)?);
-    let mut before = String::new();
-    for entry in placed.split(' ').filter(|e| !e.is_empty()) {
-        let (name, parts) = entry.rsplit_once('=').ok_or("a placement without tasks")?;
-        let name =
-            expand_prefix(&before, name).ok_or("a machine's name that can't be completed")?;
-        let parts = read_ranges(parts, tasks)?;
-        record
-            .placed
-            .entry(name.as_str().into())
-            .or_default()
-            .extend(parts);
-        before = name;
-    }
-    Ok(())
-}
-
-fn read_ranges(text: &str, tasks: u64) -> Result<Vec<(u32, u32)>, String> {
-    let number = |n: &str| n.parse::<u32>().map_err(|_| format!("`{n}` is no task"));
-    let range = |r: &str| {
-        let (a, b) = r.split_once('-').unwrap_or((r, r));
-        let (a, b) = (number(a)?, number(b)?);
-        if a > b || u64::from(b) >= tasks {
-            return Err(format!("`{r}` are no tasks of the job"));
-        }
-        Ok((a, b + 1))
-    };
-    let ranges = text.split(',').filter(|r| !r.is_empty());
-    ranges.map(range).collect()
-}
-
-fn write_range(r: (u32, u32)) -> String {
-    if r.0 + 1 == r.1 {
-        r.0.to_string()
-    } else {
-        format!("{}-{}", r.0, r.1 - 1)
+    if header.format > SCHEMA_VERSION {
+        return Err(SchemaError::UnsupportedVersion(header.format));
     }
+    header.into_record()
 }
 
-const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
-
-/// A text as what differs from the one before: how many bytes they share, and the rest.
-pub fn compress_prefix(before: &str, text: &str) -> String {
-    let same = before
-        .bytes()
-        .zip(text.bytes())
-        .take(DIGITS.len() - 1)
-        .take_while(|(a, b)| a == b);
-    let mut n = same.count();
-    while !text.is_char_boundary(n) {
-        n -= 1;
-    }
-    format!("{}{}", DIGITS[n] as char, &text[n..])
-}
-
-/// The text that `squeeze` has shortened.
-pub fn expand_prefix(before: &str, short: &str) -> Option<String> {
-    let digit = short.bytes().next()?;
-    let n = DIGITS.iter().position(|d| *d == digit)?;
-    Some(format!("{}{}", before.get(..n)?, short.get(1..)?))
-}
-
-/// Whether a machine of that name can stand in the stored layout.
+/// Whether a machine of that name can be stored: version 2 separates names by spaces.
 pub fn is_storable_name(machine: &str) -> bool {
-    !machine.contains(' ') && machine.len() <= 64
-}
-
-/// Fills values one after the other.
-struct ChunkWriter {
-    chunk: StoredChunk,
-    previous_name: String,
-    bytes_left: usize,
-    complete: Vec<StoredChunk>,
-    usable_bytes: usize,
-}
-
-impl ChunkWriter {
-    /// Makes room for that much, if need be in the next piece; tells whether it is a new one.
-    fn reserve(&mut self, bytes: usize) -> bool {
-        let new = bytes > self.bytes_left;
-        if new {
-            self.complete.push(std::mem::take(&mut self.chunk));
-            self.previous_name.clear();
-            self.bytes_left = self.usable_bytes.saturating_sub(CHUNK_BYTES);
-        }
-        self.bytes_left = self.bytes_left.saturating_sub(bytes);
-        new
-    }
-
-    fn add_done_range(&mut self, range: (u32, u32)) {
-        let text = write_range(range);
-        self.reserve(text.len() + 1);
-        if !self.chunk.done.is_empty() {
-            self.chunk.done.push(',');
-        }
-        self.chunk.done.push_str(&text);
-    }
-
-    fn add_placement(&mut self, machine: &str, parts: &str) {
-        // JSON writes a quote or a backslash in two bytes or more.
-        let extra = raw(&machine).get().len() - machine.len() - 2;
-        let mut name = compress_prefix(&self.previous_name, machine);
-        if self.reserve(name.len() + parts.len() + 2 + extra) {
-            name = compress_prefix("", machine);
-            self.bytes_left = self.bytes_left.saturating_sub(machine.len());
-        }
-        let placed = &mut self.chunk.placed;
-        if !placed.is_empty() {
-            placed.push(' ');
-        }
-        placed.push_str(&name);
-        placed.push('=');
-        placed.push_str(parts);
-        self.previous_name = machine.to_owned();
-    }
-}
-
-fn encode_chunks(record: &JobRecord, usable: usize, most_pieces: usize) -> Option<StoredValues> {
-    let mut head = StoredHeader {
-        format: SCHEMA_VERSION,
-        spec: record.spec.clone(),
-        accepted: record.accepted_at,
-        node: record.accepted_by.clone(),
-        ready: record.ready_at,
-        done: String::new(),
-        placed: String::new(),
-        pieces: 0,
-        endings: VecDeque::new(),
-    };
-    let bare = raw(&head).get().len() + 60;
-    let mut filler = ChunkWriter {
-        chunk: StoredChunk::default(),
-        previous_name: String::new(),
-        bytes_left: usable.checked_sub(bare)?,
-        complete: Vec::new(),
-        usable_bytes: usable,
-    };
-    for range in &record.done {
-        filler.add_done_range(*range);
-    }
-    for (machine, parts) in &record.placed {
-        // A machine with many separate tasks of the job may take several entries.
-        for some in parts.chunks(60) {
-            let texts: Vec<String> = some.iter().map(|r| write_range(*r)).collect();
-            filler.add_placement(machine, &texts.join(","));
-        }
-    }
-    let mut pieces = filler.complete;
-    pieces.push(filler.chunk);
-    let first = pieces.remove(0);
-    if pieces.len() > most_pieces {
-        return None;
-    }
-    (head.done, head.placed, head.pieces) = (first.done, first.placed, pieces.len());
-    // Endings are for operators: the newest, as far as there is room.
-    let mut room = if pieces.is_empty() {
-        filler.bytes_left
-    } else {
-        0
-    };
-    room = room.saturating_sub(16);
-    for ending in record.endings.iter().rev() {
-        let bytes = raw(ending).get().len() + 1;
-        if bytes > room {
-            break;
-        }
-        room -= bytes;
-        head.endings.push_front(ending.clone());
-    }
-    Some(StoredValues {
-        header: raw(&head),
-        chunks: pieces.iter().map(raw).collect(),
-    })
+    !machine.contains(' ') && machine.len() <= MACHINE_NAME_BYTES_MAX
 }
--- a/src/schema/version_1.rs
+++ b/src/schema/version_1.rs
@@ -1,105 +1,125 @@
-//! Format 1, the old layout: a job is one value with its placements as a map, and so is a page of
-//! the roll. It is written until the format goes up, and can be deleted once no deployment runs
-//! under it any more.
+//! Schema version 1: a job is one value with its placements as a map, and so is a page of the machine registry.
+//!
+//! It is written until the stored version goes up, and can be deleted once no deployment runs under it any more.
 
+use super::SchemaError;
 use crate::clock::Micros;
-use crate::job_record::{JobRecord, TaskEnding};
+use crate::job_record::{JobRecord, TaskEnding, TaskRange};
 use crate::state_client::{Raw, raw};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Field names, node, times and endings of a record.
-const RECORD_HEAD: usize = 1_600;
-/// Without endings.
-const BARE_HEAD: usize = 300;
-/// `[12345,12346],`
+/// What a record takes beside spec and tasks, at most: field names, node, times and endings.
+const RECORD_BYTES: usize = 1_600;
+/// The same without endings.
+const BARE_RECORD_BYTES: usize = 300;
+/// What a range of tasks takes, at most: `[12345,12346],`.
 pub const RANGE_BYTES: usize = 14;
+/// What a placement takes beside the machine's name and its range, at most.
+const PLACEMENT_BYTES: usize = 8;
 
-/// A job as the state service holds it.
+/// The value under `job/<uid>` or `stopping/<uid>`.
 #[derive(Serialize, Deserialize)]
-struct Stored {
+struct StoredRecord {
     spec: Arc<JobSpec>,
-    accepted: Micros,
-    node: String,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    ready: Option<Micros>,
+    #[serde(rename = "accepted")]
+    accepted_at: Micros,
+    #[serde(rename = "node")]
+    accepted_by: String,
+    #[serde(rename = "ready", default, skip_serializing_if = "Option::is_none")]
+    ready_at: Option<Micros>,
     #[serde(default)]
-    done: Vec<(u32, u32)>,
+    done: Vec<TaskRange>,
     #[serde(default)]
-    placed: BTreeMap<Arc<str>, Vec<(u32, u32)>>,
+    placed: BTreeMap<Arc<str>, Vec<TaskRange>>,
     #[serde(default)]
     endings: VecDeque<TaskEnding>,
 }
 
+/// An upper bound of what a placement takes, in bytes.
 pub fn placement_bytes(name_bytes: usize) -> usize {
-    name_bytes + RANGE_BYTES + 8
+    name_bytes + RANGE_BYTES + PLACEMENT_BYTES
 }
 
-/// Room for placements. Under small values the endings are left out.
+/// A lower bound of the capacity for placements, in bytes. With small values, endings are left out.
 pub fn job_capacity_bytes(value_bytes: usize, spec_bytes: usize) -> usize {
-    let head = RECORD_HEAD.min((value_bytes / 8).max(BARE_HEAD));
-    value_bytes.saturating_sub(spec_bytes + head)
+    let record_bytes = RECORD_BYTES.min((value_bytes / 8).max(BARE_RECORD_BYTES));
+    value_bytes.saturating_sub(spec_bytes + record_bytes)
 }
 
-pub fn decode_job(value: &Raw) -> Result<JobRecord, String> {
-    let s: Stored = serde_json::from_str(value.get()).map_err(|e| e.to_string())?;
+/// Decodes a job.
+///
+/// # Errors
+///
+/// If the value is no job of this version.
+pub fn decode_job(value: &Raw) -> Result<JobRecord, SchemaError> {
+    let stored: StoredRecord = serde_json::from_str(value.get())?;
     Ok(JobRecord {
-        spec: s.spec,
-        accepted_at: s.accepted,
-        accepted_by: s.node,
-        ready_at: s.ready,
-        done: s.done,
-        placed: s.placed,
-        endings: s.endings,
+        spec: stored.spec,
+        accepted_at: stored.accepted_at,
+        accepted_by: stored.accepted_by,
+        ready_at: stored.ready_at,
+        done: stored.done,
+        placed: stored.placed,
+        endings: stored.endings,
     })
 }
 
-/// The value of a job, without its endings when it would be too large; None when it still is.
-pub fn encode_job(record: &JobRecord, usable: usize) -> Option<Raw> {
-    let mut stored = Stored {
+/// The value of a job, without its endings if it would be longer than `usable_bytes` with them; `None` if it
+/// is longer even so.
+pub fn encode_job(record: &JobRecord, usable_bytes: usize) -> Option<Raw> {
+    let mut stored = StoredRecord {
         spec: record.spec.clone(),
-        accepted: record.accepted_at,
-        node: record.accepted_by.clone(),
-        ready: record.ready_at,
+        accepted_at: record.accepted_at,
+        accepted_by: record.accepted_by.clone(),
+        ready_at: record.ready_at,
         done: record.done.clone(),
         placed: record.placed.clone(),
         endings: record.endings.clone(),
     };
     let mut value = raw(&stored);
-    if value.get().len() > usable {
-        // Endings are for display; the rest decides what may run.
+    if value.get().len() > usable_bytes {
+        // Endings are for display only; the rest decides what may run.
         stored.endings.clear();
         value = raw(&stored);
     }
-    (value.get().len() <= usable).then_some(value)
+    (value.get().len() <= usable_bytes).then_some(value)
 }
 
-/// One machine of the roll. Images are numbers into the page's own list.
+/// One machine of a registry page.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RegistryEntry {
-    pub addr: String,
+    /// Address of the machine's agent.
+    #[serde(rename = "addr")]
+    pub address: String,
+    /// Name of the machine's type.
     #[serde(rename = "sku")]
     pub machine_type: String,
+    /// Zone that it is in.
     pub zone: String,
+    /// Whether it is a spot machine.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub spot: bool,
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    #[serde(rename = "hired")]
+    /// Whether this cluster has rented it.
+    #[serde(rename = "hired", default, skip_serializing_if = "std::ops::Not::not")]
     pub rented: bool,
+    /// The images that it has cached, as indexes into [`StoredPage::images`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<usize>,
-    /// Time of day of the last contact with a machine that fell silent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub quiet: Option<Micros>,
+    /// Time of day of the last contact with a machine that has become silent, in microseconds.
+    #[serde(rename = "quiet", default, skip_serializing_if = "Option::is_none")]
+    pub silent_since: Option<Micros>,
 }
 
-/// One page of the roll.
+/// One page of the machine registry.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoredPage {
+    /// The images that machines of the page have cached.
     #[serde(default)]
     pub images: Vec<Arc<str>>,
+    /// The machines, by name.
     #[serde(default)]
     pub machines: BTreeMap<Arc<str>, RegistryEntry>,
 }
