--- a/src/dependency_graph.rs
+++ b/src/dependency_graph.rs
@@ -1,6 +1,12 @@
-//! Jobs that wait for others: who needs whom, what is known of the needed ones, and what of
-//! priority and deadline passes backwards. Driven without I/O; all that is believed of a job that
-//! is over was read from the state service, or written there by this leader.
+//! Jobs that wait for others: who depends on whom, which dependencies' outcomes have yet to be read, and which
+//! priority and deadline a dependency inherits from its dependents.
+//!
+//! Owns the edges between waiting jobs and their unmet dependencies for one leader term. Does no I/O: it names
+//! the outcomes to be read, and is told what was read. What is held about a finished job has always been read
+//! from the key-value store, or written there by this leader.
+//!
+//! Invariants at the door: a job is in the graph exactly while it has an unmet dependency; each outcome is in
+//! flight at most once.
 
 use crate::clock::{Micros, SECOND, from_secs};
 use crate::jobs::{Job, JobTable};
@@ -9,66 +15,68 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What an unreadable or missing final state is asked for again after.
+/// How long after an unreadable or missing final state it is read again.
 const OUTCOME_RETRY_INTERVAL: Micros = SECOND;
-/// So many final states are asked for at once.
+/// The most final states that are read at a time.
 const OUTCOME_READS_MAX: usize = 16;
-/// What a step takes beside its run: starts, reports, saving its end.
+/// What a job takes beside the run time of its tasks: starts, heartbeats, saving its end.
 const STEP_OVERHEAD: Micros = SECOND;
-/// Passing backwards stops after so many steps: only accepted jobs are named, so there are no
-/// cycles, but a stored value might say otherwise.
+/// Inheritance stops after this many edges. Only accepted jobs can be named as dependencies, so there are no
+/// cycles, unless a stored value says otherwise.
 const PROPAGATION_STEPS_MAX: usize = 10_000;
 
 #[derive(Default)]
 struct WaitingJob {
     unmet: BTreeSet<Arc<str>>,
-    /// The latest end of the needed jobs known so far.
+    /// Time of day of its acceptance, or of the latest known end of its dependencies if that is later.
     ready_at: Micros,
 }
 
+/// The waiting jobs and their dependencies.
 #[derive(Default)]
 pub struct DependencyGraph {
     waiting: HashMap<Arc<str>, WaitingJob>,
-    /// By needed job, those that still wait for it.
+    /// By dependency, the jobs that still wait for it.
     dependents_by_job: HashMap<Arc<str>, BTreeSet<Arc<str>>>,
-    /// Needed jobs that are not live: how they ended is to be read, not before that time.
+    /// Dependencies that may be finished: their outcomes are to be read, not before that time.
     outcomes_to_read: BTreeMap<Arc<str>, Micros>,
     outcomes_in_flight: HashSet<Arc<str>>,
 }
 
 impl DependencyGraph {
-    /// A job that waits for others; `live` tells which of them surely are not over.
-    pub fn add(&mut self, spec: &JobSpec, accepted: Micros, live: impl Fn(&str) -> bool) {
+    /// Adds a job that waits for its dependencies, accepted at this time of day. `is_live` says which of them
+    /// are certainly not finished; the outcomes of the others are to be read.
+    pub fn add(&mut self, spec: &JobSpec, accepted_at: Micros, is_live: impl Fn(&str) -> bool) {
         let unmet: BTreeSet<_> = spec.waits_on.iter().cloned().collect();
-        for need in &unmet {
-            let dependents = self.dependents_by_job.entry(need.clone()).or_default();
-            dependents.insert(spec.uid.clone());
-            if !live(need) && !self.outcomes_in_flight.contains(need) {
-                self.outcomes_to_read.insert(need.clone(), 0);
+        for dependency in &unmet {
+            let dependents = self.dependents_by_job.entry(dependency.clone());
+            dependents.or_default().insert(spec.uid.clone());
+            if !is_live(dependency) && !self.outcomes_in_flight.contains(dependency) {
+                self.outcomes_to_read.insert(dependency.clone(), 0);
             }
         }
-        let ready = accepted;
-        self.waiting.insert(
-            spec.uid.clone(),
-            WaitingJob {
-                unmet,
-                ready_at: ready,
-            },
-        );
+        let waiting = WaitingJob {
+            unmet,
+            ready_at: accepted_at,
+        };
+        self.waiting.insert(spec.uid.clone(), waiting);
     }
 
-    /// A needed job may be over: how it ended is to be read.
+    /// Has a job's outcome read, since it may be finished, if any job depends on it.
     pub fn request_outcome(&mut self, uid: &Arc<str>) {
-        if self.dependents_by_job.contains_key(uid) && !self.outcomes_in_flight.contains(uid) {
+        if self.has_dependents(uid) && !self.outcomes_in_flight.contains(uid) {
             self.outcomes_to_read.insert(uid.clone(), 0);
         }
     }
 
-    /// The needed jobs whose end is to be read now.
+    /// Hands out the dependencies whose outcomes are to be read now; they count as in flight.
     pub fn take_outcomes_to_read(&mut self, now: Micros) -> Vec<Arc<str>> {
-        let room = OUTCOME_READS_MAX.saturating_sub(self.outcomes_in_flight.len());
-        let due = self.outcomes_to_read.iter().filter(|l| *l.1 <= now);
-        let due: Vec<Arc<str>> = due.take(room).map(|l| l.0.clone()).collect();
+        let reads_left = OUTCOME_READS_MAX.saturating_sub(self.outcomes_in_flight.len());
+        let due = self
+            .outcomes_to_read
+            .iter()
+            .filter(|(_, not_before)| **not_before <= now);
+        let due: Vec<Arc<str>> = due.take(reads_left).map(|(uid, _)| uid.clone()).collect();
         for uid in &due {
             self.outcomes_to_read.remove(uid);
             self.outcomes_in_flight.insert(uid.clone());
@@ -76,63 +84,65 @@
         due
     }
 
+    /// Whether any outcome is to be read, now or later.
     pub fn has_outcomes_to_read(&self) -> bool {
         !self.outcomes_to_read.is_empty()
     }
 
-    /// An answer to a look has come.
+    /// A read of an outcome has ended, in whatever way.
     pub fn outcome_answered(&mut self, uid: &str) {
         self.outcomes_in_flight.remove(uid);
     }
 
-    /// It told nothing.
+    /// A read has not shown the outcome: it is repeated later.
     pub fn retry_outcome(&mut self, now: Micros, uid: &Arc<str>) {
-        if self.dependents_by_job.contains_key(uid) {
+        if self.has_dependents(uid) {
             self.outcomes_to_read
                 .insert(uid.clone(), now + OUTCOME_RETRY_INTERVAL);
         }
     }
 
-    /// A job is stored as done; returns the jobs that need nothing more, and since when.
-    pub fn dependency_done(&mut self, uid: &str, at: Micros) -> Vec<(Arc<str>, Micros)> {
+    /// A job is stored as done since `finished_at`, a time of day. Returns the jobs that now have no unmet
+    /// dependency, each with the time of day since when it is ready.
+    pub fn dependency_done(&mut self, uid: &str, finished_at: Micros) -> Vec<(Arc<str>, Micros)> {
         self.outcomes_to_read.remove(uid);
-        let mut released = Vec::new();
+        let mut ready = Vec::new();
         for dependent in self.dependents_by_job.remove(uid).unwrap_or_default() {
-            let Some(w) = self.waiting.get_mut(&dependent) else {
+            let Some(waiting) = self.waiting.get_mut(&dependent) else {
                 continue;
             };
-            w.unmet.remove(uid);
-            w.ready_at = w.ready_at.max(at);
-            if w.unmet.is_empty() {
-                let ready = w.ready_at;
+            waiting.unmet.remove(uid);
+            waiting.ready_at = waiting.ready_at.max(finished_at);
+            if waiting.unmet.is_empty() {
+                let ready_at = waiting.ready_at;
                 self.waiting.remove(&dependent);
-                released.push((dependent, ready));
+                ready.push((dependent, ready_at));
             }
         }
-        released
+        ready
     }
 
-    /// A job is stored as cancelled; returns the jobs that directly need it.
+    /// A job is stored as cancelled. Returns the waiting jobs that directly depend on it.
     pub fn dependency_cancelled(&mut self, uid: &str) -> Vec<Arc<str>> {
         self.outcomes_to_read.remove(uid);
         let dependents = self.dependents_by_job.remove(uid).unwrap_or_default();
         dependents
             .into_iter()
-            .filter(|d| self.waiting.contains_key(d))
+            .filter(|dependent| self.waiting.contains_key(dependent))
             .collect()
     }
 
-    /// A job that waited is over itself, or about to be.
+    /// Removes a waiting job that is finished itself, or about to be.
     pub fn forget(&mut self, uid: &str) {
-        let Some(w) = self.waiting.remove(uid) else {
+        let Some(waiting) = self.waiting.remove(uid) else {
             return;
         };
-        for need in w.unmet {
-            if let Some(dependents) = self.dependents_by_job.get_mut(&need) {
+        for dependency in waiting.unmet {
+            if let Some(dependents) = self.dependents_by_job.get_mut(&dependency) {
                 dependents.remove(uid);
                 if dependents.is_empty() {
-                    self.dependents_by_job.remove(&need);
-                    self.outcomes_to_read.remove(&need);
+                    self.dependents_by_job.remove(&dependency);
+                    self.outcomes_to_read.remove(&dependency);
                 }
             }
         }
@@ -145,14 +155,14 @@
 
     /// The jobs that wait for this one.
     pub fn dependents(&self, uid: &str) -> Vec<Arc<str>> {
-        let found = self.dependents_by_job.get(uid);
-        found.map_or_else(Vec::new, |d| d.iter().cloned().collect())
+        let dependents = self.dependents_by_job.get(uid);
+        dependents.into_iter().flatten().cloned().collect()
     }
 
-    /// What a job still waits for.
+    /// The dependencies that a job still waits for.
     pub fn unmet_dependencies(&self, uid: &str) -> Vec<Arc<str>> {
-        let found = self.waiting.get(uid);
-        found.map_or_else(Vec::new, |w| w.unmet.iter().cloned().collect())
+        let waiting = self.waiting.get(uid);
+        waiting.map_or_else(Vec::new, |job| job.unmet.iter().cloned().collect())
     }
 
     /// How many jobs wait for others.
@@ -160,64 +170,66 @@
         self.waiting.len()
     }
 
+    /// Whether no job waits for another.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Passes priority and deadline backwards from a job to those that it needs, directly or
-    /// through others. Each edge above the job is looked at as often as something changes there.
+    /// Passes priority and deadline on from a job to its unmet dependencies, direct and indirect. An edge is
+    /// followed as often as what is passed along it changes. `run_time` estimates a job's run time.
     pub fn propagate_back(
         &self,
-        table: &mut JobTable,
+        jobs: &mut JobTable,
         from: &Arc<str>,
-        run: impl Fn(&JobSpec) -> Micros,
+        run_time: impl Fn(&JobSpec) -> Micros,
     ) {
         let mut changed = vec![from.clone()];
         let mut steps = 0;
         while let Some(uid) = changed.pop() {
-            for need in self.unmet_dependencies(&uid) {
+            for dependency in self.unmet_dependencies(&uid) {
                 steps += 1;
                 if steps > PROPAGATION_STEPS_MAX {
-                    return log::error!("the jobs above {from} need each other in a circle");
+                    return log::error!("dependency cycle suspected job={from} steps={steps}");
                 }
-                let asked = self.requirements(table, &need, &run);
-                let Some(job) = table.get_mut(&need) else {
+                let required = self.requirements(jobs, &dependency, &run_time);
+                let Some(job) = jobs.get_mut(&dependency) else {
                     continue;
                 };
-                if (job.inherited_priority, job.due_at) != asked {
-                    (job.inherited_priority, job.due_at) = asked;
-                    changed.push(need);
+                if (job.inherited_priority, job.due_at) != required {
+                    (job.inherited_priority, job.due_at) = required;
+                    changed.push(dependency);
                 }
             }
         }
     }
 
-    /// What those that need a job ask of it: priority, and the time by which it must be done.
+    /// What its dependents require of a job: a priority, and the time of day by which it must be done.
     fn requirements(
         &self,
-        table: &JobTable,
+        jobs: &JobTable,
         uid: &str,
-        run: impl Fn(&JobSpec) -> Micros,
+        run_time: impl Fn(&JobSpec) -> Micros,
     ) -> (Priority, Option<Micros>) {
         let dependents = self.dependents_by_job.get(uid).into_iter().flatten();
-        let jobs = dependents.filter_map(|d| table.get(d));
-        let (mut priority, mut due) = (Priority::Low, None);
-        for job in jobs.filter(|j| !j.cancelled) {
+        let dependents = dependents.filter_map(|dependent| jobs.get(dependent));
+        let (mut priority, mut due_at) = (Priority::Low, None);
+        for job in dependents.filter(|job| !job.cancelled) {
             priority = priority.max(job.priority());
-            if let Some(at) = latest_start(job, run(&job.spec)) {
-                due = Some(due.map_or(at, |d: Micros| d.min(at)));
+            if let Some(start) = latest_start(job, run_time(&job.spec)) {
+                due_at = Some(due_at.map_or(start, |due_at: Micros| due_at.min(start)));
             }
         }
-        (priority, due)
+        (priority, due_at)
     }
 }
 
-/// The time of day by which a job must start for its own deadline and those behind it.
-pub fn latest_start(job: &Job, run: Micros) -> Option<Micros> {
-    let own = job.spec.deadline_s.map(|d| job.accepted_at + from_secs(d));
-    let due = match (own, job.due_at) {
-        (Some(a), Some(b)) => Some(a.min(b)),
-        (a, b) => a.or(b),
-    };
-    due.map(|d| d.saturating_sub(run + STEP_OVERHEAD))
+/// The time of day by which a job must start to meet its own deadline and those of its dependents, if there is
+/// any, given its estimated run time.
+pub fn latest_start(job: &Job, run_time: Micros) -> Option<Micros> {
+    let own = job
+        .spec
+        .deadline_s
+        .map(|deadline_s| job.accepted_at + from_secs(deadline_s));
+    let due_at = own.into_iter().chain(job.due_at).min();
+    due_at.map(|due_at| due_at.saturating_sub(run_time + STEP_OVERHEAD))
 }
