--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -178,13 +178,13 @@
             for (id, r) in entries {
                 leader_state.workers.add_registered_machine(
                     id.clone(),
-                    &r.addr,
+                    &r.address,
                     &r.machine_type,
                     &r.zone,
                     r.spot,
                     now,
                 );
-                if let Some(quiet) = r.quiet {
+                if let Some(quiet) = r.silent_since {
                     let bound = from_secs(self.settings.deployment.clock_offset_max_ms / 1000.0);
                     leader_state
                         .workers
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -239,7 +239,7 @@
         let page = self.pages.entry(key.to_owned()).or_default();
         page.mod_revision = Some(mod_revision);
         for (id, entry) in &entries {
-            if entry.quiet.is_some() {
+            if entry.silent_since.is_some() {
                 page.silence_marks.insert(id.clone());
             }
             if self.page_of.contains_key(id) {
--- a/src/registry/page.rs
+++ b/src/registry/page.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegistryEntry {
     /// Address of the machine's agent.
-    pub addr: String,
+    pub address: String,
     /// Name of the machine's type.
     pub machine_type: String,
     /// Zone that it is in.
@@ -26,7 +26,7 @@
     /// The images that it has cached.
     pub images: Vec<Arc<str>>,
     /// Silence mark: time of day of the last contact with a machine that has become silent, in microseconds.
-    pub quiet: Option<Micros>,
+    pub silent_since: Option<Micros>,
 }
 
 /// The machines of a page, by name.
@@ -86,18 +86,18 @@
     let images = images
         .split('.')
         .filter_map(|index| page.images.get(index.parse::<usize>().ok()?));
-    let quiet = match rest.first() {
+    let silent_since = match rest.first() {
         Some(mark) => Some(mark.parse().ok()?),
         None => None,
     };
     Some(RegistryEntry {
-        addr: address.clone(),
+        address: address.clone(),
         machine_type,
         zone,
         spot,
         rented,
         images: images.cloned().collect(),
-        quiet,
+        silent_since,
     })
 }
 
@@ -110,12 +110,12 @@
             .filter_map(|index| images.get(*index))
             .cloned()
             .collect(),
-        addr: stored.address,
+        address: stored.address,
         machine_type: stored.machine_type,
         zone: stored.zone,
         spot: stored.spot,
         rented: stored.rented,
-        quiet: stored.silent_since,
+        silent_since: stored.silent_since,
     };
     let machines = page.machines.into_iter();
     machines.map(|(id, stored)| (id, entry(stored))).collect()
