--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -39,7 +39,7 @@
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(reason) => return self.respond_error(conn, 400, &reason),
+            Err(error) => return self.respond_error(conn, 400, &error.to_string()),
         };
         let uid = spec.uid.clone();
         if self.answer_from_final_state(conn, &uid) {
--- a/src/dependency_graph.rs
+++ b/src/dependency_graph.rs
@@ -2,7 +2,7 @@
 //! priority and deadline a dependency inherits from its dependents.
 //!
 //! Owns the edges between waiting jobs and their unmet dependencies for one leader term. Does no I/O: it names
-//! the outcomes to be read, and is told what was read. What is held about a finished job has always been read
+//! the outcomes to be read, and takes what was read. What is held about a finished job has always been read
 //! from the key-value store, or written there by this leader.
 //!
 //! Invariants at the door: a job is in the graph exactly while it has an unmet dependency; each outcome is in
--- /dev/null
+++ b/src/wire/frames.rs
@@ -0,0 +1,205 @@
+//! Frames between controllers: a fixed header, followed by an address and a body. Several bodies are rows of a
+//! fixed layout, all little-endian, written as they stand in memory.
+//!
+//! The version before and this one run side by side, so no layout or number here may change.
+
+use std::net::SocketAddr;
+use zerocopy::byteorder::little_endian::{U16, U32, U64, U128};
+use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout};
+
+/// Length of a name in a row; shorter ones are padded with zeros.
+const ROW_NAME_BYTES: usize = 24;
+
+/// Header of every frame.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct FrameHead {
+    /// [`FRAME_MAGIC`].
+    pub magic: U32,
+    /// One of the `KIND_*` numbers.
+    pub kind: U16,
+    /// In an answer: the HTTP status, or one of the `FRAME_*` outcomes.
+    pub status: U16,
+    /// Number of the request, repeated in its answer.
+    pub ticket: U64,
+    /// The time that the receiver has to answer, in microseconds.
+    pub patience: U64,
+    /// Length of the first part of the payload (an address); the rest is the body.
+    pub addr_len: U32,
+    /// Length of the payload.
+    pub len: U32,
+}
+
+/// What every frame begins with.
+pub const FRAME_MAGIC: u32 = 0x4457_5232;
+/// Length of a frame's header, in bytes.
+pub const FRAME_HEAD: usize = size_of::<FrameHead>();
+/// The longest payload, in bytes.
+pub const FRAME_MAX: usize = 1 << 20;
+
+/// A heartbeat, forwarded to the leader.
+pub const KIND_HEARTBEAT: u16 = 1;
+/// Commands for a worker that the leader cannot reach by itself; the address is the worker's.
+pub const KIND_DELIVER_COMMANDS: u16 = 2;
+/// The answer to a request.
+pub const KIND_ANSWER: u16 = 3;
+/// An operator's query, forwarded to the leader.
+pub const KIND_ADMIN_QUERY: u16 = 4;
+/// The progress of the live jobs, announced by the leader; the body is a [`ProgressRow`] for each.
+pub const KIND_PROGRESS: u16 = 5;
+/// A client's request that its node cannot answer; the address is method and path.
+pub const KIND_CLIENT_REQUEST: u16 = 6;
+/// Many heartbeats, forwarded to the leader: [`HeartbeatRow`]s, each followed by its heartbeat where the leader may
+/// not have it. Sent only to a leader that has answered a frame without rows, since the version before does not know
+/// them.
+pub const KIND_HEARTBEAT_BATCH: u16 = 7;
+/// A [`ChecksumRow`] of the leader, to its standbys. Controllers of the version before answer that they do not know
+/// it.
+pub const KIND_CHECKSUM: u16 = 8;
+/// A worker's answer to a node that probed it on behalf of the leader. Taken like a heartbeat, but not answered, since
+/// no answer would reach the worker.
+pub const KIND_PROBE_ANSWER: u16 = 9;
+/// From a new leader: [`ProbeRow`]s of workers that have sent no heartbeat, for this node to probe. The version before
+/// does not know it; the leader then probes them itself.
+pub const KIND_PROBE_WORKERS: u16 = 10;
+/// To the leader: the id of a job that the sender has just confirmed as cancelled. A hint on which nothing relies; the
+/// version before does not know it.
+pub const KIND_CANCELLED: u16 = 11;
+
+/// In place of an HTTP status: the call was certainly not sent.
+pub const FRAME_NOT_SENT: u16 = 1;
+/// In place of an HTTP status: the call may have been executed.
+pub const FRAME_LOST: u16 = 2;
+/// In place of an HTTP status, in an [`AnswerRow`]: the leader does not have that heartbeat, send it in full.
+pub const SEND_FULL_HEARTBEAT: u16 = 3;
+
+/// A name as it stands in a row; `None` if it is too long.
+pub(super) fn pad_name(name: &str) -> Option<[u8; ROW_NAME_BYTES]> {
+    let mut padded = [0; ROW_NAME_BYTES];
+    padded
+        .get_mut(..name.len())?
+        .copy_from_slice(name.as_bytes());
+    Some(padded)
+}
+
+/// The progress of one live job. Jobs with ids that are too long are left out; they are read when they are polled.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct ProgressRow {
+    /// The job's id, padded with zeros.
+    pub uid: [u8; ROW_NAME_BYTES],
+    /// How many tasks are done.
+    pub done: U32,
+    /// How many tasks are placed.
+    pub placed: U32,
+}
+
+impl ProgressRow {
+    /// A row; `None` for an id that does not fit.
+    pub fn new(uid: &str, done: u32, placed: u32) -> Option<Self> {
+        Some(Self {
+            uid: pad_name(uid)?,
+            done: done.into(),
+            placed: placed.into(),
+        })
+    }
+}
+
+/// One worker that is to be probed under a fencing token.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct ProbeRow {
+    /// The token that the probe carries.
+    pub fencing_token: U64,
+    /// Name of the machine, padded with zeros.
+    pub machine: [u8; ROW_NAME_BYTES],
+    /// Address of the agent.
+    pub ip: [u8; 4],
+    /// Port of the agent.
+    pub port: U16,
+    /// Zero.
+    pub unused: U16,
+}
+
+impl ProbeRow {
+    /// A row; `None` for a name or an address that does not fit.
+    pub fn new(fencing_token: u64, machine: &str, address: SocketAddr) -> Option<Self> {
+        let SocketAddr::V4(address) = address else {
+            return None;
+        };
+        Some(Self {
+            fencing_token: fencing_token.into(),
+            machine: pad_name(machine)?,
+            ip: address.ip().octets(),
+            port: address.port().into(),
+            unused: 0.into(),
+        })
+    }
+
+    /// Name of the machine; empty if it is not UTF-8.
+    pub fn machine(&self) -> &str {
+        let text = std::str::from_utf8(&self.machine).unwrap_or("");
+        text.trim_end_matches('\0')
+    }
+
+    /// Address of the agent.
+    pub fn address(&self) -> SocketAddr {
+        (self.ip, self.port.get()).into()
+    }
+}
+
+/// The checksum over the live jobs as the leader knows them at a store revision.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct ChecksumRow {
+    /// The leader's term.
+    pub term: U64,
+    /// The store revision.
+    pub revision: U64,
+    /// The checksum.
+    pub checksum: U64,
+}
+
+/// One heartbeat in a batch.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct HeartbeatRow {
+    /// Digest of the heartbeat without its sequence number.
+    pub digest: U128,
+    /// Agent epoch of the heartbeat.
+    pub agent_epoch: U64,
+    /// Sequence number of the heartbeat.
+    pub sequence: U64,
+    /// Name of the machine, padded with zeros.
+    pub machine: [u8; ROW_NAME_BYTES],
+    /// The sender's number of the heartbeat, repeated in the answer.
+    pub slot: U32,
+    /// Length of the heartbeat that follows; 0: it is the same as the last one, but for the sequence number.
+    pub len: U32,
+}
+
+impl HeartbeatRow {
+    /// Name of the machine; empty if it is not UTF-8.
+    pub fn machine(&self) -> &str {
+        let end = self.machine.iter().position(|byte| *byte == 0);
+        std::str::from_utf8(&self.machine[..end.unwrap_or(self.machine.len())]).unwrap_or("")
+    }
+}
+
+/// The answer to one heartbeat of a batch.
+#[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
+#[repr(C)]
+pub struct AnswerRow {
+    /// The leader's fencing token for the worker.
+    pub fencing_token: U64,
+    /// The number from the [`HeartbeatRow`].
+    pub slot: U32,
+    /// An HTTP status, or [`SEND_FULL_HEARTBEAT`].
+    pub status: U16,
+    /// Zero.
+    pub unused: U16,
+    /// Length of the answer that follows; 0 with status 200: no commands.
+    pub len: U32,
+    /// Zero.
+    pub unused2: U32,
+}
--- a/tests/suite/scheduling.rs
+++ b/tests/suite/scheduling.rs
@@ -3,12 +3,12 @@
 use crate::world::{self, World};
 use dewramp::scheduler::{ClassKey, Pheromone, eta, impossible_reason};
 use dewramp::settings::{Properties, Settings, SettingsError};
-use dewramp::wire::{JobSpec, MachineType};
+use dewramp::wire::{JobSpec, JobSpecError, MachineType};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 use serde_json::{Value, json};
 
-fn spec(change: Value) -> Result<JobSpec, String> {
+fn spec(change: Value) -> Result<JobSpec, JobSpecError> {
     let mut job = world::job("wk-1");
     for (k, v) in change.as_object().unwrap() {
         job[k] = v.clone();
@@ -103,7 +103,7 @@
         ("bundle", json!("")),
     ] {
         let error = spec(json!({field: value.clone()})).expect_err(&format!("{field} = {value}"));
-        assert!(!error.is_empty());
+        assert!(!error.to_string().is_empty());
     }
     assert!(
         JobSpec::parse(b"[]").is_err()
