--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,134 +1,208 @@
-//! The platform's settings file (TOML) and the operators' own properties file.
+//! The settings: the platform's file (TOML), and the operators' own properties file.
+//!
+//! Owns the names in both files, the defaults, and the checks. A value is checked once, when it is read; the rest of
+//! the program relies on it. Both files are read only at the start.
 
 use crate::cancellation_freshness::{cancellation_slack, cancellation_slack_min_s};
 use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
 use serde::Deserialize;
+use std::fmt::Display;
 use std::net::SocketAddr;
 use std::path::Path;
 
+/// The fewest connections that a controller can work with.
+const CONNECTIONS_MIN: usize = 64;
+/// The fewest changes of a transaction that jobs can be stored with: the end of a job takes two, beside those that
+/// delete its chunks.
+const TXN_OPS_MIN: usize = 2;
+/// The longest name of a controller, in bytes.
+const NAME_BYTES_MAX: usize = 64;
+/// [`Deployment::clock_offset_max_ms`] if the settings do not say it.
+const DEFAULT_CLOCK_OFFSET_MAX_MS: f64 = 1000.0;
+
+/// What is wrong with the settings: where, and what is expected there.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
+    /// A file cannot be read, or not be parsed.
     #[error("settings {path}: {reason}")]
-    File { path: String, reason: String },
+    File {
+        /// Path of the file.
+        path: String,
+        /// Why, in one line.
+        reason: String,
+    },
+    /// A field of the settings file has a value that is out of its range.
     #[error("settings field `{field}`: {expected}")]
     Field {
+        /// Name of the field, with those of the tables around it.
         field: &'static str,
+        /// What its value must be.
         expected: String,
     },
+    /// A property has a value that is out of its range, or is not known.
     #[error("property `{name}`: {expected}")]
-    Property { name: String, expected: String },
+    Property {
+        /// Name of the property.
+        name: String,
+        /// What its value must be.
+        expected: String,
+    },
 }
 
+/// The platform's settings of one controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Settings {
+    /// Name of the controller.
     #[serde(rename = "label")]
     pub name: String,
+    /// Zone that the controller is in.
     #[serde(rename = "domain")]
     pub zone: String,
+    /// Where clients, operators and agents reach it.
     pub listen: SocketAddr,
+    /// Where the other controllers reach it.
     #[serde(rename = "cluster_listen")]
     pub peer_listen: SocketAddr,
-    #[serde(default)]
-    #[serde(rename = "others")]
+    /// The other controllers.
+    #[serde(rename = "others", default)]
     pub peers: Vec<Peer>,
+    /// Where the services are that it uses.
     #[serde(rename = "endpoints")]
     pub services: Endpoints,
+    /// What holds for the whole deployment.
     #[serde(rename = "settings")]
     pub deployment: Deployment,
 }
 
+/// Another controller.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Peer {
+    /// Its name.
     #[serde(rename = "label")]
     pub name: String,
-    #[serde(default)]
-    #[serde(rename = "domain")]
+    /// Zone that it is in.
+    #[serde(rename = "domain", default)]
     pub zone: String,
+    /// Where it listens for other controllers.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
 }
 
+/// The services that a controller uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
+    /// The cloud provider.
     pub cloud: SocketAddr,
+    /// The key-value store.
     pub state: SocketAddr,
 }
 
+/// What holds for the whole deployment.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Deployment {
+    /// The zones with machines.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// The time of day stays within this of true time.
-    #[serde(default = "default_time_bound")]
-    #[serde(rename = "time_bound_ms")]
+    /// How far the time of day may be from true time, in milliseconds.
+    #[serde(rename = "time_bound_ms", default = "default_clock_offset_max_ms")]
     pub clock_offset_max_ms: f64,
+    /// The teams with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
+    /// What users expect of each class of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
+    /// The times that worker agents keep to.
     pub workers: WorkerLimits,
+    /// The limits of the key-value store.
     pub state: StateLimits,
+    /// The limits of the cloud provider.
     pub cloud: CloudLimits,
+    /// The limits of the machine that a controller runs on.
     #[serde(rename = "machine_limits")]
     pub process_limits: MachineLimits,
 }
 
-fn default_time_bound() -> f64 {
-    1000.0
+fn default_clock_offset_max_ms() -> f64 {
+    DEFAULT_CLOCK_OFFSET_MAX_MS
 }
 
+/// A team with what it is guaranteed, and what it may use at most.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
+    /// Name of the team.
     pub name: String,
+    /// Cores that are guaranteed.
     #[serde(default)]
     pub cpus: f64,
+    /// The most cores.
     #[serde(default)]
     pub cpus_max: f64,
+    /// Accelerators that are guaranteed.
     #[serde(default)]
     pub gpus: f64,
+    /// The most accelerators.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What the users expect of a class of jobs.
+/// What users expect of a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
+    /// What is bounded: `wait`, `guarantee`, `deadline` or `finished`.
     pub kind: String,
+    /// The class; absent for a `guarantee`, which holds for jobs of all classes.
     #[serde(default)]
     pub class: Option<String>,
+    /// The time that is expected, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
+    /// With `deadline`: the time that is expected, as a multiple of the job's own.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
+/// The times that worker agents keep to.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerLimits {
+    /// The time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
+    /// How long after it sent the last heartbeat that was answered a worker's lease expires, in seconds; its tasks
+    /// end then.
     pub lease_s: f64,
+    /// How long after a confirmed cancellation the job's tasks may still be on machines, in seconds.
     pub cancel_s: f64,
 }
 
+/// The limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
+    /// Requests a second, of all controllers.
     pub rps: f64,
+    /// Changes a second, of all controllers.
     pub write_rps: f64,
+    /// The largest value, in kilobytes of 1024 bytes.
     pub value_kb: f64,
+    /// The most changes of a transaction.
     pub txn_ops: usize,
-    /// What will hold from some moment on, without notice.
+    /// The limits that will hold from some moment on, which comes without notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits to come; what is absent stays as it is.
+/// Limits to come; what is absent stays as it is. The fields are those of [`StateLimits`].
 #[derive(Clone, Debug, Deserialize)]
 pub struct NextLimits {
+    /// Requests a second.
     #[serde(default)]
     pub rps: Option<f64>,
+    /// Changes a second.
     #[serde(default)]
     pub write_rps: Option<f64>,
+    /// The largest value, in kilobytes of 1024 bytes.
     #[serde(default)]
     pub value_kb: Option<f64>,
+    /// The most changes of a transaction.
     #[serde(default)]
     pub txn_ops: Option<usize>,
 }
@@ -136,143 +210,97 @@
 impl StateLimits {
     /// The tighter of what holds now and what will hold.
     pub fn tightest(&self) -> StateLimits {
-        let mut tight = self.clone();
-        if let Some(n) = tight.next.take() {
-            tight.rps = n.rps.map_or(self.rps, |x| x.min(self.rps));
-            tight.write_rps = n
+        let mut tightest = self.clone();
+        if let Some(next) = tightest.next.take() {
+            tightest.rps = next.rps.map_or(self.rps, |rps| rps.min(self.rps));
+            tightest.write_rps = next
                 .write_rps
-                .map_or(self.write_rps, |x| x.min(self.write_rps));
-            tight.value_kb = n.value_kb.map_or(self.value_kb, |x| x.min(self.value_kb));
-            tight.txn_ops = n.txn_ops.map_or(self.txn_ops, |x| x.min(self.txn_ops));
+                .map_or(self.write_rps, |write_rps| write_rps.min(self.write_rps));
+            tightest.value_kb = next
+                .value_kb
+                .map_or(self.value_kb, |value_kb| value_kb.min(self.value_kb));
+            tightest.txn_ops = next
+                .txn_ops
+                .map_or(self.txn_ops, |txn_ops| txn_ops.min(self.txn_ops));
         }
-        tight
+        tightest
     }
 
-    /// The largest value that the state service takes.
+    /// The largest value that the store takes, in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0) as usize
     }
 }
 
+/// The limits of the cloud provider.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
+    /// Calls a second, of all controllers.
     pub rps: f64,
+    /// How far a list of machines may lag behind, in seconds.
     pub list_lag_s: f64,
 }
 
+/// The limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
 pub struct MachineLimits {
+    /// The most open connections.
     pub max_connections: usize,
-    /// The share of one core; told by the platform, and only checked here: what a node can take on is
-    /// learned from how far it falls behind.
+    /// The controller's share of one core. Only checked here: what a node can take on is learned from how far it
+    /// falls behind.
     #[serde(default)]
     pub cpu_share: Option<f64>,
-    /// Megabytes that the process may hold.
-    #[serde(default)]
-    #[serde(rename = "ram_mb")]
+    /// The memory that the process may hold, in megabytes.
+    #[serde(rename = "ram_mb", default)]
     pub memory_mb: Option<f64>,
 }
 
 impl Settings {
+    /// Reads and checks a settings file.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read or parsed, or a field is out of its range; the first one is named.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let file = |reason: String| SettingsError::File {
-            path: path.display().to_string(),
-            reason,
-        };
-        let text = std::fs::read_to_string(path).map_err(|e| file(e.to_string()))?;
-        Self::parse(&text).map_err(|e| match e {
-            SettingsError::File { reason, .. } => file(reason),
+        let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
+        Self::parse(&text).map_err(|error| match error {
+            SettingsError::File { reason, .. } => file_error(path, reason),
             other => other,
         })
     }
 
+    /// Reads and checks the text of a settings file.
+    ///
+    /// # Errors
+    ///
+    /// If it cannot be parsed, or a field is out of its range; the first one is named.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
-        let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::File {
+        let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::File {
             path: String::new(),
             // One line: which field, and what is expected of it.
-            reason: e.to_string().replace('\n', " "),
+            reason: error.to_string().replace('\n', " "),
         })?;
         settings.check()?;
         Ok(settings)
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let s = &self.deployment;
-        let positive = [
-            ("settings.workers.report_s", s.workers.report_s),
-            ("settings.workers.lease_s", s.workers.lease_s),
-            ("settings.workers.cancel_s", s.workers.cancel_s),
-            ("settings.state.rps", s.state.rps),
-            ("settings.state.write_rps", s.state.write_rps),
-            ("settings.state.value_kb", s.state.value_kb),
-            ("settings.cloud.rps", s.cloud.rps),
-        ];
-        for (field, value) in positive {
-            if !value.is_finite() || value <= 0.0 {
-                return Err(field_error(field, "expected a number above 0"));
-            }
-        }
-        if !s.cloud.list_lag_s.is_finite() || s.cloud.list_lag_s < 0.0 {
-            return Err(field_error(
-                "settings.cloud.list_lag_s",
-                "expected 0 or more",
-            ));
-        }
-        if !s.clock_offset_max_ms.is_finite() || s.clock_offset_max_ms < 0.0 {
-            return Err(field_error("settings.time_bound_ms", "expected 0 or more"));
-        }
-        if s.state.txn_ops < 2 {
-            return Err(field_error("settings.state.txn_ops", "expected 2 or more"));
-        }
-        if let Some(next) = &s.state.next {
-            let positive = [
-                ("settings.state.next.rps", next.rps),
-                ("settings.state.next.write_rps", next.write_rps),
-                ("settings.state.next.value_kb", next.value_kb),
-            ];
-            for (field, value) in positive {
-                if value.is_some_and(|v| !v.is_finite() || v <= 0.0) {
-                    return Err(field_error(field, "expected a number above 0"));
-                }
-            }
-            // A job's end takes two changes, beside those that remove its pieces.
-            if next.txn_ops.is_some_and(|n| n < 2) {
-                return Err(field_error(
-                    "settings.state.next.txn_ops",
-                    "expected 2 or more",
-                ));
-            }
-        }
-        let limits = [
-            (
-                "settings.machine_limits.cpu_share",
-                s.process_limits.cpu_share,
-            ),
-            ("settings.machine_limits.ram_mb", s.process_limits.memory_mb),
-        ];
-        for (field, value) in limits {
-            if value.is_some_and(|v| !v.is_finite() || v <= 0.0) {
-                return Err(field_error(field, "expected a number above 0"));
-            }
-        }
-        if s.process_limits.max_connections < 64 {
-            return Err(field_error(
-                "settings.machine_limits.max_connections",
-                "expected 64 or more",
-            ));
-        }
-        if self.name.is_empty() || self.name.len() > 64 {
-            return Err(field_error("label", "expected 1 to 64 bytes"));
+        self.deployment.check_rates()?;
+        self.deployment.state.check_next()?;
+        self.deployment.process_limits.check()?;
+        if self.name.is_empty() || self.name.len() > NAME_BYTES_MAX {
+            let expected = format!("expected 1 to {NAME_BYTES_MAX} bytes");
+            return Err(field_error("label", expected));
         }
-        if self.peers.iter().any(|p| p.name == self.name) {
+        if self.peers.iter().any(|peer| peer.name == self.name) {
             return Err(field_error(
                 "others",
                 "a node must not name itself among the others",
             ));
         }
-        for team in &s.teams {
+        for team in &self.deployment.teams {
             let amounts = [team.cpus, team.cpus_max, team.gpus, team.gpus_max];
-            if amounts.iter().any(|a| !a.is_finite() || *a < 0.0) {
+            if !amounts.iter().all(|amount| is_not_negative(*amount)) {
                 return Err(field_error(
                     "settings.teams",
                     "expected amounts of 0 or more",
@@ -282,61 +310,147 @@
         Ok(())
     }
 
+    /// How long after it sent the last heartbeat that was answered a worker's lease expires.
     pub fn lease(&self) -> Micros {
         from_secs(self.deployment.workers.lease_s)
     }
 
-    /// How long after a confirmed cancellation the job's tasks may still be there.
+    /// How long after a confirmed cancellation the job's tasks may still be on machines.
     pub fn cancel(&self) -> Micros {
         from_secs(self.deployment.workers.cancel_s)
     }
 
+    /// The time between two heartbeats of a worker.
     pub fn report_period(&self) -> Micros {
         from_secs(self.deployment.workers.report_s)
     }
 
-    /// What can be served only in part, in one line that says what to change.
+    /// What these settings make impossible to guarantee, in one line that says what to change.
     pub fn warning(&self) -> Option<String> {
-        let w = &self.deployment.workers;
-        cancellation_slack(self.lease(), self.cancel()).is_none().then(|| {
-            format!(
-                "settings.workers.cancel_s = {} leaves nothing beyond settings.workers.lease_s = {}: tasks of a \
-                 cancelled job on a machine that can't be reached may outlive cancel_s; set cancel_s at least {} s \
-                 above lease_s",
-                w.cancel_s, w.lease_s, cancellation_slack_min_s(self.lease())
-            )
-        })
+        let limits = &self.deployment.workers;
+        if cancellation_slack(self.lease(), self.cancel()).is_some() {
+            return None;
+        }
+        Some(format!(
+            "settings.workers.cancel_s = {} leaves nothing beyond settings.workers.lease_s = {}: tasks of a \
+             cancelled job on a machine that can't be reached may outlive cancel_s; set cancel_s at least {} s \
+             above lease_s",
+            limits.cancel_s,
+            limits.lease_s,
+            cancellation_slack_min_s(self.lease())
+        ))
     }
 
+    /// The team of that name.
     pub fn team(&self, name: &str) -> Option<&Team> {
-        self.deployment.teams.iter().find(|t| t.name == name)
+        let mut teams = self.deployment.teams.iter();
+        teams.find(|team| team.name == name)
+    }
+}
+
+impl Deployment {
+    fn check_rates(&self) -> Result<(), SettingsError> {
+        check_positive("settings.workers.report_s", self.workers.report_s)?;
+        check_positive("settings.workers.lease_s", self.workers.lease_s)?;
+        check_positive("settings.workers.cancel_s", self.workers.cancel_s)?;
+        check_positive("settings.state.rps", self.state.rps)?;
+        check_positive("settings.state.write_rps", self.state.write_rps)?;
+        check_positive("settings.state.value_kb", self.state.value_kb)?;
+        check_positive("settings.cloud.rps", self.cloud.rps)?;
+        check_not_negative("settings.cloud.list_lag_s", self.cloud.list_lag_s)?;
+        check_not_negative("settings.time_bound_ms", self.clock_offset_max_ms)?;
+        check_at_least("settings.state.txn_ops", self.state.txn_ops, TXN_OPS_MIN)
+    }
+}
+
+impl StateLimits {
+    fn check_next(&self) -> Result<(), SettingsError> {
+        let Some(next) = &self.next else {
+            return Ok(());
+        };
+        check_positive_if_set("settings.state.next.rps", next.rps)?;
+        check_positive_if_set("settings.state.next.write_rps", next.write_rps)?;
+        check_positive_if_set("settings.state.next.value_kb", next.value_kb)?;
+        match next.txn_ops {
+            Some(txn_ops) => check_at_least("settings.state.next.txn_ops", txn_ops, TXN_OPS_MIN),
+            None => Ok(()),
+        }
+    }
+}
+
+impl MachineLimits {
+    fn check(&self) -> Result<(), SettingsError> {
+        check_positive_if_set("settings.machine_limits.cpu_share", self.cpu_share)?;
+        check_positive_if_set("settings.machine_limits.ram_mb", self.memory_mb)?;
+        check_at_least(
+            "settings.machine_limits.max_connections",
+            self.max_connections,
+            CONNECTIONS_MIN,
+        )
+    }
+}
+
+fn is_not_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
+}
+
+fn check_positive(field: &'static str, value: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value > 0.0 {
+        return Ok(());
+    }
+    Err(field_error(field, "expected a number above 0"))
+}
+
+fn check_positive_if_set(field: &'static str, value: Option<f64>) -> Result<(), SettingsError> {
+    value.map_or(Ok(()), |value| check_positive(field, value))
+}
+
+fn check_not_negative(field: &'static str, value: f64) -> Result<(), SettingsError> {
+    if is_not_negative(value) {
+        return Ok(());
     }
+    Err(field_error(field, "expected 0 or more"))
 }
 
-fn field_error(field: &'static str, expected: &str) -> SettingsError {
+fn check_at_least(field: &'static str, value: usize, least: usize) -> Result<(), SettingsError> {
+    if value >= least {
+        return Ok(());
+    }
+    Err(field_error(field, format!("expected {least} or more")))
+}
+
+fn field_error(field: &'static str, expected: impl Into<String>) -> SettingsError {
     SettingsError::Field {
         field,
-        expected: expected.to_owned(),
+        expected: expected.into(),
+    }
+}
+
+fn file_error(path: &Path, reason: impl Display) -> SettingsError {
+    SettingsError::File {
+        path: path.display().to_string(),
+        reason: reason.to_string(),
     }
 }
 
 /// The operators' own settings, with their defaults.
 #[derive(Clone, Debug)]
 pub struct Properties {
-    /// Evaporation of pheromone per round (ρ).
+    /// Evaporation of pheromone per round (ρ), 0 to 1.
     pub evaporation: f64,
     /// Exponent of the fairness weight (β).
     pub fairness_exponent: f64,
     /// Length of a deposit round.
     pub round: Micros,
-    /// How long the leader's grant lasts without renewal, at most and at least.
+    /// How long the leader's lease lives without a renewal, at most.
     pub leader_ttl: Micros,
+    /// How long the leader's lease lives without a renewal, at least.
     pub leader_ttl_min: Micros,
-    /// A rented machine that stood idle this long is returned.
+    /// A rented machine that has been idle for this long is released.
     pub idle_return: Micros,
-    /// Whether this controller follows the leader when it is its turn.
+    /// Whether this controller may replicate the leader's state as a standby.
     pub follow: bool,
-    /// Seed of the draws; 0 takes one from the time of day.
+    /// Seed of the random numbers; 0: taken from the time of day.
     pub seed: u64,
 }
 
@@ -356,51 +470,66 @@
 }
 
 impl Properties {
+    /// Reads and checks a properties file.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read or parsed, or a property is not known or out of its range.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        let file = |reason: String| SettingsError::File {
-            path: path.display().to_string(),
-            reason,
-        };
-        let f = std::fs::File::open(path).map_err(|e| file(e.to_string()))?;
-        let map =
-            java_properties::read(std::io::BufReader::new(f)).map_err(|e| file(e.to_string()))?;
-        Self::from_pairs(&map)
+        let file = std::fs::File::open(path).map_err(|error| file_error(path, error))?;
+        let pairs = java_properties::read(std::io::BufReader::new(file))
+            .map_err(|error| file_error(path, error))?;
+        Self::from_pairs(&pairs)
     }
 
-    /// From names and values; the first that is wrong is named.
+    /// The properties of these names and values.
+    ///
+    /// # Errors
+    ///
+    /// If a property is not known or out of its range; the first one is named.
     pub fn from_pairs<'a>(
         pairs: impl IntoIterator<Item = (&'a String, &'a String)>,
     ) -> Result<Self, SettingsError> {
-        let mut p = Self::default();
+        let mut properties = Self::default();
         for (name, value) in pairs {
-            let within = |low: f64, high: f64| {
-                value
-                    .trim()
-                    .parse::<f64>()
-                    .ok()
-                    .filter(|v| (low..=high).contains(v))
-                    .ok_or_else(|| SettingsError::Property {
-                        name: name.clone(),
-                        expected: format!("expected a number from {low} to {high}, not `{value}`"),
-                    })
-            };
-            match name.as_str() {
-                "scheduler.evaporation" => p.evaporation = within(0.0, 1.0)?,
-                "scheduler.fairness-exponent" => p.fairness_exponent = within(0.0, 10.0)?,
-                "scheduler.round-seconds" => p.round = from_secs(within(0.1, 3600.0)?),
-                "scheduler.seed" => p.seed = within(0.0, 9e15)? as u64,
-                "standby.follow" => p.follow = within(0.0, 1.0)? > 0.0,
-                "leader.ttl-seconds" => p.leader_ttl = from_secs(within(1.0, 600.0)?),
-                "leader.ttl-min-seconds" => p.leader_ttl_min = from_secs(within(1.0, 600.0)?),
-                "cloud.idle-return-seconds" => p.idle_return = from_secs(within(1.0, 1e6)?),
-                _ => {
-                    return Err(SettingsError::Property {
-                        name: name.clone(),
-                        expected: "no such property; see README, Settings".to_owned(),
-                    });
-                }
+            properties.set(name, value)?;
+        }
+        Ok(properties)
+    }
+
+    fn set(&mut self, name: &str, value: &str) -> Result<(), SettingsError> {
+        let number = |low: f64, high: f64| parse_number(name, value, low, high);
+        match name {
+            "scheduler.evaporation" => self.evaporation = number(0.0, 1.0)?,
+            "scheduler.fairness-exponent" => self.fairness_exponent = number(0.0, 10.0)?,
+            "scheduler.round-seconds" => self.round = from_secs(number(0.1, 3600.0)?),
+            "scheduler.seed" => self.seed = number(0.0, 9e15)? as u64,
+            "standby.follow" => self.follow = number(0.0, 1.0)? > 0.0,
+            "leader.ttl-seconds" => self.leader_ttl = from_secs(number(1.0, 600.0)?),
+            "leader.ttl-min-seconds" => self.leader_ttl_min = from_secs(number(1.0, 600.0)?),
+            "cloud.idle-return-seconds" => self.idle_return = from_secs(number(1.0, 1e6)?),
+            _ => {
+                let expected = "no such property; see README, Settings".to_owned();
+                return Err(property_error(name, expected));
             }
         }
-        Ok(p)
+        Ok(())
+    }
+}
+
+fn parse_number(name: &str, value: &str, low: f64, high: f64) -> Result<f64, SettingsError> {
+    let number = value.trim().parse::<f64>().ok();
+    number
+        .filter(|number| (low..=high).contains(number))
+        .ok_or_else(|| {
+            let expected = format!("expected a number from {low} to {high}, not `{value}`");
+            property_error(name, expected)
+        })
+}
+
+fn property_error(name: &str, expected: String) -> SettingsError {
+    SettingsError::Property {
+        name: name.to_owned(),
+        expected,
     }
 }
