--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -342,7 +342,7 @@
                 .is_none_or(|backoff| now >= backoff.until)
     }
 
-    /// Rents machines of an offer; at most [`RENTAL_MACHINES_MAX`] at a time.
+    /// Rents machines of an offer; at most `RENTAL_MACHINES_MAX` at a time.
     pub fn rent(
         &mut self,
         now: Micros,
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -7,7 +7,8 @@
 //! [`Output`]s, and their outcomes come back by ticket.
 //!
 //! Invariants at the door: every submitted request ends in exactly one reply; the budgets are charged before a
-//! call leaves; within a priority, requests that can be sent leave in the order of submission.
+//! call leaves; within a priority, requests that can be sent leave in the order in which they were queued; one that
+//! is repeated is queued anew.
 
 mod protocol;
 #[cfg(test)]
@@ -391,7 +392,7 @@
         client
     }
 
-    /// Sets this node's share of the budgets: larger for the leader, see [`LEADER_WRITE_SHARE`].
+    /// Sets this node's share of the budgets: larger for the leader, see `LEADER_WRITE_SHARE`.
     pub fn set_leading(&mut self, is_leader: bool) {
         self.is_leader = is_leader;
         let node_count = self.node_count;
@@ -467,7 +468,7 @@
     }
 
     /// Whether a request should be sent now only to find out whether the service has recovered. True at most
-    /// once per [`PROBE_INTERVAL`].
+    /// once per `PROBE_INTERVAL`.
     pub fn should_probe(&mut self, now: Micros) -> bool {
         let due = self.is_failing() && now >= self.probed_at + PROBE_INTERVAL;
         if due {
