--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -192,13 +192,13 @@
             for (id, r) in entries {
                 leader_state.workers.add_registered_machine(
                     id.clone(),
-                    &r.addr,
+                    &r.address,
                     &r.machine_type,
                     &r.zone,
                     r.spot,
                     now,
                 );
-                if let Some(quiet) = r.quiet {
+                if let Some(quiet) = r.silent_since {
                     let bound = from_secs(self.settings.deployment.clock_offset_max_ms / 1000.0);
                     leader_state
                         .workers
@@ -234,7 +234,7 @@
                 };
                 for n in 0..count {
                     let piece = mirror.chunk(&uid, n).map(|i| &i.value);
-                    let read = piece.ok_or_else(|| "it is missing".to_owned());
+                    let read = piece.ok_or(schema::SchemaError::MissingChunk);
                     if let Err(e) = read.and_then(|p| schema::decode_chunk(p, &mut record)) {
                         log::error!("{} can't be read: {e}", chunk_key(&uid, n));
                         unread += 1;
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -11,7 +11,7 @@
 
 use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX, live_key};
 use crate::registry::REGISTRY_PREFIX;
-use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY};
+use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY, SchemaError};
 use crate::state_client::{Item, Raw, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     /// Length of the stored value.
     pub bytes: usize,
     /// The job and the number of its chunks, or why it can't be decoded.
-    pub decoded: Result<(JobRecord, usize), String>,
+    pub decoded: Result<(JobRecord, usize), SchemaError>,
 }
 
 impl JobHeader {
