--- a/src/controller.rs
+++ b/src/controller.rs
@@ -16,74 +16,48 @@
 mod submission;
 mod task_events;
 
-use crate::accounting::{StopReason, TaskOutcome, WorkloadAccounting};
-use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
-use crate::clock::{MILLISECOND, Micros, Now, SECOND, from_secs};
-use crate::cloud::{Cloud, CloudEvent, Offer};
-use crate::dependency_graph::{DependencyGraph, latest_start};
-use crate::election::{Election, ElectionStep, LEADER_KEY, LeadershipChange};
+use crate::accounting::WorkloadAccounting;
+use crate::cancellation_freshness::CancellationFreshness;
+use crate::clock::{MILLISECOND, Micros, Now, SECOND};
+use crate::cloud::{Cloud, Offer};
+use crate::dependency_graph::DependencyGraph;
+use crate::election::{Election, ElectionStep, LEADER_KEY};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
-use crate::job_record::{
-    FinalState, JobRecord, LIVE_PREFIX, STOPPING_PREFIX, TaskEnding, final_body, finished_key,
-    live_body, live_key, stopping_key,
-};
+use crate::job_record::LIVE_PREFIX;
 use crate::jobs::{FinalCache, Job, JobTable, Progress};
 use crate::load_shedding::{LoadMonitor, ShedLevel};
 use crate::messages::{ConnId, Input, Outcome, Output, Ticket};
 use crate::reconciliation::Reconciliation;
-use crate::registry::{MachineRegistry, RegistryRequest, WriteResult};
-use crate::replica::{Checksum, Replica, ReplicaRead};
+use crate::registry::MachineRegistry;
+use crate::replica::{Checksum, ReplicaRead};
 use crate::request_starvation::RequestStarvation;
-use crate::scheduler::{Scheduler, impossible_reason};
-use crate::schema::{
-    self, CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema,
-    SchemaSupport, StoredSchemaVersion, chunk_key, controller_key, split_chunk_key,
-};
+use crate::scheduler::Scheduler;
+use crate::schema::SchemaSupport;
 use crate::seeded_hash::HashMap;
-use crate::settings::{Peer, Properties, Settings};
-use crate::state_client::{Item, Op, Reply, RequestPriority, StateClient, Transaction, raw};
+use crate::settings::{Properties, Settings};
+use crate::state_client::{Op, RequestPriority, StateClient};
 use crate::task_id::TaskId;
 use crate::wire::{
-    Heartbeat, JobSpec, KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST,
-    KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER,
-    KIND_PROBE_WORKERS, KIND_PROGRESS, Priority, ProgressRow, valid_uid,
+    KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_DELIVER_COMMANDS,
+    KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, KIND_PROGRESS,
 };
-use crate::worker_ledger::{TaskEvent, TaskEventKind, TaskState, WorkerLedger};
+use crate::worker_ledger::WorkerLedger;
 use crate::worker_probe::WorkerProbe;
-use api::fits_value_limit;
 use rangemap::RangeSet;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
 use standby::{Failover, LeaderLoad, Standby};
 use startup::Startup;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use submission::Submission;
-use zerocopy::IntoBytes;
 
 /// A user gets an answer at once, also when it is that we can't tell: little patience.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
-/// Polls of a moment are asked together.
-const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
-/// A poll waits this long for the budget; users give a poll 2 s.
-const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
-/// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
-/// to 3 s old.
-const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
-const PROGRESS_FRESH_FOR: Micros = 2_500 * MILLISECOND;
-/// So many others must have said a moment ago that they can serve users for the leader not to.
-/// With two, both of which crashed at once, users had no node at all until the load balancer
-/// took the leader back.
-const SERVING_PEERS_MIN: usize = 3;
 const SERVING_FRESH_FOR: Micros = 3 * SECOND;
-/// Without a leader's word for longer than that, what is stored is shown.
-const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
-/// Without the state service and the other controllers for so long, this node can serve nobody.
-const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 /// Bits of a ticket that count within a life; above them stands the run, which has 52.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
 /// From here on, connection numbers stand for requests that came through another controller.
@@ -98,28 +72,9 @@
 const PASS_INTERVAL_MAX: Micros = SECOND;
 const SAVE_INTERVAL_PER_JOB: Micros = 30;
 const SAVE_SCAN_INTERVAL: Micros = 100 * MILLISECOND;
-const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
-/// What only says how far a job is waits this long at most for changes to be left over.
-const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
-const QUEUED_SAVES_MAX: usize = 2;
-/// A walk over all machines, for what only time makes due, is made again after so long for each of them.
-const FLEET_SCAN_INTERVAL_PER_MACHINE: Micros = 600;
-const AUTOSCALING_INTERVAL_MIN: Micros = 400 * MILLISECOND;
-const AUTOSCALING_INTERVAL_PER_MACHINE: Micros = MILLISECOND;
-const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
-const CANCEL_RETRIES_MAX: u32 = 8;
 const FINAL_STATES_CACHED: usize = 4096;
-/// With no job at all, rented machines are returned after this long.
-const IDLE_CLUSTER_RELEASE_DELAY: Micros = 30 * SECOND;
-/// A machine that answers nobody for this long is returned, if it can be replaced.
-const UNREACHABLE_RELEASE_DELAY: Micros = 8 * SECOND;
 /// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
 const STALL_THRESHOLD: Micros = SECOND;
-/// A leader that hears no machine for this long, and two report periods, lets another lead; it
-/// then rests for a while, longer each time.
-const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
-const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
-const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
 
 #[derive(Clone, Debug)]
 struct PendingSave {
@@ -1115,5 +1070,3 @@
         self.leader_state.as_ref()?.jobs.get(uid)
     }
 }
-
-const FINISHED_PREFIX: &str = crate::job_record::FINISHED_PREFIX;
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,7 +1,21 @@
 //! What operators may look at.
 
-use super::*;
+use super::schema_migration::PROGRAM_VERSION;
+use super::{
+    CLIENT_REQUEST_TIMEOUT, Controller, LeaderState, PEER_CALL_TIMEOUT, PeerCallPurpose,
+    StateRequest,
+};
+use crate::clock::MILLISECOND;
+use crate::job_record::live_key;
+use crate::jobs::Job;
+use crate::messages::ConnId;
 use crate::scheduler::silence_limit;
+use crate::schema::SCHEMA_VERSION;
+use crate::state_client::Op;
+use crate::wire::KIND_ADMIN_QUERY;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 impl Controller {
     pub(super) fn handle_admin_request(&mut self, conn: ConnId, rest: &[&str]) {
@@ -98,7 +112,7 @@
                 "following": self.inspect_standby(),
                 "stalls": self.stalls,
                 "last_stall_ms": self.last_stall / MILLISECOND,
-                "version": schema_migration::VERSION,
+                "version": PROGRAM_VERSION,
                 "format_known": SCHEMA_VERSION,
                 "format_stored": self.schema_version,
                 "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,7 +1,50 @@
 //! Users' requests: submissions, polls and cancellations, by this node or through another.
 
-use super::*;
-use crate::state_client::Raw;
+use super::{
+    CLIENT_REQUEST_TIMEOUT, ClientRequest, Controller, FIRST_PROXIED_CONN_ID, PEER_CALL_TIMEOUT,
+    PeerCallPurpose, SERVING_FRESH_FOR, StateRequest,
+};
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::job_record::{
+    FINISHED_PREFIX, FinalState, final_body, finished_key, live_body, live_key, stopping_key,
+};
+use crate::messages::ConnId;
+use crate::schema::{self, Schema, chunk_key};
+use crate::settings::Peer;
+use crate::state_client::{Item, Op, Raw, Reply, RequestPriority, Transaction};
+use crate::wire::{
+    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
+};
+use serde_json::json;
+use std::cmp::Reverse;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use zerocopy::IntoBytes;
+
+/// Polls of a moment are asked together.
+const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
+
+/// A poll waits this long for the budget; users give a poll 2 s.
+const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
+
+/// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
+/// to 3 s old.
+const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
+
+const PROGRESS_FRESH_FOR: Micros = 2_500 * MILLISECOND;
+
+/// So many others must have said a moment ago that they can serve users for the leader not to.
+/// With two, both of which crashed at once, users had no node at all until the load balancer
+/// took the leader back.
+const SERVING_PEERS_MIN: usize = 3;
+
+/// Without a leader's word for longer than that, what is stored is shown.
+const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
+
+/// Without the state service and the other controllers for so long, this node can serve nobody.
+const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 
 /// That many reads for overdue polls may wait among the users' changes.
 const QUEUED_STARVED_READS_MAX: usize = 4;
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -1,6 +1,15 @@
 //! Renting and returning machines.
 
-use super::*;
+use super::Controller;
+use crate::clock::{Micros, SECOND};
+use crate::cloud::{CloudEvent, Offer};
+use std::sync::Arc;
+
+/// With no job at all, rented machines are returned after this long.
+const IDLE_CLUSTER_RELEASE_DELAY: Micros = 30 * SECOND;
+
+/// A machine that answers nobody for this long is returned, if it can be replaced.
+const UNREACHABLE_RELEASE_DELAY: Micros = 8 * SECOND;
 
 /// The most machines that one rental may ask for.
 const MACHINES_PER_RENTAL_MAX: u32 = 50;
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,6 +1,17 @@
 //! Jobs that wait for others, on the leader: what frees them, and what ends them.
 
-use super::*;
+use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, StateRequest};
+use crate::clock::{Micros, from_secs};
+use crate::cloud::Cloud;
+use crate::dependency_graph::latest_start;
+use crate::election::LEADER_KEY;
+use crate::job_record::{FinalState, finished_key, live_key};
+use crate::scheduler::Scheduler;
+use crate::state_client::{Op, Reply, RequestPriority, Transaction};
+use crate::wire::JobSpec;
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
 
 /// The largest part of the queue of users' rank that cascades take.
 const QUEUED_CASCADES_MAX: usize = 3;
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,8 +1,32 @@
 //! A new leader loads jobs and roll, and holds what may be on machines.
 
-use super::*;
-use crate::clock::drift_upper_bound;
-use crate::worker_ledger::PROXY_PROBE_HEAD_START;
+use super::{Controller, LeaderState, StateRequest};
+use crate::accounting::{TaskOutcome, WorkloadAccounting};
+use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
+use crate::clock::{MILLISECOND, Micros, SECOND, drift_upper_bound, from_secs};
+use crate::dependency_graph::DependencyGraph;
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX, live_key};
+use crate::jobs::JobTable;
+use crate::reconciliation::Reconciliation;
+use crate::registry::MachineRegistry;
+use crate::replica::{Checksum, Replica};
+use crate::scheduler::Scheduler;
+use crate::schema::{self, chunk_key};
+use crate::seeded_hash::HashMap;
+use crate::state_client::Reply;
+use crate::task_id::TaskId;
+use crate::worker_ledger::{PROXY_PROBE_HEAD_START, WorkerLedger};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::sync::Arc;
+
+/// A leader that hears no machine for this long, and two report periods, lets another lead; it
+/// then rests for a while, longer each time.
+const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
+
+const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
+
+const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
 
 impl Controller {
     pub(super) fn become_leader(&mut self, term: u64, mod_revision: u64, sent: Micros) {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,12 +1,18 @@
 //! Workers' reports: taken by the leader, passed on to it by the others.
 
-use super::*;
+use super::{Controller, PEER_CALL_TIMEOUT, PeerCallPurpose};
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::messages::{ConnId, Outcome, Output, Ticket};
 use crate::reconciliation::ReconciliationPhase;
+use crate::settings::Peer;
 use crate::wire::{
-    AnswerRow, Commands, HeartbeatRow, HeartbeatSummary, ProbeRow, SEND_FULL_HEARTBEAT,
+    AnswerRow, Commands, Heartbeat, HeartbeatRow, HeartbeatSummary, KIND_HEARTBEAT,
+    KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, ProbeRow, SEND_FULL_HEARTBEAT,
 };
 use crate::worker_ledger::{RepeatOutcome, first_fencing_token};
-use zerocopy::FromBytes;
+use serde_json::json;
+use std::net::SocketAddr;
+use zerocopy::{FromBytes, IntoBytes};
 
 /// A link over which a call failed is not used for that long.
 const LINK_AVOIDED_FOR: Micros = 4 * SECOND;
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,6 +1,24 @@
 //! What the leader does a few times a second, whatever happens.
 
-use super::*;
+use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, PLACEMENT_BATCH_DELAY, StateRequest};
+use crate::accounting::StopReason;
+use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
+use crate::cloud::Cloud;
+use crate::election::LEADER_KEY;
+use crate::job_record::stopping_key;
+use crate::registry::RegistryRequest;
+use crate::schema::chunk_key;
+use crate::state_client::{Op, RequestPriority, Transaction};
+use crate::worker_ledger::TaskState;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A walk over all machines, for what only time makes due, is made again after so long for each of them.
+const FLEET_SCAN_INTERVAL_PER_MACHINE: Micros = 600;
+
+const AUTOSCALING_INTERVAL_MIN: Micros = 400 * MILLISECOND;
+
+const AUTOSCALING_INTERVAL_PER_MACHINE: Micros = MILLISECOND;
 
 impl Controller {
     /// What is due a few times a second.
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -1,7 +1,28 @@
 //! What changed of jobs, into the state service; endings are dropped only once stored.
 
-use super::*;
-use crate::schema::StoredValues;
+use super::{Controller, LEADER_REQUEST_TIMEOUT, PendingSave, StateRequest};
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::election::LEADER_KEY;
+use crate::job_record::{
+    FINISHED_PREFIX, FinalState, LIVE_PREFIX, final_body, finished_key, live_key,
+};
+use crate::jobs::Job;
+use crate::schema::{StoredValues, chunk_key};
+use crate::state_client::{Op, Reply, RequestPriority, Transaction, raw};
+use crate::task_id::TaskId;
+use crate::wire::Priority;
+use crate::worker_ledger::WorkerLedger;
+use std::cmp::Reverse;
+use std::sync::Arc;
+
+const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
+
+/// What only says how far a job is waits this long at most for changes to be left over.
+const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
+
+const QUEUED_SAVES_MAX: usize = 2;
+
+const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
 
 impl Controller {
     /// Stores what changed of jobs: ends first, then starts that wait for it, in the order of
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -1,6 +1,14 @@
 //! Which format is written: what each controller understands, and when the stored number goes up.
 
-use super::*;
+use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
+use crate::clock::{Micros, SECOND};
+use crate::election::LEADER_KEY;
+use crate::job_record::{live_key, stopping_key};
+use crate::schema::{
+    CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema, SchemaSupport,
+    StoredSchemaVersion, controller_key, split_chunk_key,
+};
+use crate::state_client::{Item, Op, Reply, RequestPriority, Transaction};
 
 /// How often the stored format is read while it may still go up.
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
@@ -137,7 +145,7 @@
         let mod_revision = match reply {
             Reply::Item(item) => {
                 let said = serde_json::from_str::<SchemaSupport>(item.value.get());
-                if said.is_ok_and(|u| u.format == SCHEMA_VERSION && u.version == VERSION) {
+                if said.is_ok_and(|u| u.format == SCHEMA_VERSION && u.version == PROGRAM_VERSION) {
                     self.schema_support_registered = true;
                     return;
                 }
@@ -149,7 +157,7 @@
         let key = controller_key(&self.settings.name);
         let understood = SchemaSupport {
             format: SCHEMA_VERSION,
-            version: VERSION.to_owned(),
+            version: PROGRAM_VERSION.to_owned(),
         };
         let txn = Transaction::default()
             .require_revision(key.clone(), mod_revision)
@@ -310,7 +318,7 @@
     }
 }
 
-pub(super) const VERSION: &str = env!("CARGO_PKG_VERSION");
+pub(super) const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
 fn list_prefix(prefix: &'static str) -> Op {
     Op::List {
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,14 +1,21 @@
 //! Following the leader, and the steps from its end to the first decision of the next.
 
-use super::*;
+use super::{Controller, StateRequest};
+use crate::clock::{MILLISECOND, Micros, Now, SECOND};
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::messages::Output;
 use crate::reconciliation::ReconciliationPhase;
 use crate::replica::{Checksum, Replica, ReplicaRead};
+use crate::settings::Peer;
 use crate::standby::{
     ColdReason, LEADER_OVERDUE_AFTER, LeaderChecksum, PAGE_INTERVAL, REBUILD_DELAY,
     REPLICATION_INTERVAL, RESTARTED_LEADER_DELAY, candidacy_delay, choose_standbys,
 };
+use crate::state_client::{Op, Reply, RequestPriority};
 use crate::wire::{ChecksumRow, KIND_CHECKSUM};
-use zerocopy::FromBytes;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use zerocopy::{FromBytes, IntoBytes};
 
 /// A process that is to end does not ask for the lead again.
 const SHUTDOWN_BACKOFF: Micros = 3600 * SECOND;
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -5,7 +5,12 @@
 //! fails; so they are also kept at the state service. What is stored there is a hint: on it a job is
 //! taken, but none is refused for good.
 
-use super::*;
+use super::api::fits_value_limit;
+use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::election::LEADER_KEY;
+use crate::schema::SCHEMA_VERSION;
+use crate::state_client::{Op, Reply, Transaction, raw};
 use crate::wire::{MachineType, MachineTypes};
 
 /// The machine types as a leader last heard them from the cloud.
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -1,6 +1,14 @@
 //! What the state service answers, to those that asked.
 
-use super::*;
+use super::{CLIENT_REQUEST_TIMEOUT, Controller, StateRequest};
+use crate::clock::{Micros, SECOND};
+use crate::election::{ElectionStep, LeadershipChange};
+use crate::job_record::{finished_key, live_key};
+use crate::registry::WriteResult;
+use crate::state_client::{Op, Reply};
+use serde_json::json;
+
+const CANCEL_RETRIES_MAX: u32 = 8;
 
 impl Controller {
     pub(super) fn handle_state_reply(&mut self, purpose: StateRequest, reply: Reply, sent: Micros) {
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -1,9 +1,18 @@
 //! Submissions: accepted by this node's own conditional write, after what is stored of the jobs
 //! that they name.
 
-use super::*;
-use crate::state_client::Raw;
-use crate::wire::JobKind;
+use super::{CLIENT_REQUEST_TIMEOUT, Controller, StateRequest};
+use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::job_record::{FinalState, JobRecord, final_body, finished_key, live_key};
+use crate::messages::ConnId;
+use crate::scheduler::impossible_reason;
+use crate::schema::{self, SCHEMA_VERSION, Schema};
+use crate::state_client::{Op, Raw, Reply, Transaction, raw};
+use crate::wire::{JobKind, JobSpec, valid_uid};
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
 /// A need that ends just now leads to another look, so many times.
 const DEPENDENCY_RETRIES_MAX: u32 = 4;
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -1,7 +1,19 @@
 //! What the watch and the workers tell, into the jobs; machines and jobs that fail.
 
-use super::*;
-use crate::worker_ledger::{LEASE_EXPIRED, MACHINE_GONE, NOT_THERE};
+use super::{Controller, LeaderState, PLACEMENT_BATCH_DELAY};
+use crate::accounting::{StopReason, TaskOutcome};
+use crate::clock::{MILLISECOND, Micros, Now, SECOND};
+use crate::cloud::Cloud;
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::job_record::{LIVE_PREFIX, TaskEnding};
+use crate::jobs::Job;
+use crate::schema;
+use crate::state_client::Reply;
+use crate::task_id::TaskId;
+use crate::worker_ledger::{
+    LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WorkerLedger,
+};
+use std::sync::Arc;
 
 impl Controller {
     pub(super) fn jobs_watch_answered(&mut self, reply: Reply, sent: Micros) {
