--- a/src/controller.rs
+++ b/src/controller.rs
@@ -8,6 +8,7 @@
 mod failover;
 mod heartbeats;
 mod maintenance;
+mod peer_links;
 mod persistence;
 mod schema_migration;
 mod standby;
@@ -44,6 +45,7 @@
 };
 use crate::worker_ledger::WorkerLedger;
 use crate::worker_probe::WorkerProbe;
+use peer_links::{PeerLinks, PeerRequest, SERVING_FRESH_FOR};
 use rangemap::RangeSet;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
@@ -56,13 +58,11 @@
 
 /// A user gets an answer at once, also when it is that we can't tell: little patience.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
-const SERVING_FRESH_FOR: Micros = 3 * SECOND;
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
 /// Bits of a ticket that count within a life; above them stands the run, which has 52.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
 /// From here on, connection numbers stand for requests that came through another controller.
 const FIRST_PROXIED_CONN_ID: ConnId = 1 << 63;
-const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
 /// Events of a few milliseconds are placed together.
 const PLACEMENT_BATCH_DELAY: Micros = 3 * MILLISECOND;
 /// What a pass of the scheduler may cost is kept a small share of the time.
@@ -365,11 +365,6 @@
     /// Requests that came through another controller stand in the place of connections.
     proxied_requests: HashMap<ConnId, (ConnId, Ticket)>,
     next_proxied_conn: ConnId,
-    /// Controllers that could not answer for us a moment ago.
-    unhelpful_until: HashMap<SocketAddr, Micros>,
-    next_peer: usize,
-    /// The leader by its own word to us, for when the state service doesn't tell.
-    leader_hint: Option<(String, Micros)>,
     leader_state: Option<LeaderState>,
     standby: Standby,
     startup: Startup,
@@ -379,26 +374,11 @@
     last_stall: Micros,
     /// How long this node last left leading to the others.
     resign_backoff: Micros,
-    /// When another controller last said anything, and when one was last asked only to see that.
-    peer_seen_at: Micros,
-    peer_checked_at: Micros,
+    peer_links: PeerLinks,
     /// When the load balancer last asked whether this node is up.
     health_checked_at: Micros,
-    /// When the other controllers last said that they can serve users.
-    serving_peers: HashMap<SocketAddr, Micros>,
-    /// When a worker that reports to this leader may next be handed to another controller.
-    next_handover_at: Micros,
-    peer_calls: HashMap<Ticket, PeerCallPurpose>,
     /// Workers' reports on their way to the leader.
     heartbeat_batch: HeartbeatBatch,
-    /// The run of a leader that takes many reports in a frame, and when another was last asked.
-    batching_leader: Option<u64>,
-    batch_support_asked_at: Micros,
-    link_avoided_until: HashMap<SocketAddr, Micros>,
-    /// When a controller last refused a connection from here.
-    link_refused_at: HashMap<SocketAddr, Micros>,
-    /// Since when each link has failed; not there while it does not.
-    link_failing_since: HashMap<SocketAddr, Micros>,
     /// Submissions that wait for what is known of the jobs that they name.
     submissions: HashMap<u64, Submission>,
     next_submission: u64,
@@ -445,9 +425,6 @@
             client_requests: HashMap::default(),
             proxied_requests: HashMap::default(),
             next_proxied_conn: FIRST_PROXIED_CONN_ID,
-            unhelpful_until: HashMap::default(),
-            next_peer: 0,
-            leader_hint: None,
             leader_state: None,
             standby: Standby::default(),
             startup: Startup::default(),
@@ -455,18 +432,9 @@
             stalls: 0,
             last_stall: 0,
             resign_backoff: 0,
-            peer_seen_at: 0,
-            peer_checked_at: 0,
+            peer_links: PeerLinks::new(settings.peers.clone()),
             health_checked_at: 0,
-            serving_peers: HashMap::default(),
-            next_handover_at: 0,
-            peer_calls: HashMap::default(),
             heartbeat_batch: HeartbeatBatch::default(),
-            batching_leader: None,
-            batch_support_asked_at: 0,
-            link_avoided_until: HashMap::default(),
-            link_refused_at: HashMap::default(),
-            link_failing_since: HashMap::default(),
             submissions: HashMap::default(),
             next_submission: 0,
             schema_version: 0,
@@ -612,7 +580,7 @@
                 addr,
                 body,
             } => {
-                self.peer_seen_at = now.steady;
+                self.peer_links.note_peer_seen(now.steady);
                 self.handle_peer_request(conn, ticket, kind, patience, &addr, body);
             }
             Input::Outcome { ticket, outcome } => self.handle_outcome(ticket, &outcome),
@@ -705,25 +673,24 @@
         self.respond(conn, status, &json!({"error": reason}));
     }
 
-    /// Asks another controller; what becomes of its answer is `relay`'s.
-    fn call_peer(
-        &mut self,
-        relay: PeerCallPurpose,
-        dest: SocketAddr,
-        (kind, addr): (u16, String),
-        body: Vec<u8>,
-        timeout: Micros,
-    ) {
+    /// Calls another controller; `purpose` says what is done with its answer.
+    fn call_peer(&mut self, dest: SocketAddr, purpose: PeerCallPurpose, request: PeerRequest) {
+        let ticket = self.send_to_peer(dest, request);
+        self.peer_links.register_call(ticket, purpose);
+    }
+
+    /// Sends a frame to another controller; its answer is ignored unless the ticket is registered.
+    fn send_to_peer(&mut self, dest: SocketAddr, request: PeerRequest) -> Ticket {
         self.tickets += 1;
-        self.peer_calls.insert(self.tickets, relay);
         self.outputs.push(Output::PeerCall {
             ticket: self.tickets,
             dest,
-            kind,
-            addr,
-            body,
-            timeout,
+            kind: request.kind,
+            addr: request.addr,
+            body: request.body,
+            timeout: request.timeout,
         });
+        self.tickets
     }
 
     /// Tells another controller that its word was taken.
@@ -773,7 +740,7 @@
                     });
                 };
                 self.tickets += 1;
-                self.peer_calls.insert(
+                self.peer_links.register_call(
                     self.tickets,
                     PeerCallPurpose::CommandDelivery { conn, ticket },
                 );
@@ -798,7 +765,7 @@
             }
             KIND_PROGRESS => {
                 if !self.is_leader() {
-                    self.leader_hint = Some((addr.to_owned(), self.now.steady));
+                    self.peer_links.note_leader_hint(self.now.steady, addr);
                 }
                 self.progress.replace(&body);
                 self.progress_at = self.now.steady;
@@ -861,7 +828,7 @@
         } else if self.cloud.owns(ticket) {
             let news = self.cloud.handle_outcome(now, ticket, outcome);
             self.handle_cloud_events(news);
-        } else if let Some(relay) = self.peer_calls.remove(&ticket) {
+        } else if let Some(relay) = self.peer_links.take_call(ticket) {
             self.handle_peer_reply(relay, outcome);
         } else if self.worker_probe.answered(ticket) {
             self.forward_probe_answer(outcome);
@@ -882,7 +849,7 @@
         if matches!(outcome, Outcome::Reply { .. })
             && !matches!(relay, PeerCallPurpose::CommandDelivery { .. })
         {
-            self.peer_seen_at = self.now.steady;
+            self.peer_links.note_peer_seen(self.now.steady);
         }
         match relay {
             PeerCallPurpose::LivenessCheck => {}
@@ -896,8 +863,7 @@
                     });
                 }
                 _ => {
-                    let until = self.now.steady + SECOND;
-                    self.unhelpful_until.insert(peer, until);
+                    self.peer_links.note_unhelpful(self.now.steady, peer);
                     self.respond_error(conn, 503, "the state service does not answer");
                 }
             },
@@ -910,7 +876,7 @@
             }
             PeerCallPurpose::ProgressAnnouncement { peer } => {
                 if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.serving_peers.insert(peer, self.now.steady);
+                    self.peer_links.note_serving(self.now.steady, peer);
                 }
             }
             PeerCallPurpose::ProbeAssignment { hosts } => {
@@ -922,7 +888,7 @@
             }
             PeerCallPurpose::BatchSupport { run } => {
                 if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.batching_leader = Some(run);
+                    self.peer_links.note_batch_support(run);
                 }
             }
             PeerCallPurpose::DependencyQuery { conn, mut body } => {
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,10 +1,8 @@
 //! What operators may look at.
 
+use super::peer_links::PeerRequest;
 use super::schema_migration::PROGRAM_VERSION;
-use super::{
-    CLIENT_REQUEST_TIMEOUT, Controller, LeaderState, PEER_CALL_TIMEOUT, PeerCallPurpose,
-    StateRequest,
-};
+use super::{CLIENT_REQUEST_TIMEOUT, Controller, LeaderState, PeerCallPurpose, StateRequest};
 use crate::clock::MILLISECOND;
 use crate::job_record::live_key;
 use crate::jobs::Job;
@@ -38,21 +36,15 @@
                     return self.respond(conn, 200, &body);
                 }
                 let leader = self.election.leader().map(|r| r.node.clone());
-                let Some(peer) = self
-                    .settings
-                    .peers
-                    .iter()
-                    .find(|p| Some(&p.name) == leader.as_ref())
-                else {
+                let peer = leader.and_then(|name| self.peer_links.peer_named(&name));
+                let Some(peer) = peer else {
                     return self.respond_error(conn, 503, "no leader at the moment");
                 };
-                let about = (KIND_ADMIN_QUERY, rest.join("/"));
+                let dest = peer.address;
                 self.call_peer(
+                    dest,
                     PeerCallPurpose::AdminQuery { conn },
-                    peer.address,
-                    about,
-                    Vec::new(),
-                    PEER_CALL_TIMEOUT,
+                    PeerRequest::new(KIND_ADMIN_QUERY, rest.join("/"), Vec::new()),
                 );
             }
             _ => self.respond_error(
@@ -72,13 +64,10 @@
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return self.respond(conn, 200, &body);
         };
-        let about = (KIND_ADMIN_QUERY, format!("chain/{uid}"));
         self.call_peer(
-            PeerCallPurpose::DependencyQuery { conn, body },
             dest,
-            about,
-            Vec::new(),
-            PEER_CALL_TIMEOUT,
+            PeerCallPurpose::DependencyQuery { conn, body },
+            PeerRequest::new(KIND_ADMIN_QUERY, format!("chain/{uid}"), Vec::new()),
         );
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,8 +1,9 @@
 //! Users' requests: submissions, polls and cancellations, by this node or through another.
 
+use super::peer_links::PeerRequest;
 use super::{
-    CLIENT_REQUEST_TIMEOUT, ClientRequest, Controller, FIRST_PROXIED_CONN_ID, PEER_CALL_TIMEOUT,
-    PeerCallPurpose, SERVING_FRESH_FOR, StateRequest,
+    CLIENT_REQUEST_TIMEOUT, ClientRequest, Controller, FIRST_PROXIED_CONN_ID, PeerCallPurpose,
+    StateRequest,
 };
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
@@ -11,7 +12,6 @@
 };
 use crate::messages::ConnId;
 use crate::schema::{self, Schema, chunk_key};
-use crate::settings::Peer;
 use crate::state_client::{Item, Op, Raw, Reply, RequestPriority, Transaction};
 use crate::wire::{
     KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
@@ -33,8 +33,6 @@
 /// to 3 s old.
 const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
 
-const PROGRESS_FRESH_FOR: Micros = 2_500 * MILLISECOND;
-
 /// So many others must have said a moment ago that they can serve users for the leader not to.
 /// With two, both of which crashed at once, users had no node at all until the load balancer
 /// took the leader back.
@@ -43,9 +41,6 @@
 /// Without a leader's word for longer than that, what is stored is shown.
 const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
 
-/// Without the state service and the other controllers for so long, this node can serve nobody.
-const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
-
 /// That many reads for overdue polls may wait among the users' changes.
 const QUEUED_STARVED_READS_MAX: usize = 4;
 /// For so long nothing is started of a job that another controller said is cancelled.
@@ -63,20 +58,11 @@
         }
     }
 
-    /// A controller that may answer for us: the leader, or else by turns.
+    /// A controller that may answer a client request for this node.
     pub(super) fn pick_helper_peer(&mut self) -> Option<SocketAddr> {
-        let now = self.now.steady;
         let leader = self.leader_name();
-        let able = |p: &&Peer| {
-            let well = |until: Option<&Micros>| until.is_none_or(|t| *t <= now);
-            well(self.link_avoided_until.get(&p.address))
-                && well(self.unhelpful_until.get(&p.address))
-        };
-        let peers: Vec<&Peer> = self.settings.peers.iter().filter(able).collect();
-        let first = peers.iter().find(|p| Some(&p.name) == leader.as_ref());
-        self.next_peer += 1;
-        let any = peers.get(self.next_peer % peers.len().max(1));
-        first.or(any).map(|p| p.address)
+        self.peer_links
+            .pick_helper(self.now.steady, leader.as_deref())
     }
 
     pub(super) fn forward_client_request(
@@ -85,16 +71,11 @@
         peer: SocketAddr,
         asked: ClientRequest,
     ) {
-        let about = (
-            KIND_CLIENT_REQUEST,
-            format!("{} {}", asked.method, asked.path),
-        );
+        let about = format!("{} {}", asked.method, asked.path);
         self.call_peer(
-            PeerCallPurpose::ClientRequest { conn, peer },
             peer,
-            about,
-            asked.body,
-            PEER_CALL_TIMEOUT,
+            PeerCallPurpose::ClientRequest { conn, peer },
+            PeerRequest::new(KIND_CLIENT_REQUEST, about, asked.body),
         );
     }
 
@@ -102,9 +83,7 @@
     /// most to do, and when it stops, its users' requests stop with it; so they are better kept
     /// apart. With few others, their end would leave nobody.
     fn peers_serve_clients(&self) -> bool {
-        let others = self.settings.peers.iter();
-        let serving = others.filter(|p| self.peer_serves(p.address));
-        self.is_leader() && serving.count() >= SERVING_PEERS_MIN
+        self.is_leader() && self.peer_links.serving_count(self.now.steady) >= SERVING_PEERS_MIN
     }
 
     /// Whether neither the state service nor another controller has answered this node for a while. What it
@@ -112,9 +91,7 @@
     /// once, to the load balancer too, so that users and workers go where they can be served.
     pub fn is_isolated(&self) -> bool {
         let t = self.now.steady;
-        !self.settings.peers.is_empty()
-            && self.state.failing_for(t) >= ISOLATION_TIMEOUT
-            && t >= self.peer_seen_at + ISOLATION_TIMEOUT
+        self.peer_links.is_isolated(t, self.state.failing_for(t))
     }
 
     /// Answers that nobody can be served here, if that is so.
@@ -130,31 +107,19 @@
     /// an outage for all nobody may have anything else to say.
     pub(super) fn check_peer_liveness(&mut self) {
         let t = self.now.steady;
-        let quiet = t >= self.peer_seen_at.max(self.peer_checked_at) + SECOND;
-        let peers = &self.settings.peers;
-        if peers.is_empty() || !quiet || self.state.failing_for(t) < SECOND {
+        let failing_for = self.state.failing_for(t);
+        let Some(dest) = self.peer_links.take_liveness_check(t, failing_for) else {
             return;
-        }
-        self.peer_checked_at = t;
-        self.next_peer += 1;
-        let dest = peers[self.next_peer % peers.len()].address;
-        // A word on no epoch at all, which every version takes and passes over.
-        let about = (KIND_CHECKSUM, self.settings.name.clone());
+        };
+        // An empty checksum frame: every version acknowledges and ignores it.
+        let request = PeerRequest::new(KIND_CHECKSUM, &*self.settings.name, Vec::new());
         self.call_peer(
-            PeerCallPurpose::LivenessCheck,
             dest,
-            about,
-            Vec::new(),
-            SECOND,
+            PeerCallPurpose::LivenessCheck,
+            request.with_timeout(SECOND),
         );
     }
 
-    /// Whether that controller said a moment ago that it can serve users.
-    pub(super) fn peer_serves(&self, peer: SocketAddr) -> bool {
-        let told = self.serving_peers.get(&peer);
-        told.is_some_and(|at| self.now.steady < at + SERVING_FRESH_FOR)
-    }
-
     /// Notes a user's request; true when another controller answers it, since the state service
     /// has just failed us.
     pub(super) fn forward_if_needed(
@@ -184,9 +149,9 @@
 
     /// The node that leads, by the state service or by its own recent word.
     pub(super) fn leader_name(&self) -> Option<String> {
-        let hint = self.leader_hint.as_ref();
-        let told = hint.filter(|h| self.now.steady < h.1 + PROGRESS_FRESH_FOR);
-        told.map(|h| h.0.clone())
+        self.peer_links
+            .leader_hint(self.now.steady)
+            .map(str::to_owned)
             .or_else(|| self.election.leader().map(|r| r.node.clone()))
     }
 
@@ -417,15 +382,12 @@
             ProgressRow::new(&j.spec.uid, done as u32, j.placements.len() as u32)
         });
         let body = rows.collect::<Vec<_>>().as_bytes().to_vec();
-        let peers: Vec<SocketAddr> = self.settings.peers.iter().map(|p| p.address).collect();
-        for peer in peers {
-            let about = (KIND_PROGRESS, self.settings.name.clone());
+        for peer in self.peer_links.addresses() {
+            let request = PeerRequest::new(KIND_PROGRESS, &*self.settings.name, body.clone());
             self.call_peer(
-                PeerCallPurpose::ProgressAnnouncement { peer },
                 peer,
-                about,
-                body.clone(),
-                SECOND,
+                PeerCallPurpose::ProgressAnnouncement { peer },
+                request.with_timeout(SECOND),
             );
         }
         self.announce_checksum();
@@ -458,13 +420,12 @@
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return;
         };
-        let about = (KIND_CANCELLED, self.settings.name.clone());
+        let body = uid.as_bytes().to_vec();
+        let request = PeerRequest::new(KIND_CANCELLED, &*self.settings.name, body);
         self.call_peer(
-            PeerCallPurpose::LivenessCheck,
             dest,
-            about,
-            uid.as_bytes().to_vec(),
-            SECOND,
+            PeerCallPurpose::LivenessCheck,
+            request.with_timeout(SECOND),
         );
     }
 
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -36,7 +36,7 @@
         self.cloud.reset();
         let (loading, takeover) = self.begin_load(mod_revision);
         let layout = self.schema();
-        let peers = self.settings.peers.iter().map(|p| p.address).collect();
+        let peers = self.peer_links.addresses();
         self.leader_state = Some(LeaderState {
             term,
             leader_key_revision: mod_revision,
@@ -118,7 +118,7 @@
             .any_machine_seen_at
             .max(leader_state.valid_since)
             + patience;
-        if !deaf || leader_state.workers.machines.len() < 2 || self.settings.peers.is_empty() {
+        if !deaf || leader_state.workers.machines.len() < 2 || self.peer_links.is_empty() {
             return false;
         }
         log::warn!("no machine is heard; leaving the lead to another controller");
@@ -135,7 +135,7 @@
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        if self.settings.peers.is_empty()
+        if self.peer_links.is_empty()
             || !leader_state
                 .cancellation_freshness
                 .is_refresh_stuck(t, since)
@@ -292,7 +292,7 @@
         leader_state.placement_due_at = Some(now);
         // A node that never heard of a leader is new itself, and so, most likely, are the others: nobody
         // carries anybody, and nobody would ask. Else those carried are asked without being told.
-        let new = self.progress_at == 0 && self.leader_hint.is_none();
+        let new = self.progress_at == 0 && self.peer_links.leader_hint_at().is_none();
         leader_state.probe_sharing_at = Some(if new {
             now
         } else {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Workers' reports: taken by the leader, passed on to it by the others.
 
-use super::{Controller, PEER_CALL_TIMEOUT, PeerCallPurpose};
-use crate::clock::{MILLISECOND, Micros, SECOND};
+use super::peer_links::{PEER_CALL_TIMEOUT, PeerRequest};
+use super::{Controller, PeerCallPurpose};
+
 use crate::messages::{ConnId, Outcome, Output, Ticket};
 use crate::reconciliation::ReconciliationPhase;
 use crate::settings::Peer;
@@ -14,22 +15,8 @@
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// A link over which a call failed is not used for that long.
-const LINK_AVOIDED_FOR: Micros = 4 * SECOND;
-
-/// The same while it is in doubt whether there is a leader at its other end.
-const DOUBTFUL_LINK_AVOIDED_FOR: Micros = 400 * MILLISECOND;
-/// Of so many workers that can't be served by way of here, all but one are sent straight to a leader
-/// that refuses us.
-const DIRECT_REDIRECT_PERIOD: usize = 4;
-/// A leader hands one worker at a time to another controller, and only where so many can take them.
-const HANDOVER_INTERVAL: Micros = 50 * MILLISECOND;
-const HANDOVER_PEERS_MIN: usize = 2;
 /// So many workers to be asked go in a frame.
 const PROBE_ROWS_PER_FRAME: usize = 512;
-/// How often a leader is asked whether it takes many reports in a frame.
-const BATCH_SUPPORT_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
-
 /// The answer to a report.
 enum HeartbeatOutcome {
     Commands(Commands),
@@ -102,22 +89,14 @@
     /// the leader has the least. Not while the fleet is not heard, nor to one controller alone, which all
     /// workers would lose together; a worker is out of an answer for half a second by it.
     fn handover_target(&mut self) -> Option<String> {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let leader_state = self.leader_state.as_ref()?;
-        if t < self.next_handover_at
-            || leader_state.reconciliation.phase(t) != ReconciliationPhase::Complete
+        if !self.peer_links.is_handover_due(now)
+            || leader_state.reconciliation.phase(now) != ReconciliationPhase::Complete
         {
             return None;
         }
-        let well = |p: &&Peer| self.peer_serves(p.address) && !self.is_link_avoided(p.address);
-        let others: Vec<&Peer> = self.settings.peers.iter().filter(well).collect();
-        if others.len() < HANDOVER_PEERS_MIN {
-            return None;
-        }
-        let label = others.get(self.next_peer % others.len())?.name.clone();
-        self.next_peer += 1;
-        self.next_handover_at = t + HANDOVER_INTERVAL;
-        Some(label)
+        self.peer_links.take_handover_target(now)
     }
 
     /// After a change of leader: asks the workers whose reports come here, for whoever leads now.
@@ -148,13 +127,11 @@
         for (dest, rows) in leader_state.workers.share_unconfirmed(t) {
             for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
                 let hosts = rows.iter().map(|r| r.machine().into()).collect();
-                let about = (KIND_PROBE_WORKERS, self.settings.name.clone());
+                let body = rows.as_bytes().to_vec();
                 self.call_peer(
-                    PeerCallPurpose::ProbeAssignment { hosts },
                     dest,
-                    about,
-                    rows.as_bytes().to_vec(),
-                    PEER_CALL_TIMEOUT,
+                    PeerCallPurpose::ProbeAssignment { hosts },
+                    PeerRequest::new(KIND_PROBE_WORKERS, &*self.settings.name, body),
                 );
             }
         }
@@ -186,15 +163,8 @@
         if self.is_link_avoided(dest) {
             return;
         }
-        self.tickets += 1;
-        self.outputs.push(Output::PeerCall {
-            ticket: self.tickets,
-            dest,
-            kind: KIND_PROBE_ANSWER,
-            addr: self.settings.name.clone(),
-            body: body.clone(),
-            timeout: PEER_CALL_TIMEOUT,
-        });
+        let request = PeerRequest::new(KIND_PROBE_ANSWER, &*self.settings.name, body.clone());
+        self.send_to_peer(dest, request);
     }
 
     /// What a worker answered to a controller that asked it for the leader.
@@ -216,13 +186,10 @@
 
     /// Passes a report on by itself.
     fn forward_heartbeat(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
-        let about = (KIND_HEARTBEAT, self.settings.name.clone());
         self.call_peer(
-            PeerCallPurpose::Heartbeat { conn },
             dest,
-            about,
-            body,
-            PEER_CALL_TIMEOUT,
+            PeerCallPurpose::Heartbeat { conn },
+            PeerRequest::new(KIND_HEARTBEAT, &*self.settings.name, body),
         );
     }
 
@@ -233,18 +200,14 @@
         let Some(run) = record.map(|r| r.incarnation) else {
             return false;
         };
-        if self.batching_leader == Some(run) {
+        if self.peer_links.takes_batches(run) {
             return true;
         }
-        if now >= self.batch_support_asked_at + BATCH_SUPPORT_RETRY_INTERVAL {
-            self.batch_support_asked_at = now;
-            let about = (KIND_HEARTBEAT_BATCH, self.settings.name.clone());
+        if self.peer_links.take_batch_support_query(now) {
             self.call_peer(
-                PeerCallPurpose::BatchSupport { run },
                 dest,
-                about,
-                Vec::new(),
-                PEER_CALL_TIMEOUT,
+                PeerCallPurpose::BatchSupport { run },
+                PeerRequest::new(KIND_HEARTBEAT_BATCH, &*self.settings.name, Vec::new()),
             );
         }
         false
@@ -252,7 +215,7 @@
 
     pub(super) fn leader_peer(&self) -> Option<&Peer> {
         let leader = self.leader_name()?;
-        self.settings.peers.iter().find(|p| p.name == leader)
+        self.peer_links.peer_named(&leader)
     }
 
     /// Sends the reports whose time has come to the leader.
@@ -318,9 +281,7 @@
         let mut doubtful = false;
         if let Some(dest) = leader {
             if matches!(outcome, Outcome::Reply { .. }) {
-                self.peer_seen_at = self.now.steady;
-                self.link_failing_since.remove(&dest);
-                self.link_refused_at.remove(&dest);
+                self.peer_links.note_link_answer(self.now.steady, dest);
             } else {
                 self.note_link_failure(dest, outcome);
                 doubtful = self.is_leader_in_doubt(dest);
@@ -363,63 +324,37 @@
         self.redirect_worker(conn, &leader);
     }
 
-    /// A call over this link failed: it rests.
+    /// A call over this link failed: it is avoided for a while.
     fn note_link_failure(&mut self, dest: SocketAddr, outcome: &Outcome) {
-        let now = self.now.steady;
-        if *outcome == Outcome::Refused {
-            self.link_refused_at.insert(dest, now);
-        }
-        self.link_failing_since.entry(dest).or_insert(now);
-        let rest = if self.is_leader_in_doubt(dest) {
-            DOUBTFUL_LINK_AVOIDED_FOR
-        } else {
-            LINK_AVOIDED_FOR
-        };
-        self.link_avoided_until.insert(dest, now + rest);
+        let refused = *outcome == Outcome::Refused;
+        let leader_ttl = self.properties.leader_ttl;
+        self.peer_links
+            .note_link_failure(self.now.steady, dest, refused, leader_ttl);
     }
 
     fn is_link_avoided(&self, dest: SocketAddr) -> bool {
-        let until = self.link_avoided_until.get(&dest);
-        until.is_some_and(|t| *t > self.now.steady)
+        self.peer_links.is_link_avoided(self.now.steady, dest)
     }
 
-    /// A leader whose link has failed for less than a grant's length may be no more: whom to send
-    /// reports to will be known in a moment. After that the link is at fault, and another
-    /// controller may reach the leader.
     fn is_leader_in_doubt(&self, dest: SocketAddr) -> bool {
-        let since = self.link_failing_since.get(&dest);
-        since.is_some_and(|t| self.now.steady < t + self.properties.leader_ttl + SECOND / 2)
+        self.peer_links
+            .is_leader_in_doubt(self.now.steady, dest, self.properties.leader_ttl)
     }
 
-    /// We can't reach the leader; another node may, so the worker is sent there. Where the leader's own
-    /// host refuses us, it is there, and workers reach it by another way than we do: they go straight to
-    /// it. Sent around among nodes that are all refused, as the version before did, they came to each
-    /// over a new connection, and a filter that stood for longer than a lease cost every task.
+    /// Sends a worker whose heartbeat can't be passed to the leader to another controller.
     fn redirect_worker(&mut self, conn: ConnId, leader: &str) {
-        let now = self.now.steady;
-        let endpoint = self.peer_address(leader);
-        let refused = endpoint.and_then(|e| self.link_refused_at.get(&e));
-        let refuses = refused.is_some_and(|at| now < at + 2 * LINK_AVOIDED_FOR);
-        // Now and then another way is tried all the same.
-        if refuses && (self.next_peer + 1) % DIRECT_REDIRECT_PERIOD != 0 {
-            self.next_peer += 1;
-            return self.respond(conn, 421, &json!({"boss": leader}));
-        }
-        let able = |p: &&Peer| p.name != leader && !self.is_link_avoided(p.address);
-        let others: Vec<&Peer> = self.settings.peers.iter().filter(able).collect();
-        // By turns, so that not all workers crowd at one.
-        self.next_peer += 1;
-        let third = others.get(self.next_peer % others.len().max(1));
-        let body = match third {
-            Some(p) => json!({"boss": p.name}),
+        let body = match self
+            .peer_links
+            .take_redirect_target(self.now.steady, leader)
+        {
+            Some(name) => json!({"boss": name}),
             None => json!({}),
         };
         self.respond(conn, 421, &body);
     }
 
-    fn peer_address(&self, label: &str) -> Option<SocketAddr> {
-        let peer = self.settings.peers.iter().find(|p| p.name == label);
-        peer.map(|p| p.address)
+    fn peer_address(&self, name: &str) -> Option<SocketAddr> {
+        self.peer_links.peer_named(name).map(|peer| peer.address)
     }
 
     /// One report that another controller passes on.
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,9 +1,9 @@
 //! Following the leader, and the steps from its end to the first decision of the next.
 
+use super::peer_links::PeerRequest;
 use super::{Controller, StateRequest};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::messages::Output;
 use crate::reconciliation::ReconciliationPhase;
 use crate::replica::{Checksum, Replica, ReplicaRead};
 use crate::settings::Peer;
@@ -99,7 +99,7 @@
         }
         let f = &mut self.standby;
         let warm = f.replica.is_complete() && f.verified_revision.is_some();
-        let yields = self.election.led_before_restart() && !self.settings.peers.is_empty();
+        let yields = self.election.led_before_restart() && !self.peer_links.is_empty();
         let more = if yields { RESTARTED_LEADER_DELAY } else { 0 };
         self.election
             .set_candidacy_delay(candidacy_delay(f.rank, warm) + more);
@@ -281,18 +281,12 @@
         };
         let chosen = self.followers_of(&self.settings.name);
         let follows = |p: &&Peer| chosen.contains(&&*p.name);
-        let peers = self.settings.peers.iter().filter(follows);
+        let peers = self.peer_links.peers().iter().filter(follows);
         let dests: Vec<SocketAddr> = peers.map(|p| p.address).collect();
         for dest in dests {
-            self.tickets += 1;
-            self.outputs.push(Output::PeerCall {
-                ticket: self.tickets,
-                dest,
-                kind: KIND_CHECKSUM,
-                addr: self.settings.name.clone(),
-                body: row.as_bytes().to_vec(),
-                timeout: SECOND,
-            });
+            let body = row.as_bytes().to_vec();
+            let request = PeerRequest::new(KIND_CHECKSUM, &*self.settings.name, body);
+            self.send_to_peer(dest, request.with_timeout(SECOND));
         }
     }
 
@@ -314,7 +308,7 @@
         }
         let word = self
             .progress_at
-            .max(self.leader_hint.as_ref().map_or(0, |h| h.1));
+            .max(self.peer_links.leader_hint_at().unwrap_or(0));
         let takeover = Failover {
             cold_reason: cold,
             leader_silence: if word > 0 { t - word } else { 0 },
