--- a/src/controller.rs
+++ b/src/controller.rs
@@ -4,6 +4,7 @@
 mod admin;
 mod api;
 mod autoscaling;
+mod client_requests;
 mod dependencies;
 mod failover;
 mod heartbeats;
@@ -26,13 +27,12 @@
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
 use crate::job_record::LIVE_PREFIX;
-use crate::jobs::{FinalCache, Job, JobTable, Progress};
+use crate::jobs::{Job, JobTable};
 use crate::load_shedding::{LoadMonitor, ShedLevel};
 use crate::messages::{ConnId, Input, Outcome, Output, Ticket};
 use crate::reconciliation::Reconciliation;
 use crate::registry::MachineRegistry;
 use crate::replica::{Checksum, ReplicaRead};
-use crate::request_starvation::RequestStarvation;
 use crate::scheduler::Scheduler;
 use crate::schema::SchemaSupport;
 use crate::seeded_hash::HashMap;
@@ -45,7 +45,8 @@
 };
 use crate::worker_ledger::WorkerLedger;
 use crate::worker_probe::WorkerProbe;
-use peer_links::{PeerLinks, PeerRequest, SERVING_FRESH_FOR};
+use client_requests::{ClientRequests, PendingPoll, ProxiedRequest};
+use peer_links::{PeerLinks, PeerRequest};
 use rangemap::RangeSet;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
@@ -54,15 +55,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use submission::Submission;
+use submission::Submissions;
 
 /// A user gets an answer at once, also when it is that we can't tell: little patience.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
 /// Bits of a ticket that count within a life; above them stands the run, which has 52.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
-/// From here on, connection numbers stand for requests that came through another controller.
-const FIRST_PROXIED_CONN_ID: ConnId = 1 << 63;
 /// Events of a few milliseconds are placed together.
 const PLACEMENT_BATCH_DELAY: Micros = 3 * MILLISECOND;
 /// What a pass of the scheduler may cost is kept a small share of the time.
@@ -72,7 +71,6 @@
 const PASS_INTERVAL_MAX: Micros = SECOND;
 const SAVE_INTERVAL_PER_JOB: Micros = 30;
 const SAVE_SCAN_INTERVAL: Micros = 100 * MILLISECOND;
-const FINAL_STATES_CACHED: usize = 4096;
 /// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
 const STALL_THRESHOLD: Micros = SECOND;
 
@@ -109,7 +107,7 @@
     },
     /// Whether jobs that were asked about are still live.
     CheckFinished {
-        polls: Vec<(ConnId, Arc<str>, Micros)>,
+        polls: Vec<PendingPoll>,
     },
     ReadForCancel {
         conn: ConnId,
@@ -300,13 +298,6 @@
     next_progress_at: Micros,
 }
 
-/// A user's request, kept until it is answered: another controller may be able to answer it.
-struct ClientRequest {
-    method: &'static str,
-    path: String,
-    body: Vec<u8>,
-}
-
 enum PeerCallPurpose {
     ClientRequest {
         conn: ConnId,
@@ -352,19 +343,7 @@
     state: StateClient<StateRequest>,
     election: Election,
     cloud: Cloud,
-    final_states: FinalCache,
-    /// How far live jobs are, as the leader last told.
-    progress: Progress,
-    progress_at: Micros,
-    /// What users asked about and got no answer.
-    starvation: RequestStarvation,
-    /// Polls that wait to be asked together, and since when.
-    polls: Vec<(ConnId, Arc<str>, Micros)>,
-    poll_batch_due_at: Micros,
-    client_requests: HashMap<ConnId, ClientRequest>,
-    /// Requests that came through another controller stand in the place of connections.
-    proxied_requests: HashMap<ConnId, (ConnId, Ticket)>,
-    next_proxied_conn: ConnId,
+    client_requests: ClientRequests,
     leader_state: Option<LeaderState>,
     standby: Standby,
     startup: Startup,
@@ -375,13 +354,9 @@
     /// How long this node last left leading to the others.
     resign_backoff: Micros,
     peer_links: PeerLinks,
-    /// When the load balancer last asked whether this node is up.
-    health_checked_at: Micros,
     /// Workers' reports on their way to the leader.
     heartbeat_batch: HeartbeatBatch,
-    /// Submissions that wait for what is known of the jobs that they name.
-    submissions: HashMap<u64, Submission>,
-    next_submission: u64,
+    submissions: Submissions,
     /// The stored format, as far as this node knows; 0 before it was read.
     schema_version: u32,
     schema_check_at: Micros,
@@ -415,16 +390,8 @@
                 (props.leader_ttl_min.min(props.leader_ttl), props.leader_ttl),
             ),
             cloud: Cloud::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
-            final_states: FinalCache::new(FINAL_STATES_CACHED),
-            progress: Progress::default(),
-            progress_at: 0,
-            starvation: RequestStarvation::default(),
-            polls: Vec::new(),
-            poll_batch_due_at: Micros::MAX,
+            client_requests: ClientRequests::new(),
             rng_seed: if props.seed == 0 { run } else { props.seed },
-            client_requests: HashMap::default(),
-            proxied_requests: HashMap::default(),
-            next_proxied_conn: FIRST_PROXIED_CONN_ID,
             leader_state: None,
             standby: Standby::default(),
             startup: Startup::default(),
@@ -433,10 +400,8 @@
             last_stall: 0,
             resign_backoff: 0,
             peer_links: PeerLinks::new(settings.peers.clone()),
-            health_checked_at: 0,
             heartbeat_batch: HeartbeatBatch::default(),
-            submissions: HashMap::default(),
-            next_submission: 0,
+            submissions: Submissions::default(),
             schema_version: 0,
             schema_check_at: 0,
             schema_support_registered: false,
@@ -485,7 +450,11 @@
     /// The earliest time at which `tick` has something to do.
     pub fn wake_at(&self) -> Micros {
         let now = self.now.steady;
-        let mut at = (now + 250 * MILLISECOND).min(self.poll_batch_due_at.max(now + MILLISECOND));
+        let mut at = (now + 250 * MILLISECOND).min(
+            self.client_requests
+                .poll_batch_due_at()
+                .max(now + MILLISECOND),
+        );
         at = at.min(self.election.wake_at().max(now + MILLISECOND));
         at = at.min(self.cloud.wake_at(self.is_leader()).max(now + MILLISECOND));
         if let Some(t) = self.heartbeat_batch.due_at() {
@@ -642,10 +611,10 @@
     }
 
     fn respond(&mut self, conn: ConnId, status: u16, body: &Value) {
-        if let Some(asked) = self.client_requests.remove(&conn) {
+        if let Some(asked) = self.client_requests.take(conn) {
             self.note_startup_answer(asked.method, status);
         }
-        if let Some((conn, ticket)) = self.proxied_requests.remove(&conn) {
+        if let Some(ProxiedRequest { conn, ticket }) = self.client_requests.take_proxied(conn) {
             let body = body.to_string().into_bytes();
             return self.outputs.push(Output::PeerRespond {
                 conn,
@@ -667,7 +636,7 @@
 
     fn respond_error(&mut self, conn: ConnId, status: u16, reason: &str) {
         if log::log_enabled!(log::Level::Debug) {
-            let what = self.client_requests.get(&conn).map_or("", |a| a.method);
+            let what = self.client_requests.method_of(conn);
             log::debug!("answering {what} with {status}: {reason}");
         }
         self.respond(conn, status, &json!({"error": reason}));
@@ -757,9 +726,7 @@
                 });
             }
             KIND_CLIENT_REQUEST => {
-                self.next_proxied_conn += 1;
-                let via = self.next_proxied_conn;
-                self.proxied_requests.insert(via, (conn, ticket));
+                let via = self.client_requests.insert_proxied(conn, ticket);
                 let (method, path) = addr.split_once(' ').unwrap_or((addr, ""));
                 self.handle_request(via, method, path, body);
             }
@@ -767,10 +734,10 @@
                 if !self.is_leader() {
                     self.peer_links.note_leader_hint(self.now.steady, addr);
                 }
-                self.progress.replace(&body);
-                self.progress_at = self.now.steady;
+                self.client_requests
+                    .replace_progress(self.now.steady, &body);
                 // Only what is probed gets users: a node may be cut off from the load balancer.
-                let probed = self.now.steady < self.health_checked_at + SERVING_FRESH_FOR;
+                let probed = self.client_requests.is_health_checked(self.now.steady);
                 let serves = probed && !self.cloud.types.is_empty() && !self.state.is_failing();
                 self.outputs.push(Output::PeerRespond {
                     conn,
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -75,7 +75,7 @@
         let t = self.now.steady;
         let Some(leader_state) = self.leader_state.as_ref().filter(|_| rest != ["status"]) else {
             let leader = self.election.leader();
-            let (unanswered, longest) = self.starvation.worst(t);
+            let (unanswered, longest) = self.client_requests.worst_starvation(t);
             return json!({
                 "node": self.settings.name,
                 "leader": leader.map(|r| r.node.clone()),
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,10 +1,8 @@
 //! Users' requests: submissions, polls and cancellations, by this node or through another.
 
+use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
 use super::peer_links::PeerRequest;
-use super::{
-    CLIENT_REQUEST_TIMEOUT, ClientRequest, Controller, FIRST_PROXIED_CONN_ID, PeerCallPurpose,
-    StateRequest,
-};
+use super::{CLIENT_REQUEST_TIMEOUT, Controller, PeerCallPurpose, StateRequest};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{
@@ -17,18 +15,11 @@
     KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
 };
 use serde_json::json;
-use std::cmp::Reverse;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use zerocopy::IntoBytes;
 
-/// Polls of a moment are asked together.
-const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
-
-/// A poll waits this long for the budget; users give a poll 2 s.
-const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
-
 /// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
 /// to 3 s old.
 const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
@@ -38,9 +29,6 @@
 /// took the leader back.
 const SERVING_PEERS_MIN: usize = 3;
 
-/// Without a leader's word for longer than that, what is stored is shown.
-const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
-
 /// That many reads for overdue polls may wait among the users' changes.
 const QUEUED_STARVED_READS_MAX: usize = 4;
 /// For so long nothing is started of a job that another controller said is cancelled.
@@ -50,7 +38,7 @@
     /// The state service does not answer us, but may answer another controller: a single node
     /// can be refused or cut off from it while the others are served.
     pub(super) fn state_unavailable(&mut self, conn: ConnId) {
-        let asked = self.client_requests.remove(&conn);
+        let asked = self.client_requests.take(conn);
         if let (Some(asked), Some(peer)) = (asked, self.pick_helper_peer()) {
             self.forward_client_request(conn, peer, asked);
         } else {
@@ -129,7 +117,7 @@
         path: String,
         body: &[u8],
     ) -> bool {
-        if conn >= FIRST_PROXIED_CONN_ID {
+        if ClientRequests::is_proxied(conn) {
             return false;
         }
         if self.refused_as_isolated(conn) {
@@ -160,7 +148,7 @@
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, parts.as_slice()) {
             ("GET", ["up"]) => {
-                self.health_checked_at = self.now.steady;
+                self.client_requests.note_health_check(self.now.steady);
                 if self.cloud.types.is_empty() {
                     return self.respond_error(
                         conn,
@@ -198,7 +186,7 @@
 
     /// Answers at once for a job that this node knows to be over; ends never change.
     pub(super) fn answer_from_final_state(&mut self, conn: ConnId, uid: &str) -> bool {
-        let Some(known) = self.final_states.get(uid).cloned() else {
+        let Some(known) = self.client_requests.final_state(uid).cloned() else {
             return false;
         };
         self.respond(conn, 200, &known);
@@ -218,10 +206,14 @@
         // Always the store, never memory: another node may just have told the user of a cancel.
         // Whether a job is over can be asked for many at once, the rest is told by the leader.
         if self.job_counts(uid).is_some() {
-            let t = self.now.steady;
-            self.polls.push((conn, uid.into(), t));
-            self.poll_batch_due_at = self.poll_batch_due_at.min(t + POLL_BATCH_DELAY);
-            return;
+            let now = self.now.steady;
+            let uid = uid.into();
+            let poll = PendingPoll {
+                conn,
+                uid,
+                asked_at: now,
+            };
+            return self.client_requests.queue_poll(now, poll);
         }
         self.read_polled_job(conn, uid);
     }
@@ -235,7 +227,7 @@
     pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
         let t = self.now.steady;
         let few = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
-        let rank = if few && self.starvation.is_starved(t, &uid) {
+        let rank = if few && self.client_requests.is_starved(t, &uid) {
             RequestPriority::Client
         } else {
             RequestPriority::Background
@@ -252,7 +244,7 @@
 
     /// No answer for a poll from here.
     pub(super) fn poll_failed(&mut self, conn: ConnId, uid: &str) {
-        self.starvation.note_failure(self.now.steady, uid);
+        self.client_requests.note_failure(self.now.steady, uid);
         self.state_unavailable(conn);
     }
 
@@ -266,66 +258,48 @@
                 job.placements.len() as u64,
             ));
         }
-        let fresh = self.now.steady < self.progress_at + PROGRESS_KEPT_FOR;
-        self.progress.get(uid).filter(|_| fresh)
+        self.client_requests.progress_of(self.now.steady, uid)
     }
 
     /// Asks for all jobs polled in the last moment whether they are over. When the budget is
     /// short, more polls come together in each question instead of going without an answer.
     pub(super) fn flush_polls(&mut self) {
-        let t = self.now.steady;
-        if self.polls.is_empty() || t < self.poll_batch_due_at {
+        let now = self.now.steady;
+        if !self.client_requests.has_due_polls(now) {
             return;
         }
-        let overdue = |p: &(ConnId, Arc<str>, Micros)| self.starvation.is_starved(t, &p.1);
-        // Looks wait for one another and for all else; one question answers so many polls that it may go
-        // before them when some have gone without an answer for long.
-        let hurry = self.polls.iter().any(overdue);
-        if !hurry && !self.state.has_background_budget(t) {
-            self.poll_batch_due_at = t + POLL_BATCH_DELAY;
-            let waiting = std::mem::take(&mut self.polls);
-            for (conn, uid, asked_at) in waiting {
-                if t < asked_at + POLL_TIMEOUT {
-                    self.polls.push((conn, uid, asked_at));
-                } else {
-                    self.poll_failed(conn, &uid);
-                }
+        // Polls yield to one another and to everything else; but one check answers so many of
+        // them that it may go first when some have had no answer for long.
+        let starved = self.client_requests.has_starved_polls(now);
+        if !starved && !self.state.has_background_budget(now) {
+            for poll in self.client_requests.postpone_polls(now) {
+                self.poll_failed(poll.conn, &poll.uid);
             }
             return;
         }
-        if hurry {
-            let unanswered = &self.starvation;
-            self.polls
-                .sort_by_key(|p| Reverse(unanswered.waited(t, &p.1)));
-        }
-        let most = self.schema().txn_ops.max(1) * 4;
-        let chunk: Vec<_> = self.polls.drain(..most.min(self.polls.len())).collect();
-        self.poll_batch_due_at = if self.polls.is_empty() {
-            Micros::MAX
-        } else {
-            t + MILLISECOND
-        };
+        let max = self.schema().txn_ops.max(1) * 4;
+        let polls = self.client_requests.take_poll_batch(now, starved, max);
         let mut txn = Transaction::default();
-        let keys: BTreeSet<&str> = chunk.iter().map(|p| &*p.1).collect();
+        let keys: BTreeSet<&str> = polls.iter().map(|poll| &*poll.uid).collect();
         for uid in keys {
             txn = txn.require_revision(finished_key(uid), 0);
         }
-        let rank = if hurry {
+        let priority = if starved {
             RequestPriority::Client
         } else {
             RequestPriority::Background
         };
-        let purpose = StateRequest::CheckFinished { polls: chunk };
+        let purpose = StateRequest::CheckFinished { polls };
         self.state.submit(
-            t,
+            now,
             purpose,
-            rank,
+            priority,
             Op::Transaction(txn),
             CLIENT_REQUEST_TIMEOUT,
         );
     }
 
-    pub(super) fn polls_checked(&mut self, polls: Vec<(ConnId, Arc<str>, Micros)>, reply: &Reply) {
+    pub(super) fn polls_checked(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
         let ended: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
@@ -333,28 +307,30 @@
                 .filter_map(|f| f.strip_prefix(FINISHED_PREFIX))
                 .collect(),
             _ => {
-                // Other questions took this node's share, as at a takeover: they are asked again, for
-                // as long as they may wait.
-                let t = self.now.steady;
-                let short = matches!(reply, Reply::Unavailable) && !self.state.is_failing();
-                for (conn, uid, asked_at) in polls {
-                    if short && t < asked_at + POLL_TIMEOUT {
-                        self.polls.push((conn, uid, asked_at));
-                        self.poll_batch_due_at = self.poll_batch_due_at.min(t + POLL_BATCH_DELAY);
+                // Other requests used up this node's budget, as during a failover: the check is
+                // made again for as long as the polls may wait.
+                let now = self.now.steady;
+                let retry = matches!(reply, Reply::Unavailable) && !self.state.is_failing();
+                for poll in polls {
+                    let failed = if retry {
+                        self.client_requests.requeue_poll(now, poll).err()
                     } else {
-                        self.poll_failed(conn, &uid);
+                        Some(poll)
+                    };
+                    if let Some(poll) = failed {
+                        self.poll_failed(poll.conn, &poll.uid);
                     }
                 }
                 return;
             }
         };
-        for (conn, uid, _) in polls {
+        for PendingPoll { conn, uid, .. } in polls {
             if ended.contains(&&*uid) {
                 self.read_for_poll(conn, uid, true);
                 continue;
             }
             if let Some((done, running)) = self.job_counts(&uid) {
-                self.starvation.note_answer(&uid);
+                self.client_requests.note_answer(&uid);
                 self.respond(conn, 200, &live_body(&uid, done, running));
             } else {
                 self.read_polled_job(conn, &uid);
@@ -450,7 +426,7 @@
             match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(f) => {
                     let body = final_body(uid, &f);
-                    self.final_states.put(uid, body.clone());
+                    self.client_requests.cache_final_state(uid, body.clone());
                     self.respond(conn, 200, &body);
                 }
                 Err(_) => self.respond_error(conn, 503, "the stored job can't be read"),
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -292,7 +292,8 @@
         leader_state.placement_due_at = Some(now);
         // A node that never heard of a leader is new itself, and so, most likely, are the others: nobody
         // carries anybody, and nobody would ask. Else those carried are asked without being told.
-        let new = self.progress_at == 0 && self.peer_links.leader_hint_at().is_none();
+        let new =
+            self.client_requests.progress_at() == 0 && self.peer_links.leader_hint_at().is_none();
         leader_state.probe_sharing_at = Some(if new {
             now
         } else {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -190,7 +190,8 @@
                             let uid = job.spec.uid.clone();
                             let end = job.record().finish("done", item.finished_at);
                             log::info!("job {uid} is done");
-                            self.final_states.put(&uid, final_body(&uid, &end));
+                            self.client_requests
+                                .cache_final_state(&uid, final_body(&uid, &end));
                             if let Some(job) = leader_state.jobs.remove(&uid) {
                                 Self::stop_all_tasks(&mut leader_state.workers, &job);
                                 Self::acknowledge_all_ends(&mut leader_state.workers, &job);
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -113,7 +113,7 @@
             return;
         }
         // Its word is overdue: once, ahead of time.
-        let word = self.progress_at;
+        let word = self.client_requests.progress_at();
         let overdue = word > 0
             && t >= word + LEADER_OVERDUE_AFTER
             && f.last_read_at < word + LEADER_OVERDUE_AFTER;
@@ -307,7 +307,8 @@
             self.reset_replica();
         }
         let word = self
-            .progress_at
+            .client_requests
+            .progress_at()
             .max(self.peer_links.leader_hint_at().unwrap_or(0));
         let takeover = Failover {
             cold_reason: cold,
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -39,7 +39,7 @@
             }
             StateRequest::AcceptJob { conn, uid } => match reply {
                 Reply::Applied { .. } => {
-                    self.progress.add(&uid);
+                    self.client_requests.add_progress(&uid);
                     self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
                 }
                 Reply::Conflict { .. } => {
@@ -64,7 +64,7 @@
                 if matches!(reply, Reply::Item(_)) =>
             {
                 if let Reply::Item(item) = reply {
-                    self.starvation.note_answer(&uid);
+                    self.client_requests.note_answer(&uid);
                     self.respond_stored_state(conn, &uid, over, item);
                 }
             }
@@ -84,7 +84,7 @@
             },
             StateRequest::PollJob { conn, uid, over } => match reply {
                 Reply::Absent if over => {
-                    self.starvation.note_answer(&uid);
+                    self.client_requests.note_answer(&uid);
                     self.respond_error(conn, 404, "no such job");
                 }
                 // Live first, then over: a job moves only in that direction.
@@ -105,7 +105,7 @@
                 body,
             } => match reply {
                 Reply::Applied { .. } => {
-                    self.final_states.put(&uid, body.clone());
+                    self.client_requests.cache_final_state(&uid, body.clone());
                     // A leader needs no watch to tell it what it wrote itself.
                     if let Some(leader_state) = &mut self.leader_state {
                         Self::mark_cancelled(leader_state, &uid);
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -8,6 +8,7 @@
 use crate::messages::ConnId;
 use crate::scheduler::impossible_reason;
 use crate::schema::{self, SCHEMA_VERSION, Schema};
+use crate::seeded_hash::HashMap;
 use crate::state_client::{Op, Raw, Reply, Transaction, raw};
 use crate::wire::{JobKind, JobSpec, valid_uid};
 use serde_json::json;
@@ -35,7 +36,7 @@
 }
 
 /// A submission that names other jobs.
-pub(super) struct Submission {
+struct Submission {
     conn: ConnId,
     spec: JobSpec,
     dependencies: BTreeMap<Arc<str>, DependencyState>,
@@ -44,6 +45,33 @@
     attempts: u32,
 }
 
+/// The submissions that wait for what is known of the jobs that they name, by a number of their own.
+#[derive(Default)]
+pub(super) struct Submissions {
+    pending: HashMap<u64, Submission>,
+    last_id: u64,
+}
+
+impl Submissions {
+    fn insert(&mut self, submission: Submission) -> u64 {
+        self.last_id += 1;
+        self.pending.insert(self.last_id, submission);
+        self.last_id
+    }
+
+    fn get(&self, id: u64) -> Option<&Submission> {
+        self.pending.get(&id)
+    }
+
+    fn get_mut(&mut self, id: u64) -> Option<&mut Submission> {
+        self.pending.get_mut(&id)
+    }
+
+    fn remove(&mut self, id: u64) -> Option<Submission> {
+        self.pending.remove(&id)
+    }
+}
+
 impl Controller {
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
@@ -131,14 +159,12 @@
 
     /// Reads what is stored of each job named; "never accepted" needs a fresh answer.
     fn read_dependencies(&mut self, mut s: Submission) {
-        self.next_submission += 1;
-        let id = self.next_submission;
         s.dependencies.clear();
         let mut asks = Vec::new();
         for need in &s.spec.waits_on {
             let known = self
-                .final_states
-                .get(need)
+                .client_requests
+                .final_state(need)
                 .and_then(|f| f["status"].as_str());
             let state = match known {
                 Some("done") => DependencyState::Done,
@@ -150,7 +176,7 @@
             };
             s.dependencies.insert(need.clone(), state);
         }
-        self.submissions.insert(id, s);
+        let id = self.submissions.insert(s);
         let patience = dependency_timeout(asks.len());
         for uid in asks {
             let key = live_key(&uid);
@@ -165,7 +191,7 @@
     }
 
     pub(super) fn dependency_read(&mut self, id: u64, uid: Arc<str>, over: bool, reply: Reply) {
-        let Some(s) = self.submissions.get_mut(&id) else {
+        let Some(s) = self.submissions.get_mut(id) else {
             return;
         };
         let mut state = DependencyState::Live;
@@ -182,7 +208,8 @@
             },
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => {
-                    self.final_states.put(&uid, final_body(&uid, &end));
+                    self.client_requests
+                        .cache_final_state(&uid, final_body(&uid, &end));
                     state = if end.is_done() {
                         DependencyState::Done
                     } else {
@@ -210,25 +237,25 @@
             }
             _ => {
                 let conn = s.conn;
-                self.submissions.remove(&id);
+                self.submissions.remove(id);
                 return self.state_unavailable(conn);
             }
         }
-        if let Some(s) = self.submissions.get_mut(&id) {
+        if let Some(s) = self.submissions.get_mut(id) {
             s.dependencies.insert(uid, state);
         }
         self.continue_submission(id);
     }
 
     fn abandon_submission(&mut self, id: u64, reason: &str) {
-        if let Some(s) = self.submissions.remove(&id) {
+        if let Some(s) = self.submissions.remove(id) {
             self.respond_error(s.conn, 503, reason);
         }
     }
 
     /// Accepts the job once all that it names is known.
     fn continue_submission(&mut self, id: u64) {
-        let Some(s) = self.submissions.get(&id) else {
+        let Some(s) = self.submissions.get(id) else {
             return;
         };
         if s.dependencies
@@ -240,7 +267,7 @@
         let uid = s.spec.uid.clone();
         if let Some(reason) = s.rejection.clone() {
             let conn = s.conn;
-            self.submissions.remove(&id);
+            self.submissions.remove(id);
             return self.reject_unless_known(conn, uid, false, reason);
         }
         let mut txn = Transaction::default()
@@ -275,7 +302,7 @@
     }
 
     pub(super) fn dependent_job_accepted(&mut self, id: u64, cancelled: bool, reply: Reply) {
-        let Some(mut s) = self.submissions.remove(&id) else {
+        let Some(mut s) = self.submissions.remove(id) else {
             return;
         };
         let (conn, uid) = (s.conn, s.spec.uid.clone());
@@ -284,7 +311,7 @@
                 self.respond(conn, 201, &json!({"uid": uid, "status": "cancelled"}));
             }
             Reply::Applied { .. } => {
-                self.progress.add(&uid);
+                self.client_requests.add_progress(&uid);
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { failed } => {
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -87,7 +87,7 @@
                         continue;
                     }
                     // A job that we have moved on already is told late.
-                    if self.final_states.get(uid).is_some() {
+                    if self.client_requests.final_state(uid).is_some() {
                         continue;
                     }
                     match schema::decode_job(&value) {
