--- a/src/controller.rs
+++ b/src/controller.rs
@@ -8,6 +8,7 @@
 mod dependencies;
 mod failover;
 mod heartbeats;
+mod leader_schedule;
 mod maintenance;
 mod peer_links;
 mod persistence;
@@ -46,8 +47,10 @@
 use crate::worker_ledger::WorkerLedger;
 use crate::worker_probe::WorkerProbe;
 use client_requests::{ClientRequests, PendingPoll, ProxiedRequest};
+use leader_schedule::LeaderSchedule;
 use peer_links::{PeerLinks, PeerRequest};
 use rangemap::RangeSet;
+use schema_migration::SchemaMigration;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
 use standby::{Failover, LeaderLoad, Standby};
@@ -62,15 +65,6 @@
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
 /// Bits of a ticket that count within a life; above them stands the run, which has 52.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
-/// Events of a few milliseconds are placed together.
-const PLACEMENT_BATCH_DELAY: Micros = 3 * MILLISECOND;
-/// What a pass of the scheduler may cost is kept a small share of the time.
-const PLACEMENT_INTERVAL_PER_MACHINE: Micros = 30;
-/// After a pass this many times what it took goes to other things.
-const PASS_COST_MULTIPLE: Micros = 3;
-const PASS_INTERVAL_MAX: Micros = SECOND;
-const SAVE_INTERVAL_PER_JOB: Micros = 30;
-const SAVE_SCAN_INTERVAL: Micros = 100 * MILLISECOND;
 /// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
 const STALL_THRESHOLD: Micros = SECOND;
 
@@ -254,8 +248,6 @@
     schema_key_revision: u64,
     /// What the controllers say that they understand, and when that is asked next.
     schema_support: BTreeMap<String, SchemaSupport>,
-    schema_support_check_at: Micros,
-    chunk_sweep_at: Micros,
     /// Something stored could not be read: until all that ran then is surely over, nothing is
     /// free to start.
     starts_held_until: Micros,
@@ -263,8 +255,6 @@
     load: Option<LeaderLoad>,
     failover: Failover,
     reconciliation: Reconciliation,
-    /// When the machines that have not spoken are shared out among the controllers.
-    probe_sharing_at: Option<Micros>,
     /// The line on the recovery was told.
     reconciliation_logged: bool,
     jobs_revision: u64,
@@ -273,16 +263,8 @@
     /// Stamps of the live jobs at that epoch, and the sum that is told of them.
     job_revisions: HashMap<Arc<str>, u64>,
     jobs_checksum: Checksum,
-    watch_in_flight: bool,
-    next_watch_at: Micros,
-    placement_due_at: Option<Micros>,
-    /// The next pass is not before this: passes cost more the more machines there are.
-    placement_not_before: Micros,
-    next_save_at: Micros,
-    save_pending: bool,
-    autoscaling_at: Micros,
-    maintenance_at: Micros,
-    fleet_scan_at: Micros,
+    /// When the recurring work is due next.
+    schedule: LeaderSchedule,
     rented: BTreeSet<Arc<str>>,
     /// Cancellations that other controllers told of before the state service did.
     cancellation_hints: u64,
@@ -295,7 +277,6 @@
     last_busy_at: Micros,
     /// Since when this node has been entitled to act without a break.
     valid_since: Micros,
-    next_progress_at: Micros,
 }
 
 enum PeerCallPurpose {
@@ -357,19 +338,12 @@
     /// Workers' reports on their way to the leader.
     heartbeat_batch: HeartbeatBatch,
     submissions: Submissions,
-    /// The stored format, as far as this node knows; 0 before it was read.
-    schema_version: u32,
-    schema_check_at: Micros,
-    schema_support_registered: bool,
-    /// The state service has shown that the limits to come hold already.
-    reduced_value_size: bool,
-    reduced_write_rate: bool,
+    schema_migration: SchemaMigration,
     /// How far this node is behind.
     load: LoadMonitor,
     /// What a pass of the scheduler lately took of this node's time.
     placement_pass_cost: Micros,
     placement_pass_ran: bool,
-    fatal_error: Option<String>,
     outputs: Vec<Output>,
 }
 
@@ -402,15 +376,10 @@
             peer_links: PeerLinks::new(settings.peers.clone()),
             heartbeat_batch: HeartbeatBatch::default(),
             submissions: Submissions::default(),
-            schema_version: 0,
-            schema_check_at: 0,
-            schema_support_registered: false,
-            reduced_value_size: false,
-            reduced_write_rate: false,
+            schema_migration: SchemaMigration::default(),
             load: LoadMonitor::default(),
             placement_pass_cost: 0,
             placement_pass_ran: false,
-            fatal_error: None,
             outputs: Vec::new(),
             now: Now::default(),
             // A process may be back before all that its former life asked is answered: no number of
@@ -467,15 +436,7 @@
             at = at.min(t.max(now + MILLISECOND));
         }
         if let Some(leader_state) = &self.leader_state {
-            if let Some(t) = leader_state.placement_due_at {
-                at = at.min(
-                    t.max(leader_state.placement_not_before)
-                        .max(now + MILLISECOND),
-                );
-            }
-            if leader_state.save_pending {
-                at = at.min(leader_state.next_save_at.max(now + MILLISECOND));
-            }
+            at = at.min(leader_state.schedule.wake_at().max(now + MILLISECOND));
             at = at.min(leader_state.workers.wake_at(now).max(now + MILLISECOND));
         }
         at
@@ -893,8 +854,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if !leader_state.watch_in_flight && t >= leader_state.next_watch_at {
-            leader_state.watch_in_flight = true;
+        if leader_state.schedule.take_watch(t) {
             let (term, from) = (leader_state.term, leader_state.jobs_revision);
             self.state.submit(
                 t,
@@ -912,8 +872,7 @@
             leader_state.valid_since = t;
             return;
         }
-        if t >= leader_state.maintenance_at {
-            leader_state.maintenance_at = t + 250 * MILLISECOND;
+        if leader_state.schedule.take_maintenance(t) {
             if self.resign_if_fleet_silent() {
                 return;
             }
@@ -925,19 +884,15 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if leader_state.placement_due_at.is_some_and(|p| p <= t)
-            && t >= leader_state
-                .placement_not_before
-                .max(leader_state.starts_held_until)
+        if leader_state.schedule.is_placement_due(t)
+            && t >= leader_state.starts_held_until
             && !self.cloud.types.is_empty()
             && self.load.may_start_work()
         {
-            leader_state.placement_due_at = None;
-            let rest =
-                PLACEMENT_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
-            leader_state.placement_not_before = t + rest
-                .max(PASS_COST_MULTIPLE * self.placement_pass_cost)
-                .min(PASS_INTERVAL_MAX);
+            let machines = leader_state.workers.machines.len();
+            leader_state
+                .schedule
+                .note_placement_pass(t, machines, self.placement_pass_cost);
             self.placement_pass_ran = true;
             leader_state.failover.first_pass_at = leader_state.failover.first_pass_at.or(Some(t));
             let may_stop = leader_state
@@ -957,7 +912,9 @@
                     .reconciliation
                     .note_preempted(may_stop - leader_state.scheduler.preemption_allowance);
             }
-            leader_state.save_pending |= !placed.is_empty();
+            if !placed.is_empty() {
+                leader_state.schedule.request_save();
+            }
             for p in &placed {
                 if let Some(j) = leader_state.jobs.by_number.get(&p.key.job) {
                     log::debug!(
@@ -974,12 +931,8 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if t >= leader_state.next_save_at
-            && (leader_state.save_pending || t >= leader_state.next_save_at + SAVE_SCAN_INTERVAL)
-        {
-            leader_state.save_pending = false;
-            leader_state.next_save_at =
-                t + SAVE_INTERVAL_PER_JOB * leader_state.jobs.by_number.len() as Micros;
+        let jobs = leader_state.jobs.by_number.len();
+        if leader_state.schedule.take_save(t, jobs) {
             self.save_jobs();
         }
         let Some(leader_state) = &mut self.leader_state else {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -3,7 +3,7 @@
 use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
 use super::peer_links::PeerRequest;
 use super::{CLIENT_REQUEST_TIMEOUT, Controller, PeerCallPurpose, StateRequest};
-use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::clock::{Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{
     FINISHED_PREFIX, FinalState, final_body, finished_key, live_body, live_key, stopping_key,
@@ -20,10 +20,6 @@
 use std::sync::Arc;
 use zerocopy::IntoBytes;
 
-/// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
-/// to 3 s old.
-const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
-
 /// So many others must have said a moment ago that they can serve users for the leader not to.
 /// With two, both of which crashed at once, users had no node at all until the load balancer
 /// took the leader back.
@@ -344,10 +340,9 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if t < leader_state.next_progress_at {
+        if !leader_state.schedule.take_progress_announcement(t) {
             return;
         }
-        leader_state.next_progress_at = t + PROGRESS_INTERVAL;
         let jobs = leader_state
             .jobs
             .by_number
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -113,7 +113,7 @@
             if let Some(job) = leader_state.jobs.get_mut(&dependent) {
                 log::info!("job {dependent} waits for no other job any more");
                 job.ready_at = Some(ready.max(job.accepted_at));
-                leader_state.placement_due_at = Some(now);
+                leader_state.schedule.request_placement_now(now);
             }
         }
     }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,5 +1,6 @@
 //! A new leader loads jobs and roll, and holds what may be on machines.
 
+use super::leader_schedule::LeaderSchedule;
 use super::{Controller, LeaderState, StateRequest};
 use crate::accounting::{TaskOutcome, WorkloadAccounting};
 use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
@@ -60,13 +61,10 @@
             registry: MachineRegistry::new(layout),
             schema_key_revision: 0,
             schema_support: BTreeMap::new(),
-            schema_support_check_at: now,
-            chunk_sweep_at: now + 10 * SECOND,
             starts_held_until: 0,
             load: Some(loading),
             failover: takeover,
             reconciliation: Reconciliation::new(now, 0, 0),
-            probe_sharing_at: None,
             reconciliation_logged: false,
             jobs_revision: 0,
             // What it is built from is not older than its own take.
@@ -76,15 +74,7 @@
             ),
             job_revisions: HashMap::default(),
             jobs_checksum: Checksum::default(),
-            watch_in_flight: false,
-            next_watch_at: 0,
-            placement_due_at: None,
-            placement_not_before: now,
-            next_save_at: now,
-            save_pending: false,
-            autoscaling_at: now + 2 * SECOND,
-            maintenance_at: now,
-            fleet_scan_at: now,
+            schedule: LeaderSchedule::new(now),
             rented: BTreeSet::new(),
             cancellation_hints: 0,
             accounting: WorkloadAccounting::default(),
@@ -92,7 +82,6 @@
             elected_at: now,
             last_busy_at: now,
             valid_since: now,
-            next_progress_at: now,
         });
         self.continue_load();
     }
@@ -289,12 +278,12 @@
         for uid in &waiting {
             Self::add_dependencies(leader_state, &self.cloud, uid);
         }
-        leader_state.placement_due_at = Some(now);
+        leader_state.schedule.request_placement_now(now);
         // A node that never heard of a leader is new itself, and so, most likely, are the others: nobody
         // carries anybody, and nobody would ask. Else those carried are asked without being told.
         let new =
             self.client_requests.progress_at() == 0 && self.peer_links.leader_hint_at().is_none();
-        leader_state.probe_sharing_at = Some(if new {
+        leader_state.schedule.share_probes_at(if new {
             now
         } else {
             now + PROXY_PROBE_HEAD_START
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -116,14 +116,12 @@
     /// A new leader has the workers that have not spoken asked by all controllers at once, each its part.
     pub(super) fn share_probes(&mut self) {
         let t = self.now.steady;
-        let Some(leader_state) = self
-            .leader_state
-            .as_mut()
-            .filter(|l| l.probe_sharing_at.is_some_and(|at| at <= t))
-        else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.probe_sharing_at = None;
+        if !leader_state.schedule.take_probe_sharing(t) {
+            return;
+        }
         for (dest, rows) in leader_state.workers.share_unconfirmed(t) {
             for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
                 let hosts = rows.iter().map(|r| r.machine().into()).collect();
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,8 +1,8 @@
 //! What the leader does a few times a second, whatever happens.
 
-use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, PLACEMENT_BATCH_DELAY, StateRequest};
+use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, StateRequest};
 use crate::accounting::StopReason;
-use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
+use crate::clock::{Micros, SECOND, from_secs};
 use crate::cloud::Cloud;
 use crate::election::LEADER_KEY;
 use crate::job_record::stopping_key;
@@ -13,13 +13,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A walk over all machines, for what only time makes due, is made again after so long for each of them.
-const FLEET_SCAN_INTERVAL_PER_MACHINE: Micros = 600;
-
-const AUTOSCALING_INTERVAL_MIN: Micros = 400 * MILLISECOND;
-
-const AUTOSCALING_INTERVAL_PER_MACHINE: Micros = MILLISECOND;
-
 impl Controller {
     /// What is due a few times a second.
     pub(super) fn run_maintenance(&mut self) {
@@ -28,9 +21,8 @@
             return;
         };
         // Both walk over all machines, and neither is a matter of less than a second.
-        if t >= leader_state.fleet_scan_at {
-            leader_state.fleet_scan_at =
-                t + FLEET_SCAN_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
+        let machines = leader_state.workers.machines.len();
+        if leader_state.schedule.take_fleet_scan(t, machines) {
             leader_state.workers.expire_leases(t);
             leader_state
                 .workers
@@ -61,10 +53,8 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if t >= leader_state.autoscaling_at {
-            leader_state.autoscaling_at = t + AUTOSCALING_INTERVAL_MIN.max(
-                AUTOSCALING_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros,
-            );
+        let machines = leader_state.workers.machines.len();
+        if leader_state.schedule.take_autoscaling(t, machines) {
             self.autoscale();
         } else {
             self.rent_next();
@@ -72,9 +62,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.placement_due_at = leader_state
-            .placement_due_at
-            .or(Some(t + PLACEMENT_BATCH_DELAY));
+        leader_state.schedule.request_placement(t);
     }
 
     /// One line a round on where the cores are: the first look when work waits.
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -36,7 +36,7 @@
         };
         // While earlier writes wait, more comes together in each record.
         if self.state.queued(RequestPriority::Leader) >= QUEUED_SAVES_MAX {
-            leader_state.save_pending = true;
+            leader_state.schedule.request_save();
             return;
         }
         let (term, mod_revision) = (leader_state.term, leader_state.leader_key_revision);
@@ -78,7 +78,7 @@
                 continue;
             };
             if left <= 0.0 {
-                leader_state.save_pending = true;
+                leader_state.schedule.request_save();
                 break;
             }
             let uid = job.spec.uid.clone();
@@ -98,7 +98,7 @@
                 for (machine, key, attempt) in std::mem::take(&mut job.unsaved_starts) {
                     leader_state.workers.withdraw(&machine, key, attempt);
                     job.save_urgent = true;
-                    leader_state.save_pending = true;
+                    leader_state.schedule.request_save();
                 }
                 continue;
             };
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -1,5 +1,6 @@
 //! Which format is written: what each controller understands, and when the stored number goes up.
 
+use super::leader_schedule::CHUNK_SWEEP_INTERVAL;
 use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
 use crate::clock::{Micros, SECOND};
 use crate::election::LEADER_KEY;
@@ -14,8 +15,32 @@
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
 /// How often the leader looks whether all controllers understand the next format.
 const SCHEMA_SUPPORT_CHECK_INTERVAL: Micros = SECOND;
-/// How often pieces that belong to nothing are looked for.
-const CHUNK_SWEEP_INTERVAL: Micros = 60 * SECOND;
+/// What this node knows of the stored schema version and of the limits that go with it.
+#[derive(Default)]
+pub(super) struct SchemaMigration {
+    /// The stored schema version as last read; 0 before the first read. It only rises.
+    version: u32,
+    next_read_at: Micros,
+    /// The state service holds the record of what this program supports.
+    support_registered: bool,
+    /// The state service has shown that the announced lower limits are in force already.
+    reduced_value_size: bool,
+    reduced_write_rate: bool,
+    /// Why this process can't go on, if so.
+    fatal_error: Option<String>,
+}
+
+impl SchemaMigration {
+    /// The stored schema version as far as this node knows; 0 before the first read.
+    pub(super) fn version(&self) -> u32 {
+        self.version
+    }
+
+    /// Whether the newest schema version that this program knows is the stored one.
+    pub(super) fn is_complete(&self) -> bool {
+        self.version >= SCHEMA_VERSION
+    }
+}
 
 impl Controller {
     /// What is written now, and within which limits.
@@ -23,13 +48,14 @@
         let state = &self.settings.deployment.state;
         let tight = state.tightest();
         // Everything of a newer format fits the limits to come: they come without notice.
-        let limits = if self.schema_version >= 2 || self.reduced_value_size {
-            &tight
-        } else {
-            state
-        };
+        let limits =
+            if self.schema_migration.version >= 2 || self.schema_migration.reduced_value_size {
+                &tight
+            } else {
+                state
+            };
         Schema {
-            version: self.schema_version.max(1),
+            version: self.schema_migration.version.max(1),
             value_bytes: limits.value_bytes(),
             txn_ops: limits.txn_ops,
         }
@@ -37,24 +63,24 @@
 
     /// Why this process must end, if so.
     pub fn fatal_error(&self) -> Option<&str> {
-        self.fatal_error.as_deref()
+        self.schema_migration.fatal_error.as_deref()
     }
 
     pub(super) fn check_schema_version(&mut self) {
         let t = self.now.steady;
         self.apply_refused_limits();
-        if t < self.schema_check_at
-            || (self.schema_support_registered && self.schema_version >= SCHEMA_VERSION)
+        if t < self.schema_migration.next_read_at
+            || (self.schema_migration.support_registered && self.schema_migration.is_complete())
         {
             return;
         }
-        self.schema_check_at = t + SCHEMA_CHECK_INTERVAL;
+        self.schema_migration.next_read_at = t + SCHEMA_CHECK_INTERVAL;
         self.request_state(
             StateRequest::ReadSchemaVersion,
             Op::Get(SCHEMA_VERSION_KEY.to_owned()),
             SECOND,
         );
-        if !self.schema_support_registered {
+        if !self.schema_migration.support_registered {
             let key = controller_key(&self.settings.name);
             self.request_state(StateRequest::ReadOwnSchemaSupport, Op::Get(key), SECOND);
         }
@@ -68,15 +94,15 @@
         if state.next.is_none() {
             return;
         }
-        if refused.rate && !self.reduced_write_rate {
+        if refused.rate && !self.schema_migration.reduced_write_rate {
             log::info!("the state service refuses the rate of changes; keeping to the next one");
-            self.reduced_write_rate = true;
+            self.schema_migration.reduced_write_rate = true;
             let tight = state.tightest();
             self.state.set_rates(tight.rps, tight.write_rps);
         }
-        if refused.size && !self.reduced_value_size {
+        if refused.size && !self.schema_migration.reduced_value_size {
             log::info!("the state service refuses a size; keeping to the next limits");
-            self.reduced_value_size = true;
+            self.schema_migration.reduced_value_size = true;
             self.apply_schema();
         }
     }
@@ -92,7 +118,7 @@
     pub(super) fn learn_schema_version(&mut self, item: &Item) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
             Ok(stored) if stored.format > SCHEMA_VERSION => {
-                self.fatal_error = Some(format!(
+                self.schema_migration.fatal_error = Some(format!(
                     "the state service holds format {}, this version knows formats up to {SCHEMA_VERSION}; \
                      start the version that the other controllers run",
                     stored.format
@@ -109,10 +135,10 @@
 
     /// It only goes up.
     fn set_schema_version(&mut self, format: u32) {
-        if format <= self.schema_version {
+        if format <= self.schema_migration.version {
             return;
         }
-        self.schema_version = format;
+        self.schema_migration.version = format;
         if format >= 2 {
             log::info!("format {format} is written from now on");
             let tight = self.settings.deployment.state.tightest();
@@ -146,7 +172,7 @@
             Reply::Item(item) => {
                 let said = serde_json::from_str::<SchemaSupport>(item.value.get());
                 if said.is_ok_and(|u| u.format == SCHEMA_VERSION && u.version == PROGRAM_VERSION) {
-                    self.schema_support_registered = true;
+                    self.schema_migration.support_registered = true;
                     return;
                 }
                 item.mod_revision
@@ -169,16 +195,20 @@
         );
     }
 
+    /// The record of what this program supports was written, or not.
+    pub(super) fn schema_support_registered(&mut self, reply: &Reply) {
+        self.schema_migration.support_registered = matches!(reply, Reply::Applied { .. });
+    }
+
     /// The leader looks whether all have said that they understand the next format. The store
     /// says it, not the peers: a zone may be cut, and a controller down.
     pub(super) fn watch_schema_support(&mut self) {
         let t = self.now.steady;
-        let format = self.schema_version;
+        let format = self.schema_migration.version;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if t >= leader_state.chunk_sweep_at {
-            leader_state.chunk_sweep_at = t + CHUNK_SWEEP_INTERVAL;
+        if leader_state.schedule.take_chunk_sweep(t) {
             let term = leader_state.term;
             if format >= 2 {
                 self.request_state(
@@ -189,12 +219,12 @@
             }
             return;
         }
-        if t >= leader_state.schema_support_check_at {
-            leader_state.schema_support_check_at = t + if format < SCHEMA_VERSION {
-                SCHEMA_SUPPORT_CHECK_INTERVAL
-            } else {
-                CHUNK_SWEEP_INTERVAL
-            };
+        let interval = if format < SCHEMA_VERSION {
+            SCHEMA_SUPPORT_CHECK_INTERVAL
+        } else {
+            CHUNK_SWEEP_INTERVAL
+        };
+        if leader_state.schedule.take_schema_support_check(t, interval) {
             let term = leader_state.term;
             self.request_state(
                 StateRequest::ReadSchemaSupport { term },
@@ -224,7 +254,7 @@
                 Err(e) => log::error!("{} can't be read: {e}", item.path),
             }
         }
-        if self.schema_version >= SCHEMA_VERSION || !self.controllers_without_support().is_empty() {
+        if self.schema_migration.is_complete() || !self.controllers_without_support().is_empty() {
             return;
         }
         let Some(leader_state) = &self.leader_state else {
@@ -267,7 +297,7 @@
         match reply {
             Reply::Applied { .. } => self.set_schema_version(SCHEMA_VERSION),
             // Raised by an earlier leader, or by a write whose answer was lost: it is read.
-            _ => self.schema_check_at = self.now.steady,
+            _ => self.schema_migration.next_read_at = self.now.steady,
         }
     }
 
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -9,7 +9,6 @@
 use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::election::LEADER_KEY;
-use crate::schema::SCHEMA_VERSION;
 use crate::state_client::{Op, Reply, Transaction, raw};
 use crate::wire::{MachineType, MachineTypes};
 
@@ -58,7 +57,7 @@
         }
         self.log_startup();
         // Beside the version before nothing is written that it does not write.
-        let leads = self.is_leader() && self.schema_version >= SCHEMA_VERSION;
+        let leads = self.is_leader() && self.schema_migration.is_complete();
         let layout = self.schema();
         let o = &mut self.startup;
         if o.request_in_flight || t < o.next_check_at {
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -150,9 +150,7 @@
             StateRequest::ReadMachineTypes => self.machine_types_read(reply),
             StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
             StateRequest::ReadOwnSchemaSupport => self.register_schema_support(reply),
-            StateRequest::WriteOwnSchemaSupport => {
-                self.schema_support_registered = matches!(reply, Reply::Applied { .. })
-            }
+            StateRequest::WriteOwnSchemaSupport => self.schema_support_registered(&reply),
             StateRequest::ReadDependency {
                 submission,
                 uid,
@@ -219,7 +217,7 @@
                     &result,
                     &mut leader_state.workers,
                 );
-                leader_state.placement_due_at = leader_state.placement_due_at.or(Some(now));
+                leader_state.schedule.request_placement_by(now);
             }
             StateRequest::ReadRegistryPage { term, key } if self.is_current_term(term) => {
                 let Some(leader_state) = &mut self.leader_state else {
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -1,6 +1,6 @@
 //! What the watch and the workers tell, into the jobs; machines and jobs that fail.
 
-use super::{Controller, LeaderState, PLACEMENT_BATCH_DELAY};
+use super::{Controller, LeaderState};
 use crate::accounting::{StopReason, TaskOutcome};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::cloud::Cloud;
@@ -21,9 +21,9 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.watch_in_flight = false;
-        if !matches!(reply, Reply::Events { .. } | Reply::TooOld) {
-            leader_state.next_watch_at = now + 200 * MILLISECOND;
+        let with_changes = matches!(reply, Reply::Events { .. } | Reply::TooOld);
+        leader_state.schedule.note_watch_answered(now, with_changes);
+        if !with_changes {
             return;
         }
         self.apply_job_changes(reply, sent);
@@ -127,9 +127,7 @@
                 Self::mark_cancelled(leader_state, &uid);
             }
         }
-        leader_state.placement_due_at = leader_state
-            .placement_due_at
-            .or(Some(now + PLACEMENT_BATCH_DELAY));
+        leader_state.schedule.request_placement(now);
         self.apply_ledger_events();
     }
 
@@ -172,9 +170,7 @@
             for e in std::mem::take(&mut leader_state.workers.events) {
                 Self::apply_task_event(leader_state, &self.cloud, now, e);
             }
-            leader_state.placement_due_at = leader_state
-                .placement_due_at
-                .or(Some(now.steady + PLACEMENT_BATCH_DELAY));
+            leader_state.schedule.request_placement(now.steady);
         }
     }
 
@@ -297,7 +293,9 @@
                             .push((e.machine.clone(), part, e.attempt));
                     }
                     job.save_urgent |= job.is_done();
-                    leader_state.save_pending |= job.save_urgent;
+                    if job.save_urgent {
+                        leader_state.schedule.request_save();
+                    }
                     let others: Vec<_> = job.placements.get(&part).cloned().unwrap_or_default();
                     for (machine, attempt) in others {
                         leader_state.workers.stop_task(
