--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,5 +1,14 @@
-//! One controller node: routes requests, wires the actors, and, while it leads, drives jobs,
-//! workers and machines. No I/O here: inputs and the time go in, outputs come out.
+//! One controller process: routes inputs to the components that own the state.
+//!
+//! [`Controller`] takes [`Input`]s and the time and returns [`Output`]s; it does no I/O, reads no
+//! clock and starts no thread, so a run is determined by its inputs. What belongs together is owned
+//! by a component with private fields: client requests, links to the other controllers, the
+//! standby's replica, the schema migration, and, only while this node leads, the leader's state.
+//! The files below hold the parts of the controller that connect them, each for one concern.
+//!
+//! What holds at this door: nothing is done as leader unless [`Controller::is_leader`] says so, and
+//! whatever is decided for good is decided by a conditional write to the state service; what other
+//! controllers announce is a hint.
 
 mod admin;
 mod api;
@@ -13,6 +22,7 @@
 mod leader_schedule;
 mod maintenance;
 mod peer_links;
+mod peer_requests;
 mod persistence;
 mod schema_migration;
 mod standby;
@@ -32,103 +42,75 @@
 use crate::messages::{ConnId, Input, Outcome, Output, Ticket};
 use crate::settings::{Properties, Settings};
 use crate::state_client::{Op, RequestPriority, StateClient};
-use crate::wire::{
-    KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_DELIVER_COMMANDS,
-    KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, KIND_PROGRESS,
-};
 use crate::worker_probe::WorkerProbe;
 use api_error::ApiError;
 use client_requests::{ClientRequests, ProxiedRequest};
 use leader::LeaderState;
-use peer_links::{PeerLinks, PeerRequest};
+use peer_links::PeerLinks;
+use peer_requests::PeerFrame;
 use schema_migration::SchemaMigration;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
 use standby::Standby;
 use startup::Startup;
 use state_request::StateRequest;
-use std::net::SocketAddr;
-use std::sync::Arc;
 use submission::Submissions;
 
-/// A user gets an answer at once, also when it is that we can't tell: little patience.
+/// How long a client's request waits for the state service: an answer that nothing can be said
+/// now is better than a late one.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
+/// How long a write of the leader waits for the state service.
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
-/// Bits of a ticket that count within a life; above them stands the run, which has 52.
+/// Low bits of a ticket, which count within one process incarnation; the high 52 are the
+/// incarnation's number.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
-/// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
+/// The longest time between two inputs or ticks.
+const TICK_INTERVAL_MAX: Micros = 250 * MILLISECOND;
+/// The shortest time to the next tick that is asked for.
+const TICK_INTERVAL_MIN: Micros = MILLISECOND;
+/// A gap between ticks, which come four times a second, that is counted and logged as a stall.
 const STALL_THRESHOLD: Micros = SECOND;
 
-enum PeerCallPurpose {
-    ClientRequest {
-        conn: ConnId,
-        peer: SocketAddr,
-    },
-    Heartbeat {
-        conn: ConnId,
-    },
-    CommandDelivery {
-        conn: ConnId,
-        ticket: Ticket,
-    },
-    AdminQuery {
-        conn: ConnId,
-    },
-    /// What the leader knows of a job's pipeline, to be told beside what is stored.
-    DependencyQuery {
-        conn: ConnId,
-        body: Value,
-    },
-    /// Whether that leader, by its run, takes many reports in a frame.
-    BatchSupport {
-        run: u64,
-    },
-    /// Workers that the peer is to ask.
-    ProbeAssignment {
-        hosts: Vec<Arc<str>>,
-    },
-    /// The leader's word on how far jobs are; a 200 says that the peer can serve users.
-    ProgressAnnouncement {
-        peer: SocketAddr,
-    },
-    /// Whether any controller is to be reached.
-    LivenessCheck,
-}
-
+/// One controller process, without its I/O.
 pub struct Controller {
     settings: Settings,
     properties: Properties,
     rng_seed: u64,
+    /// The time of the input or tick in hand.
     now: Now,
+    /// The last ticket given to a call.
     tickets: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
     cloud: Cloud,
     client_requests: ClientRequests,
+    /// Present from the election to the end of the leadership.
     leader_state: Option<LeaderState>,
     standby: Standby,
     startup: Startup,
     worker_probe: WorkerProbe,
-    /// The times that `tick` came far too late: the process was stopped, or short of processor.
+    /// How often a tick came far too late: the process was stopped, or starved of processor time.
     stalls: u64,
+    /// How long the last of these gaps was.
     last_stall: Micros,
-    /// How long this node last left leading to the others.
+    /// How long this node last stayed out of the election after resigning for cause.
     resign_backoff: Micros,
     peer_links: PeerLinks,
-    /// Workers' reports on their way to the leader.
+    /// Workers' heartbeats on their way to the leader.
     heartbeat_batch: HeartbeatBatch,
     submissions: Submissions,
     schema_migration: SchemaMigration,
-    /// How far this node is behind.
+    /// How far this node is behind its inputs.
     load: LoadMonitor,
-    /// What a pass of the scheduler lately took of this node's time.
+    /// What ticks with a placement pass have cost lately, as a moving average.
     placement_pass_cost: Micros,
     placement_pass_ran: bool,
     outputs: Vec<Output>,
 }
 
 impl Controller {
-    /// `run` tells this run of the process from all others.
+    /// A controller that knows nothing yet. `run` is the number of this process incarnation, which
+    /// no other process of the deployment has ever had.
     pub fn new(settings: Settings, props: Properties, run: u64) -> Self {
         let s = &settings.deployment;
         Self {
@@ -162,8 +144,8 @@
             placement_pass_ran: false,
             outputs: Vec::new(),
             now: Now::default(),
-            // A process may be back before all that its former life asked is answered: no number of
-            // one life is one of another.
+            // A process may restart before all calls of its former incarnation are answered: no
+            // ticket of one is used by another.
             tickets: if fault_injected(InjectedFault::TicketsReused) {
                 0
             } else {
@@ -174,22 +156,26 @@
         }
     }
 
-    /// How far behind its inputs this node is.
+    /// Sets how far behind its inputs this node is, and with that what it refuses.
     pub fn set_loop_load(&mut self, load: LoadMonitor) {
         if load.shed_level() != self.load.shed_level() {
-            let (lag, shed) = (load.lag() / MILLISECOND, load.shed_level());
-            if shed > self.load.shed_level() {
-                log::warn!("{lag} ms behind: refusing {shed:?}");
+            let (lag_ms, level) = (load.lag() / MILLISECOND, load.shed_level());
+            let severity = if level > self.load.shed_level() {
+                log::Level::Warn
             } else {
-                log::info!("{lag} ms behind: refusing {shed:?}");
-            }
+                log::Level::Info
+            };
+            log::log!(
+                severity,
+                "load shedding changed level={level:?} lag_ms={lag_ms}"
+            );
         }
         self.election.note_pause(self.now.steady, load.lag());
         self.load = load;
     }
 
-    /// What the last `tick` took of this node's time. Where processor time is short a pass costs
-    /// many times what it would, and the next has to wait for as many times as long.
+    /// Tells what the last `tick` took, in microseconds. Where processor time is short, a placement
+    /// pass takes many times what it would otherwise, and the next one waits accordingly longer.
     pub fn note_tick_cost(&mut self, took: Micros) {
         if std::mem::take(&mut self.placement_pass_ran) {
             self.placement_pass_cost = (3 * self.placement_pass_cost + took) / 4;
@@ -199,37 +185,34 @@
     /// The earliest time at which `tick` has something to do.
     pub fn wake_at(&self) -> Micros {
         let now = self.now.steady;
-        let mut at = (now + 250 * MILLISECOND).min(
-            self.client_requests
-                .poll_batch_due_at()
-                .max(now + MILLISECOND),
-        );
-        at = at.min(self.election.wake_at().max(now + MILLISECOND));
-        at = at.min(self.cloud.wake_at(self.is_leader()).max(now + MILLISECOND));
-        if let Some(t) = self.heartbeat_batch.due_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
-        if let Some(t) = self.worker_probe.wake_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
-        if let Some(t) = self.state.wake_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
+        let mut at = self
+            .client_requests
+            .poll_batch_due_at()
+            .min(self.election.wake_at())
+            .min(self.cloud.wake_at(self.is_leader()));
+        let others = [
+            self.heartbeat_batch.due_at(),
+            self.worker_probe.wake_at(),
+            self.state.wake_at(),
+        ];
+        at = others.into_iter().flatten().fold(at, Micros::min);
         if let Some(leader_state) = &self.leader_state {
-            at = at.min(leader_state.schedule.wake_at().max(now + MILLISECOND));
-            at = at.min(leader_state.workers.wake_at(now).max(now + MILLISECOND));
+            at = at
+                .min(leader_state.schedule.wake_at())
+                .min(leader_state.workers.wake_at(now));
         }
-        at
+        at.clamp(now + TICK_INTERVAL_MIN, now + TICK_INTERVAL_MAX)
     }
 
     /// Whether this node may act as leader now.
     pub fn is_leader(&self) -> bool {
-        let t = self.now.steady;
-        self.leader_state.as_ref().is_some_and(|l| {
-            l.load.is_none()
-                && self.election.is_valid(t)
-                && l.cancellation_freshness
-                    .is_fresh(t, self.election.valid_since())
+        let now = self.now.steady;
+        self.leader_state.as_ref().is_some_and(|leader_state| {
+            leader_state.load.is_none()
+                && self.election.is_valid(now)
+                && leader_state
+                    .cancellation_freshness
+                    .is_fresh(now, self.election.valid_since())
         })
     }
 
@@ -238,11 +221,12 @@
         if self.now.steady > 0 && gap > STALL_THRESHOLD {
             self.stalls += 1;
             self.last_stall = gap;
-            log::warn!("this node stood still for {} ms", gap / MILLISECOND);
+            log::warn!("process stalled stall_ms={}", gap / MILLISECOND);
         }
         self.now = now;
     }
 
+    /// Takes an input. What it leads to is sent with the next [`Controller::tick`].
     pub fn handle(&mut self, now: Now, input: Input) {
         self.set_now(now);
         match input {
@@ -261,26 +245,33 @@
                 body,
             } => {
                 self.peer_links.note_peer_seen(now.steady);
-                self.handle_peer_request(conn, ticket, kind, patience, &addr, body);
+                self.handle_peer_request(PeerFrame {
+                    conn,
+                    ticket,
+                    kind,
+                    patience,
+                    addr,
+                    body,
+                });
             }
             Input::Outcome { ticket, outcome } => self.handle_outcome(ticket, &outcome),
         }
     }
 
-    /// Does what is due and hands out what is to be sent.
+    /// Does what is due, and returns everything that is to be sent.
     pub fn tick(&mut self, now: Now) -> Vec<Output> {
         self.set_now(now);
-        let t = now.steady;
-        for (step, op) in self.election.tick(t) {
+        let steady = now.steady;
+        for (step, op) in self.election.tick(steady) {
             self.state.submit(
-                t,
+                steady,
                 StateRequest::Election(step),
                 RequestPriority::Vital,
                 op,
                 SECOND,
             );
         }
-        if self.state.should_probe(t) {
+        if self.state.should_probe(steady) {
             self.request_state(
                 StateRequest::AvailabilityProbe,
                 Op::Get(LEADER_KEY.to_owned()),
@@ -297,33 +288,35 @@
         self.replicate();
         self.probe_workers();
         self.check_schema_version();
-        let leads = self.is_leader();
+        let is_leader = self.is_leader();
         self.cloud
-            .tick(t, leads, &mut self.tickets, &mut self.outputs);
+            .tick(steady, is_leader, &mut self.tickets, &mut self.outputs);
         self.run_leader();
         self.send_heartbeat_batches();
         self.flush_polls();
-        // Twice: what ran out of patience may lead to new questions.
+        // Twice: requests that time out unsent may lead to new ones.
         for _ in 0..2 {
-            for (purpose, reply) in self
-                .state
-                .send_queued(t, &mut self.tickets, &mut self.outputs)
+            for (request, reply) in
+                self.state
+                    .send_queued(steady, &mut self.tickets, &mut self.outputs)
             {
-                self.handle_state_reply(purpose, reply, t);
+                self.handle_state_reply(request, reply, steady);
             }
         }
         std::mem::take(&mut self.outputs)
     }
 
-    fn request_state(&mut self, purpose: StateRequest, op: Op, patience: Micros) {
-        let rank = purpose.priority();
+    /// Asks the state service, in the queue that goes with the request.
+    fn request_state(&mut self, request: StateRequest, op: Op, timeout: Micros) {
+        let priority = request.priority();
         self.state
-            .submit(self.now.steady, purpose, rank, op, patience);
+            .submit(self.now.steady, request, priority, op, timeout);
     }
 
+    /// Answers a client, or the controller that forwarded its request.
     fn respond(&mut self, conn: ConnId, status: u16, body: &Value) {
-        if let Some(asked) = self.client_requests.take(conn) {
-            self.note_startup_answer(asked.method, status);
+        if let Some(request) = self.client_requests.take(conn) {
+            self.note_startup_answer(request.method, status);
         }
         if let Some(ProxiedRequest { conn, ticket }) = self.client_requests.take_proxied(conn) {
             let body = body.to_string().into_bytes();
@@ -354,161 +347,18 @@
         self.respond(conn, status, &json!({"error": error.to_string()}));
     }
 
-    /// Calls another controller; `purpose` says what is done with its answer.
-    fn call_peer(&mut self, dest: SocketAddr, purpose: PeerCallPurpose, request: PeerRequest) {
-        let ticket = self.send_to_peer(dest, request);
-        self.peer_links.register_call(ticket, purpose);
-    }
-
-    /// Sends a frame to another controller; its answer is ignored unless the ticket is registered.
-    fn send_to_peer(&mut self, dest: SocketAddr, request: PeerRequest) -> Ticket {
-        self.tickets += 1;
-        self.outputs.push(Output::PeerCall {
-            ticket: self.tickets,
-            dest,
-            kind: request.kind,
-            addr: request.addr,
-            body: request.body,
-            timeout: request.timeout,
-        });
-        self.tickets
-    }
-
-    /// Tells another controller that its word was taken.
-    fn acknowledge(&mut self, conn: ConnId, ticket: Ticket) {
-        self.outputs.push(Output::PeerRespond {
-            conn,
-            ticket,
-            outcome: Outcome::Reply {
-                status: 200,
-                body: Vec::new(),
-            },
-        });
-    }
-
-    fn handle_peer_request(
-        &mut self,
-        conn: ConnId,
-        ticket: Ticket,
-        kind: u16,
-        patience: Micros,
-        addr: &str,
-        body: Vec<u8>,
-    ) {
-        match kind {
-            KIND_HEARTBEAT => {
-                let outcome = self.take_forwarded_heartbeat(addr, &body);
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            KIND_HEARTBEAT_BATCH => {
-                let outcome = self.take_heartbeat_batch(addr, &body);
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            KIND_DELIVER_COMMANDS => {
-                let Ok(dest) = addr.parse() else {
-                    return self.outputs.push(Output::PeerRespond {
-                        conn,
-                        ticket,
-                        outcome: Outcome::NotSent,
-                    });
-                };
-                self.tickets += 1;
-                self.peer_links.register_call(
-                    self.tickets,
-                    PeerCallPurpose::CommandDelivery { conn, ticket },
-                );
-                let timeout = patience
-                    .saturating_sub(patience / 4)
-                    .clamp(100 * MILLISECOND, 5 * SECOND);
-                self.outputs.push(Output::Call {
-                    ticket: self.tickets,
-                    dest,
-                    method: "POST",
-                    path: "/commands".to_owned(),
-                    body,
-                    timeout,
-                });
-            }
-            KIND_CLIENT_REQUEST => {
-                let via = self.client_requests.insert_proxied(conn, ticket);
-                let (method, path) = addr.split_once(' ').unwrap_or((addr, ""));
-                self.handle_request(via, method, path, body);
-            }
-            KIND_PROGRESS => {
-                if !self.is_leader() {
-                    self.peer_links.note_leader_hint(self.now.steady, addr);
-                }
-                self.client_requests
-                    .replace_progress(self.now.steady, &body);
-                // Only what is probed gets users: a node may be cut off from the load balancer.
-                let probed = self.client_requests.is_health_checked(self.now.steady);
-                let serves = probed && !self.cloud.types.is_empty() && !self.state.is_failing();
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome: Outcome::Reply {
-                        status: if serves { 200 } else { 503 },
-                        body: Vec::new(),
-                    },
-                });
-            }
-            KIND_PROBE_ANSWER => {
-                self.take_probe_answer(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_PROBE_WORKERS => {
-                self.accept_probe_assignment(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_CHECKSUM => {
-                self.leader_checksum_received(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_CANCELLED => {
-                if let Ok(uid) = std::str::from_utf8(&body) {
-                    self.cancellation_hinted(uid);
-                }
-                self.acknowledge(conn, ticket);
-            }
-            KIND_ADMIN_QUERY => {
-                let body = self.admin_report(&addr.split('/').collect::<Vec<_>>());
-                let outcome = Outcome::Reply {
-                    status: 200,
-                    body: body.to_string().into_bytes(),
-                };
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            _ => self.outputs.push(Output::PeerRespond {
-                conn,
-                ticket,
-                outcome: Outcome::NotSent,
-            }),
-        }
-    }
-
+    /// Routes the outcome of a call to the component that made it.
     fn handle_outcome(&mut self, ticket: Ticket, outcome: &Outcome) {
         let now = self.now.steady;
         if self.state.owns(ticket) {
-            if let Some((purpose, reply, sent)) = self.state.handle_outcome(now, ticket, outcome) {
-                self.handle_state_reply(purpose, reply, sent);
+            if let Some((request, reply, sent)) = self.state.handle_outcome(now, ticket, outcome) {
+                self.handle_state_reply(request, reply, sent);
             }
         } else if self.cloud.owns(ticket) {
-            let news = self.cloud.handle_outcome(now, ticket, outcome);
-            self.handle_cloud_events(news);
-        } else if let Some(relay) = self.peer_links.take_call(ticket) {
-            self.handle_peer_reply(relay, outcome);
+            let events = self.cloud.handle_outcome(now, ticket, outcome);
+            self.handle_cloud_events(events);
+        } else if let Some(purpose) = self.peer_links.take_call(ticket) {
+            self.handle_peer_reply(purpose, outcome);
         } else if self.worker_probe.answered(ticket) {
             self.forward_probe_answer(outcome);
         } else if self.heartbeat_batch.owns(ticket) {
@@ -523,86 +373,15 @@
         }
     }
 
-    fn handle_peer_reply(&mut self, relay: PeerCallPurpose, outcome: &Outcome) {
-        // An order's answer is the worker's.
-        if matches!(outcome, Outcome::Reply { .. })
-            && !matches!(relay, PeerCallPurpose::CommandDelivery { .. })
-        {
-            self.peer_links.note_peer_seen(self.now.steady);
-        }
-        match relay {
-            PeerCallPurpose::LivenessCheck => {}
-            PeerCallPurpose::ClientRequest { conn, peer } => match outcome {
-                Outcome::Reply { status, body } if *status != 503 => {
-                    self.outputs.push(Output::Respond {
-                        conn,
-                        status: *status,
-                        body: body.clone(),
-                        retry_after: None,
-                    });
-                }
-                _ => {
-                    self.peer_links.note_unhelpful(self.now.steady, peer);
-                    self.respond_error(conn, &ApiError::StateUnavailable);
-                }
-            },
-            PeerCallPurpose::CommandDelivery { conn, ticket } => {
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome: outcome.clone(),
-                });
-            }
-            PeerCallPurpose::ProgressAnnouncement { peer } => {
-                if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.peer_links.note_serving(self.now.steady, peer);
-                }
-            }
-            PeerCallPurpose::ProbeAssignment { hosts } => {
-                if !matches!(outcome, Outcome::Reply { status: 200, .. })
-                    && let Some(leader_state) = &mut self.leader_state
-                {
-                    leader_state.workers.reclaim_probes(&hosts);
-                }
-            }
-            PeerCallPurpose::BatchSupport { run } => {
-                if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.peer_links.note_batch_support(run);
-                }
-            }
-            PeerCallPurpose::DependencyQuery { conn, mut body } => {
-                let told = match outcome {
-                    Outcome::Reply { status: 200, body } => serde_json::from_slice(body).ok(),
-                    _ => None,
-                };
-                body["leader"] = told.unwrap_or_else(|| json!("the leader does not answer"));
-                self.respond(conn, 200, &body);
-            }
-            PeerCallPurpose::Heartbeat { conn } | PeerCallPurpose::AdminQuery { conn } => {
-                match outcome {
-                    Outcome::Reply { status, body } => {
-                        let retry_after = None;
-                        self.outputs.push(Output::Respond {
-                            conn,
-                            status: *status,
-                            body: body.clone(),
-                            retry_after,
-                        });
-                    }
-                    other => self.heartbeat_failed(conn, other),
-                }
-            }
-        }
-    }
-
-    /// How many machines were looked at so far: tests bound the work of an event by it.
+    /// How many machines have been examined so far, by which tests bound the work of an event.
     pub fn machines_examined(&self) -> u64 {
-        self.leader_state.as_ref().map_or(0, |l| {
-            l.workers.machines_examined + l.scheduler.capacity.machines_examined
+        self.leader_state.as_ref().map_or(0, |leader_state| {
+            leader_state.workers.machines_examined
+                + leader_state.scheduler.capacity.machines_examined
         })
     }
 
-    /// The live job as the leader holds it; for tests and the operators.
+    /// The live job as the leader holds it, for tests.
     pub fn job(&self, uid: &str) -> Option<&Job> {
         self.leader_state.as_ref()?.jobs.get(uid)
     }
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,10 +1,10 @@
 //! What operators may look at.
 
+use super::Controller;
 use super::api_error::ApiError;
 use super::leader::LeaderState;
-use super::peer_links::PeerRequest;
+use super::peer_links::{PeerCallPurpose, PeerRequest};
 use super::schema_migration::PROGRAM_VERSION;
-use super::{Controller, PeerCallPurpose};
 use crate::clock::MILLISECOND;
 use crate::jobs::Job;
 use crate::messages::ConnId;
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -2,10 +2,10 @@
 
 use super::api_error::ApiError;
 use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
-use super::peer_links::PeerRequest;
+use super::peer_links::{PeerCallPurpose, PeerRequest};
 use super::state_replies::job_key;
 use super::state_request::StateRequest;
-use super::{CLIENT_REQUEST_TIMEOUT, Controller, PeerCallPurpose};
+use super::{CLIENT_REQUEST_TIMEOUT, Controller};
 use crate::clock::{Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,4 +1,9 @@
-//! A new leader loads jobs and roll, and holds what may be on machines.
+//! Becoming the leader, loading its state, and stepping down.
+//!
+//! A new leader builds its state from what is stored: jobs, machine registry and schema version,
+//! from the replica it followed or read anew. Stored placements are held as unconfirmed until
+//! their machines have reported, so no task is started twice. What can't be read proves nothing:
+//! then no task is started until all leases of the time it was loaded have expired.
 
 use super::Controller;
 use super::leader::LeaderState;
@@ -13,9 +18,9 @@
 use crate::jobs::JobTable;
 use crate::reconciliation::Reconciliation;
 use crate::registry::MachineRegistry;
-use crate::replica::{Checksum, Replica};
+use crate::replica::{Checksum, JobHeader, Replica};
 use crate::scheduler::Scheduler;
-use crate::schema::{self, chunk_key};
+use crate::schema::{self, Schema, chunk_key};
 use crate::seeded_hash::HashMap;
 use crate::state_client::Reply;
 use crate::task_id::TaskId;
@@ -23,24 +28,62 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A leader that hears no machine for this long, and two report periods, lets another lead; it
-/// then rests for a while, longer each time.
+/// A leader that hears no machine for this long, and for two report periods, resigns.
 const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
-
+/// How long a leader that resigned for cause leaves the election to others the first time; the
+/// pause doubles with each further time.
 const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
-
+/// The longest such pause.
 const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
 
+/// What was found when the stored jobs were loaded.
+#[derive(Default)]
+struct LoadedJobs {
+    /// Placements that are held until their machines have reported.
+    unconfirmed: usize,
+    /// Records or chunks that could not be read.
+    unreadable: usize,
+}
+
+/// What loading the jobs needs to know.
+struct LoadContext {
+    now: Micros,
+    schema: Schema,
+    /// A page of the machine registry could not be read.
+    registry_unreadable: bool,
+}
+
+/// A stored job that is taken into the table.
+#[derive(Clone, Copy)]
+pub(super) struct StoredJob<'a> {
+    /// Its record, with what its chunks hold.
+    pub(super) record: &'a JobRecord,
+    /// How many chunks belong to it.
+    pub(super) chunks: usize,
+    /// The revision of its key.
+    pub(super) mod_revision: u64,
+    /// It was cancelled, and tasks of it may still be on machines.
+    pub(super) cancelled: bool,
+}
+
 impl Controller {
+    /// This node was elected, by a request sent at `sent`: it starts to load the leader's state.
     pub(super) fn become_leader(&mut self, term: u64, mod_revision: u64, sent: Micros) {
-        let now = self.now.steady;
-        log::info!("leading with term {term}");
+        log::info!("elected leader term={term}");
         self.state.set_leading(true);
         self.cloud.reset();
-        let (loading, takeover) = self.begin_load(mod_revision);
-        let layout = self.schema();
-        let peers = self.peer_links.addresses();
-        self.leader_state = Some(LeaderState {
+        self.leader_state = Some(self.new_leader_state(term, mod_revision, sent));
+        self.continue_load();
+    }
+
+    fn new_leader_state(&mut self, term: u64, mod_revision: u64, sent: Micros) -> LeaderState {
+        let now = self.now.steady;
+        let (load, failover) = self.begin_load(mod_revision);
+        let schema = self.schema();
+        let settings = &self.settings;
+        let (lease, report_period) = (settings.lease(), settings.report_period());
+        let seed = self.rng_seed ^ term;
+        LeaderState {
             term,
             leader_key_revision: mod_revision,
             jobs: JobTable::default(),
@@ -49,29 +92,23 @@
             workers: WorkerLedger::new(
                 term,
                 now,
-                self.settings.lease(),
-                self.settings.report_period(),
-                peers,
-            ),
-            scheduler: Scheduler::new(
-                &self.properties,
-                &self.settings,
-                layout,
-                self.rng_seed ^ term,
-                now,
+                lease,
+                report_period,
+                self.peer_links.addresses(),
             ),
-            registry: MachineRegistry::new(layout),
+            scheduler: Scheduler::new(&self.properties, settings, schema, seed, now),
+            registry: MachineRegistry::new(schema),
             schema_key_revision: 0,
             schema_support: BTreeMap::new(),
             starts_held_until: 0,
-            load: Some(loading),
-            failover: takeover,
+            load: Some(load),
+            failover,
             reconciliation: Reconciliation::new(now, 0, 0),
             reconciliation_logged: false,
             jobs_revision: 0,
-            // What it is built from is not older than its own take.
+            // What the state is loaded from is not older than the election.
             cancellation_freshness: CancellationFreshness::new(
-                validity_from_settings(self.settings.lease(), self.settings.cancel()),
+                validity_from_settings(lease, settings.cancel()),
                 sent,
             ),
             job_revisions: HashMap::default(),
@@ -84,88 +121,127 @@
             elected_at: now,
             last_busy_at: now,
             valid_since: now,
-        });
-        self.continue_load();
+        }
     }
 
-    /// Leaves leading to another term, of another node if one takes it within `rest`.
-    pub(super) fn resign(&mut self, rest: Micros) {
-        for (step, op) in self.election.resign(self.now.steady, rest) {
+    /// Gives up leadership, and does not stand for election again within `backoff`.
+    pub(super) fn resign(&mut self, backoff: Micros) {
+        for (step, op) in self.election.resign(self.now.steady, backoff) {
             self.request_state(StateRequest::Election(step), op, SECOND);
         }
         self.step_down();
     }
 
-    /// A leader that hears nobody, neither directly nor through its peers, is of no use, and the
-    /// others may see what it doesn't. Were it to stay, all leases would run out under it.
+    /// Resigns for cause, for longer each time.
+    fn resign_with_backoff(&mut self) {
+        self.resign_backoff =
+            (2 * self.resign_backoff).clamp(RESIGN_BACKOFF_MIN, RESIGN_BACKOFF_MAX);
+        self.resign(self.resign_backoff);
+    }
+
+    /// Resigns if no machine has been heard for long, neither directly nor through a peer: the
+    /// other controllers may hear them. Were it to stay, all leases would expire under it.
     pub(super) fn resign_if_fleet_silent(&mut self) -> bool {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        let patience = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.report_period());
-        let deaf = t > leader_state
+        let timeout = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.report_period());
+        let heard_at = leader_state
             .workers
             .any_machine_seen_at
-            .max(leader_state.valid_since)
-            + patience;
-        if !deaf || leader_state.workers.machines.len() < 2 || self.peer_links.is_empty() {
+            .max(leader_state.valid_since);
+        let machines = leader_state.workers.machines.len();
+        if now <= heard_at + timeout || machines < 2 || self.peer_links.is_empty() {
             return false;
         }
-        log::warn!("no machine is heard; leaving the lead to another controller");
-        self.resign_backoff =
-            (2 * self.resign_backoff).clamp(RESIGN_BACKOFF_MIN, RESIGN_BACKOFF_MAX);
-        self.resign(self.resign_backoff);
+        log::warn!("no machine is heard; resigning as leader machines={machines}");
+        self.resign_with_backoff();
         true
     }
 
-    /// A leader whose grant is renewed and whose questions for changes are not answered can't act for long;
-    /// another may be told.
+    /// Resigns if its lease is renewed but its reads of cancellations are not answered: it can't
+    /// act for long, and another controller may be answered.
     pub(super) fn resign_if_cancellations_stale(&mut self) -> bool {
-        let (t, since) = (self.now.steady, self.election.valid_since());
+        let (now, since) = (self.now.steady, self.election.valid_since());
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        if self.peer_links.is_empty()
-            || !leader_state
-                .cancellation_freshness
-                .is_refresh_stuck(t, since)
-        {
+        let freshness = &leader_state.cancellation_freshness;
+        if self.peer_links.is_empty() || !freshness.is_refresh_stuck(now, since) {
             return false;
         }
-        let ms = leader_state.cancellation_freshness.age(t) / MILLISECOND;
-        log::warn!(
-            "nothing of what changed is told for {ms} ms; leaving the lead to another controller"
-        );
-        self.resign_backoff =
-            (2 * self.resign_backoff).clamp(RESIGN_BACKOFF_MIN, RESIGN_BACKOFF_MAX);
-        self.resign(self.resign_backoff);
+        let stale_ms = freshness.age(now) / MILLISECOND;
+        log::warn!("cancellations can't be read; resigning as leader stale_ms={stale_ms}");
+        self.resign_with_backoff();
         true
     }
 
+    /// Drops everything that this node held as leader.
     pub(super) fn step_down(&mut self) {
-        if self.leader_state.take().is_some() {
-            log::info!("no longer leading");
+        if let Some(leader_state) = self.leader_state.take() {
+            log::info!("no longer leader term={}", leader_state.term);
         }
         self.state.set_leading(false);
     }
 
-    /// Builds the lead from what is stored; returns how many placements are held until proven.
-    pub(super) fn finish_load(&mut self, mut mirror: Replica) -> usize {
-        let now = self.now.steady;
-        if let Some(leader_state) = &mut self.leader_state {
-            leader_state.load = None;
-            leader_state.jobs_revision = mirror.revision();
-            let live = mirror.live.iter();
-            leader_state.job_revisions =
-                live.map(|(uid, h)| (uid.clone(), h.mod_revision)).collect();
-            for (uid, mod_revision) in &leader_state.job_revisions {
-                leader_state
-                    .jobs_checksum
-                    .toggle(&live_key(uid), *mod_revision);
-            }
+    /// Builds the leader's state from what is stored; returns how many placements are held as
+    /// unconfirmed.
+    pub(super) fn finish_load(&mut self, mut replica: Replica) -> usize {
+        self.load_revisions(&replica);
+        self.load_schema_version(&replica);
+        let (now, schema) = (self.now.steady, self.schema());
+        let registry_unreadable = self.load_registry(&replica, schema);
+        let Some(leader_state) = &mut self.leader_state else {
+            return 0;
+        };
+        let context = LoadContext {
+            now,
+            schema,
+            registry_unreadable,
+        };
+        let loaded = Self::load_jobs(leader_state, &context, &mut replica);
+        if loaded.unreadable > 0 || registry_unreadable {
+            // Placements that nobody can read: what the machines don't report within their lease
+            // is surely not there.
+            leader_state.starts_held_until = now + drift_upper_bound(self.settings.lease());
+            log::error!("stored records unreadable; no task starts until all leases have expired");
         }
-        match mirror.schema_version() {
+        let waiting: Vec<Arc<str>> = leader_state
+            .jobs
+            .by_number
+            .values()
+            .filter(|job| job.waits_for_dependencies())
+            .map(|job| job.spec.uid.clone())
+            .collect();
+        for uid in &waiting {
+            Self::add_dependencies(leader_state, &self.cloud, uid);
+        }
+        leader_state.schedule.request_placement_now(now);
+        self.begin_reconciliation(loaded.unconfirmed);
+        loaded.unconfirmed
+    }
+
+    /// Takes over the revisions of the live jobs, and the checksum over them.
+    fn load_revisions(&mut self, replica: &Replica) {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state.load = None;
+        leader_state.jobs_revision = replica.revision();
+        let live = replica.live.iter();
+        leader_state.job_revisions = live
+            .map(|(uid, header)| (uid.clone(), header.mod_revision))
+            .collect();
+        for (uid, mod_revision) in &leader_state.job_revisions {
+            leader_state
+                .jobs_checksum
+                .toggle(&live_key(uid), *mod_revision);
+        }
+    }
+
+    fn load_schema_version(&mut self, replica: &Replica) {
+        match replica.schema_version() {
             Some(item) => {
                 self.learn_schema_version(item);
                 if let Some(leader_state) = &mut self.leader_state {
@@ -174,152 +250,158 @@
             }
             None => self.schema_version_read(Reply::Absent),
         }
-        let layout = self.schema();
+    }
+
+    /// Loads the machine registry; returns whether a page of it could not be read.
+    fn load_registry(&mut self, replica: &Replica, schema: Schema) -> bool {
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
-            return 0;
+            return false;
         };
-        leader_state.scheduler.schema = layout;
-        leader_state.registry.set_schema(now, layout);
-        let mut roll_unread = false;
-        for item in mirror.registry_pages() {
-            let Some(entries) =
-                leader_state
-                    .registry
-                    .load_page(&item.path, &item.value, item.mod_revision)
-            else {
-                roll_unread = true;
+        leader_state.scheduler.schema = schema;
+        leader_state.registry.set_schema(now, schema);
+        let clock_offset_max = from_secs(self.settings.deployment.clock_offset_max_ms / 1000.0);
+        let mut unreadable = false;
+        for item in replica.registry_pages() {
+            let page = leader_state
+                .registry
+                .load_page(&item.path, &item.value, item.mod_revision);
+            let Some(entries) = page else {
+                unreadable = true;
                 continue;
             };
-            for (id, r) in entries {
+            for (id, entry) in entries {
                 leader_state.workers.add_registered_machine(
                     id.clone(),
-                    &r.addr,
-                    &r.machine_type,
-                    &r.zone,
-                    r.spot,
+                    &entry.addr,
+                    &entry.machine_type,
+                    &entry.zone,
+                    entry.spot,
                     now,
                 );
-                if let Some(quiet) = r.quiet {
-                    let bound = from_secs(self.settings.deployment.clock_offset_max_ms / 1000.0);
+                if let Some(quiet) = entry.quiet {
                     leader_state
                         .workers
-                        .load_silence_mark(&id, quiet, self.now, bound);
+                        .load_silence_mark(&id, quiet, self.now, clock_offset_max);
                 }
-                if let Some(m) = leader_state.workers.machines.get_mut(&id) {
-                    m.images
-                        .extend(r.images.into_iter().map(|i| (i, (now, 0.0))));
+                if let Some(machine) = leader_state.workers.machines.get_mut(&id) {
+                    let images = entry.images.into_iter();
+                    machine
+                        .images
+                        .extend(images.map(|image| (image, (now, 0.0))));
                 }
-                if r.rented {
+                if entry.rented {
                     leader_state.rented.insert(id);
                 }
             }
         }
         leader_state.registry.migrate_pages(now);
-        let mut unread = 0;
-        let mut held = 0;
-        let forgotten = usize::from(fault_injected(InjectedFault::JobForgotten));
-        let live = std::mem::take(&mut mirror.live);
-        let stopping = std::mem::take(&mut mirror.stopping);
-        for (heads, over, cancelled) in [
+        unreadable
+    }
+
+    /// Loads the live jobs, and then the cancelled ones that may still be on machines.
+    fn load_jobs(
+        leader_state: &mut LeaderState,
+        context: &LoadContext,
+        replica: &mut Replica,
+    ) -> LoadedJobs {
+        let skipped = usize::from(fault_injected(InjectedFault::JobForgotten));
+        let mut loaded = LoadedJobs::default();
+        let live = std::mem::take(&mut replica.live);
+        let stopping = std::mem::take(&mut replica.stopping);
+        for (headers, prefix, cancelled) in [
             (live, LIVE_PREFIX, false),
             (stopping, STOPPING_PREFIX, true),
         ] {
-            for (uid, head) in heads.into_iter().skip(forgotten) {
-                let (mut record, count) = match head.decoded {
-                    Ok(read) => read,
-                    Err(e) => {
-                        log::error!("the stored job at {over}{uid} can't be read: {e}");
-                        unread += 1;
-                        continue;
-                    }
+            for (uid, header) in headers.into_iter().skip(skipped) {
+                let (mod_revision, bytes) = (header.mod_revision, header.bytes);
+                let record = read_record(replica, prefix, &uid, header, &mut loaded.unreadable);
+                let Some((record, chunks)) = record else {
+                    continue;
                 };
-                for n in 0..count {
-                    let piece = mirror.chunk(&uid, n).map(|i| &i.value);
-                    let read = piece.ok_or_else(|| "it is missing".to_owned());
-                    if let Err(e) = read.and_then(|p| schema::decode_chunk(p, &mut record)) {
-                        log::error!("{} can't be read: {e}", chunk_key(&uid, n));
-                        unread += 1;
-                    }
-                }
-                if roll_unread {
-                    // A machine that stands on no page that can be read may still be there.
+                if context.registry_unreadable {
+                    // A machine that is on no readable page may still be there.
                     for machine in record.placed.keys() {
                         let id = machine.clone();
-                        leader_state
-                            .workers
-                            .add_registered_machine(id, "", "", "", false, now);
+                        leader_state.workers.add_registered_machine(
+                            id,
+                            "",
+                            "",
+                            "",
+                            false,
+                            context.now,
+                        );
                     }
                 }
-                held += Self::adopt_job(
-                    leader_state,
-                    now,
-                    &record,
-                    count,
-                    head.mod_revision,
+                let stored = StoredJob {
+                    record: &record,
+                    chunks,
+                    mod_revision,
                     cancelled,
-                );
-                if head.bytes > layout.usable_bytes()
+                };
+                loaded.unconfirmed += Self::adopt_job(leader_state, context.now, stored);
+                if bytes > context.schema.usable_bytes()
                     && let Some(job) = leader_state.jobs.get_mut(&uid)
                 {
-                    // Stored under larger limits; an earlier leader did not get to move it.
-                    job.mark_dirty(now);
+                    // Stored under larger limits, and no earlier leader has rewritten it.
+                    job.mark_dirty(context.now);
                 }
             }
         }
-        if unread > 0 || roll_unread {
-            // Placements that nobody can read: what the machines don't report within their lease
-            // is surely not there.
-            leader_state.starts_held_until = now + drift_upper_bound(self.settings.lease());
-            log::error!("nothing is started until all leases of this moment are over");
-        }
-        let jobs = leader_state.jobs.by_number.values();
-        let waiting: Vec<Arc<str>> = jobs
-            .filter(|j| j.waits_for_dependencies())
-            .map(|j| j.spec.uid.clone())
-            .collect();
-        for uid in &waiting {
-            Self::add_dependencies(leader_state, &self.cloud, uid);
-        }
-        leader_state.schedule.request_placement_now(now);
-        // A node that never heard of a leader is new itself, and so, most likely, are the others: nobody
-        // carries anybody, and nobody would ask. Else those carried are asked without being told.
-        let new =
+        loaded
+    }
+
+    /// Starts to reconcile what is stored with what the machines report.
+    fn begin_reconciliation(&mut self, unconfirmed: usize) {
+        let now = self.now.steady;
+        // A node that never heard of a leader has just started itself, and so, most likely, have
+        // the others: no worker reports through any of them, and none would be probed. Otherwise
+        // the peers first probe the workers that report to them, unasked.
+        let cold_start =
             self.client_requests.progress_at() == 0 && self.peer_links.leader_hint_at().is_none();
-        leader_state.schedule.share_probes_at(if new {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state.schedule.share_probes_at(if cold_start {
             now
         } else {
             now + PROXY_PROBE_HEAD_START
         });
-        let period = self.settings.report_period();
+        let machines = leader_state.workers.machines.len();
         leader_state.reconciliation =
-            Reconciliation::new(now, leader_state.workers.machines.len(), period);
-        let flow = leader_state
+            Reconciliation::new(now, machines, self.settings.report_period());
+        let completion_rate = leader_state
             .scheduler
             .expect_completion_rate(now, &leader_state.workers);
-        leader_state.reconciliation.expect_completion_rate(flow);
+        leader_state
+            .reconciliation
+            .expect_completion_rate(completion_rate);
         log::info!(
-            "term {}: {} jobs, {} machines on the roll, {held} placements to be confirmed",
+            "leader state loaded term={} jobs={} machines={machines} unconfirmed={unconfirmed}",
             leader_state.term,
             leader_state.jobs.by_number.len(),
-            leader_state.workers.machines.len()
         );
-        held
     }
 
-    /// Takes a stored job into the table; its stored placements are held until proven.
+    /// Takes a stored job into the table; its stored placements are held as unconfirmed. Returns
+    /// how many those are.
     pub(super) fn adopt_job(
         leader_state: &mut LeaderState,
         now: Micros,
-        record: &JobRecord,
-        pieces: usize,
-        mod_revision: u64,
-        cancelled: bool,
+        stored: StoredJob<'_>,
     ) -> usize {
+        let StoredJob {
+            record,
+            mod_revision,
+            cancelled,
+            ..
+        } = stored;
         let uid = record.spec.uid.clone();
         if let Some(job) = leader_state.jobs.get_mut(&uid) {
             if cancelled {
-                // Cancelled between the two reads, where the state service did not tell what came between them:
-                // the watch tells of the same write, which by its stamp would pass for known.
+                // Cancelled between the two reads, where the state service can't report all
+                // changes: the watch will report the same write, but its revision would pass for
+                // known.
                 Self::mark_cancelled(leader_state, &uid);
             } else if job.mod_revision < mod_revision && !job.save_in_flight {
                 job.mod_revision = mod_revision;
@@ -331,28 +413,57 @@
         leader_state
             .accounting
             .record(&record.spec, TaskOutcome::Accepted { tasks });
-        let mut held = 0;
-        for (machine, parts) in &record.placed {
-            for part in parts.iter().flat_map(|(a, b)| *a..*b) {
-                let key = TaskId {
-                    job: number,
-                    index: part,
-                };
-                // A machine that is not on the roll was proven gone before it left the roll.
+        let mut unconfirmed = 0;
+        for (machine, ranges) in &record.placed {
+            for index in ranges.iter().flat_map(|(from, to)| *from..*to) {
+                let task = TaskId { job: number, index };
+                // A machine that is not registered was proven gone before its entry was removed.
                 if leader_state
                     .workers
-                    .add_unconfirmed(machine, key, &record.spec, now)
+                    .add_unconfirmed(machine, task, &record.spec, now)
                     && let Some(job) = leader_state.jobs.by_number.get_mut(&number)
                 {
-                    job.add_placement(part, machine, 0);
-                    held += 1;
+                    job.add_placement(index, machine, 0);
+                    unconfirmed += 1;
                 }
             }
         }
         if let Some(job) = leader_state.jobs.by_number.get_mut(&number) {
             job.cancelled = cancelled;
-            job.chunks = pieces;
+            job.chunks = stored.chunks;
+        }
+        unconfirmed
+    }
+}
+
+/// Completes a job's record from its chunks; `unreadable` counts what could not be read. None if
+/// the header itself can't be read.
+fn read_record(
+    replica: &Replica,
+    prefix: &str,
+    uid: &str,
+    header: JobHeader,
+    unreadable: &mut usize,
+) -> Option<(JobRecord, usize)> {
+    let (mut record, chunks) = match header.decoded {
+        Ok(read) => read,
+        Err(error) => {
+            log::error!("stored job unreadable key={prefix}{uid} error={error}");
+            *unreadable += 1;
+            return None;
+        }
+    };
+    for number in 0..chunks {
+        let key = chunk_key(uid, number);
+        let Some(item) = replica.chunk(uid, number) else {
+            log::error!("chunk of a stored job missing key={key}");
+            *unreadable += 1;
+            continue;
+        };
+        if let Err(error) = schema::decode_chunk(&item.value, &mut record) {
+            log::error!("chunk of a stored job unreadable key={key} error={error}");
+            *unreadable += 1;
         }
-        held
     }
+    Some((record, chunks))
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,9 +1,8 @@
 //! Workers' reports: taken by the leader, passed on to it by the others.
 
+use super::Controller;
 use super::api_error::ApiError;
-use super::peer_links::{PEER_CALL_TIMEOUT, PeerRequest};
-use super::{Controller, PeerCallPurpose};
-
+use super::peer_links::{PEER_CALL_TIMEOUT, PeerCallPurpose, PeerRequest};
 use crate::messages::{ConnId, Outcome, Output, Ticket};
 use crate::reconciliation::ReconciliationPhase;
 use crate::settings::Peer;
@@ -205,7 +204,7 @@
         if self.peer_links.take_batch_support_query(now) {
             self.call_peer(
                 dest,
-                PeerCallPurpose::BatchSupport { run },
+                PeerCallPurpose::BatchSupport { incarnation: run },
                 PeerRequest::new(KIND_HEARTBEAT_BATCH, &*self.settings.name, Vec::new()),
             );
         }
--- a/src/controller/peer_links.rs
+++ b/src/controller/peer_links.rs
@@ -6,12 +6,13 @@
 //! controller makes the calls and reports their outcomes here. Nothing recorded here is proof of
 //! leadership; all of it only chooses where a request or a worker goes next.
 
-use super::PeerCallPurpose;
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::messages::Ticket;
+use crate::messages::{ConnId, Ticket};
 use crate::seeded_hash::HashMap;
 use crate::settings::Peer;
+use serde_json::Value;
 use std::net::SocketAddr;
+use std::sync::Arc;
 
 /// Default time that the answer to a call to another controller is waited for.
 pub(super) const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
@@ -44,6 +45,28 @@
 /// Interval at which a leader is asked whether it accepts heartbeat batches.
 const BATCH_SUPPORT_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
 
+/// What an answer of another controller is for.
+pub(super) enum PeerCallPurpose {
+    /// A client's request that this node could not serve.
+    ClientRequest { conn: ConnId, peer: SocketAddr },
+    /// A worker's heartbeat, forwarded to the leader.
+    Heartbeat { conn: ConnId },
+    /// Commands that this node delivers to a worker for another controller.
+    CommandDelivery { conn: ConnId, ticket: Ticket },
+    /// An operator's question that only the leader can answer.
+    AdminQuery { conn: ConnId },
+    /// What the leader knows of a job's dependencies, to be shown beside the stored record.
+    DependencyQuery { conn: ConnId, body: Value },
+    /// Whether the leader of that process incarnation accepts heartbeat batches.
+    BatchSupport { incarnation: u64 },
+    /// Machines that the peer is to probe.
+    ProbeAssignment { hosts: Vec<Arc<str>> },
+    /// The leader's announcement of progress; a 200 says that the peer can serve clients.
+    ProgressAnnouncement { peer: SocketAddr },
+    /// Whether any controller can be reached.
+    LivenessCheck,
+}
+
 /// A frame to another controller.
 #[derive(Debug)]
 pub(super) struct PeerRequest {
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -6,6 +6,7 @@
 //! from jobs that fail everywhere.
 
 use super::Controller;
+use super::failover::StoredJob;
 use super::leader::LeaderState;
 use crate::accounting::{StopReason, TaskOutcome};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
@@ -157,14 +158,13 @@
             record.spec.tasks,
             record.spec.deadline_s
         );
-        Self::adopt_job(
-            leader_state,
-            now,
-            &record,
+        let stored = StoredJob {
+            record: &record,
             chunks,
-            event.mod_revision,
-            false,
-        );
+            mod_revision: event.mod_revision,
+            cancelled: false,
+        };
+        Self::adopt_job(leader_state, now, stored);
         Self::add_dependencies(leader_state, &self.cloud, &record.spec.uid);
     }
 
