--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,4 +1,7 @@
-//! What operators may look at.
+//! What operators may inspect: the paths below `/inspect`.
+//!
+//! Everything here only reads. Questions about workers and jobs are answered by the leader; another
+//! node passes them on to it and returns its answer.
 
 use super::Controller;
 use super::api_error::ApiError;
@@ -15,6 +18,7 @@
 use std::collections::BTreeMap;
 
 impl Controller {
+    /// Routes a request below `/inspect`.
     pub(super) fn handle_admin_request(&mut self, conn: ConnId, rest: &[&str]) {
         match rest {
             ["job", uid] => {
@@ -57,46 +61,11 @@
         );
     }
 
+    /// What this node answers to an operator's question, whoever passes it on.
     pub(super) fn admin_report(&self, rest: &[&str]) -> Value {
         let t = self.now.steady;
         let Some(leader_state) = self.leader_state.as_ref().filter(|_| rest != ["status"]) else {
-            let leader = self.election.leader();
-            let (unanswered, longest) = self.client_requests.worst_starvation(t);
-            return json!({
-                "node": self.settings.name,
-                "leader": leader.map(|r| r.node.clone()),
-                "term": leader.map(|r| r.term),
-                "leads": self.is_leader(),
-                "jobs": self.leader_state.as_ref().map(|l| l.jobs.by_number.len()),
-                "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
-                "booting": self.cloud.booting.len(),
-                "types": self.cloud.types.len(),
-                "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
-                "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
-                "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
-                "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
-                "state_service_fails": self.state.is_failing(),
-                "cut_off": self.is_isolated(),
-                "jobs_without_answer": unanswered,
-                "longest_without_answer_ms": longest / MILLISECOND,
-                "machines_held": self.leader_state.as_ref().map(|l| self.count_unavailable_machines(l)),
-                "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
-                "lag_ms": self.load.lag() / MILLISECOND,
-                "worst_lag_ms": self.load.worst_lag / MILLISECOND,
-                "shedding": format!("{:?}", self.load.shed_level()).to_lowercase(),
-                "following": self.inspect_standby(),
-                "stalls": self.stalls,
-                "last_stall_ms": self.last_stall / MILLISECOND,
-                "version": PROGRAM_VERSION,
-                "format_known": SCHEMA_VERSION,
-                "format_stored": self.schema_migration.version(),
-                "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
-                "missing_for_next_format": self.leader_state.as_ref().filter(|_| !self.schema_migration.is_complete()).map(|_| self.controllers_without_support()),
-                "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
-                    "squared": l.workers.reconciled})),
-                "work": self.leader_state.as_ref().map(|l| &l.accounting),
-                "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
-            });
+            return self.inspect_status();
         };
         if let ["chain", uid] = rest {
             return self.inspect_dependencies(uid);
@@ -132,6 +101,48 @@
         json!({"leader": self.settings.name, "term": leader_state.term, "workers": machines})
     }
 
+    /// The state of this node, and, if it leads, of the fleet.
+    fn inspect_status(&self) -> Value {
+        let t = self.now.steady;
+        let leader = self.election.leader();
+        let (unanswered, longest) = self.client_requests.worst_starvation(t);
+        json!({
+            "node": self.settings.name,
+            "leader": leader.map(|r| r.node.clone()),
+            "term": leader.map(|r| r.term),
+            "leads": self.is_leader(),
+            "jobs": self.leader_state.as_ref().map(|l| l.jobs.by_number.len()),
+            "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
+            "booting": self.cloud.booting.len(),
+            "types": self.cloud.types.len(),
+            "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
+            "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
+            "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
+            "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
+            "state_service_fails": self.state.is_failing(),
+            "cut_off": self.is_isolated(),
+            "jobs_without_answer": unanswered,
+            "longest_without_answer_ms": longest / MILLISECOND,
+            "machines_held": self.leader_state.as_ref().map(|l| self.count_unavailable_machines(l)),
+            "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
+            "lag_ms": self.load.lag() / MILLISECOND,
+            "worst_lag_ms": self.load.worst_lag / MILLISECOND,
+            "shedding": format!("{:?}", self.load.shed_level()).to_lowercase(),
+            "following": self.inspect_standby(),
+            "stalls": self.stalls,
+            "last_stall_ms": self.last_stall / MILLISECOND,
+            "version": PROGRAM_VERSION,
+            "format_known": SCHEMA_VERSION,
+            "format_stored": self.schema_migration.version(),
+            "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
+            "missing_for_next_format": self.leader_state.as_ref().filter(|_| !self.schema_migration.is_complete()).map(|_| self.controllers_without_support()),
+            "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
+                "squared": l.workers.reconciled})),
+            "work": self.leader_state.as_ref().map(|l| &l.accounting),
+            "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
+        })
+    }
+
     /// How many machines may take no new tasks, by the reason.
     fn count_unavailable_machines(
         &self,
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,4 +1,8 @@
-//! Jobs that wait for others, on the leader: what frees them, and what ends them.
+//! Jobs that depend on others, on the leader: what releases them, and what cancels them.
+//!
+//! How a job ended is taken from its stored final state alone. A job is released once everything
+//! that it depends on is stored as done; it is cancelled once one of its dependencies is stored as
+//! cancelled, and so on along the graph.
 
 use super::leader::LeaderState;
 use super::state_request::StateRequest;
@@ -15,7 +19,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The largest part of the queue of users' rank that cascades take.
+/// Cascading cancellations are written only while fewer requests of clients than this are queued.
 const QUEUED_CASCADES_MAX: usize = 3;
 
 /// A job to be cancelled because a job that it depends on was.
@@ -28,7 +32,7 @@
 }
 
 impl Controller {
-    /// Takes a job that waits for others into the graph.
+    /// Adds a job that waits for others to the dependency graph.
     pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
         let Some(job) = leader_state
             .jobs
@@ -50,7 +54,7 @@
             });
     }
 
-    /// Asks how needed jobs ended that are not live any more.
+    /// Reads how jobs ended that others depend on and that are not live any more.
     pub(super) fn read_dependency_outcomes(&mut self) {
         let t = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -70,6 +74,7 @@
         }
     }
 
+    /// Handles how a job ended that others depend on.
     pub(super) fn dependency_outcome_read(&mut self, uid: &Arc<str>, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -79,19 +84,22 @@
         match reply {
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
-                Err(e) => {
-                    // It proves nothing: those that need it go on waiting.
-                    log::error!("{} can't be read: {e}", item.path);
+                Err(error) => {
+                    // It proves nothing: its dependents go on waiting.
+                    log::error!(
+                        "stored final state unreadable key={} error={error}",
+                        item.path
+                    );
                     leader_state.pipelines.retry_outcome(now, uid);
                 }
             },
-            // Live after all: its end will be told.
+            // Live after all: its end will be reported.
             Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
             _ => leader_state.pipelines.retry_outcome(now, uid),
         }
     }
 
-    /// A job that others may wait for is stored as over.
+    /// The final state of a job that others may depend on is stored.
     pub(super) fn dependency_finished(
         leader_state: &mut LeaderState,
         now: Micros,
@@ -116,26 +124,21 @@
         }
     }
 
-    /// The end of a job is stored: what needs nothing more is placed now, not at the round.
-    pub(super) fn dependency_done(
-        leader_state: &mut LeaderState,
-        now: Micros,
-        uid: &Arc<str>,
-        at: Micros,
-    ) {
+    /// A job is stored as done: dependents that wait for nothing more are placed without delay.
+    fn dependency_done(leader_state: &mut LeaderState, now: Micros, uid: &Arc<str>, at: Micros) {
         for (dependent, ready) in leader_state.pipelines.dependency_done(uid, at) {
             if let Some(job) = leader_state.jobs.get_mut(&dependent) {
-                log::info!("job {dependent} waits for no other job any more");
+                log::info!("job released by its dependencies job={dependent}");
                 job.ready_at = Some(ready.max(job.accepted_at));
                 leader_state.schedule.request_placement_now(now);
             }
         }
     }
 
-    /// Ends the jobs that need a cancelled one, in the rank of the user who cancelled it.
+    /// Cancels the jobs that depend on a cancelled one, with the priority of clients' changes.
     pub(super) fn cancel_dependents(&mut self) {
         let wall = self.now.wall;
-        let layout = self.schema();
+        let schema = self.schema();
         if self.state.queued(RequestPriority::Client) >= QUEUED_CASCADES_MAX {
             return;
         }
@@ -154,13 +157,16 @@
             let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
                 continue;
             };
-            if txn.changes.len() + 2 > layout.txn_ops || job.save_in_flight || job.reread_pending {
+            if txn.changes.len() + 2 > schema.txn_ops || job.save_in_flight || job.reread_pending {
                 later.push_back(cascade);
                 continue;
             }
             if !job.waits_for_dependencies() {
-                // It was let go on: then all that it needs were done, and their ends don't change.
-                log::error!("job {uid} runs, though {root}, which it needs, was cancelled");
+                // It was released: then all its dependencies were done, and a final state never
+                // changes.
+                log::error!(
+                    "job runs though a dependency was cancelled job={uid} cancelled={root}"
+                );
                 continue;
             }
             job.save_in_flight = true;
@@ -170,7 +176,7 @@
                 .require_revision(live_key(uid), job.mod_revision)
                 .require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
-                .set(finished_key(uid), &end.fit(layout.usable_bytes()));
+                .set(finished_key(uid), &end.fit(schema.usable_bytes()));
             items.push(cascade);
         }
         leader_state.cascading_cancellations = later;
@@ -183,6 +189,7 @@
         }
     }
 
+    /// Handles the reply to a write of cascading cancellations.
     pub(super) fn dependents_cancelled(
         &mut self,
         items: Vec<CascadingCancellation>,
@@ -198,7 +205,7 @@
             }
             match reply {
                 Reply::Applied { .. } => {
-                    log::info!("job {uid} is cancelled with {root}, which it needs");
+                    log::info!("job cancelled with a dependency job={uid} cancelled={root}");
                     leader_state.pipelines.forget(&uid);
                     for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
                         leader_state
@@ -235,7 +242,7 @@
         }
     }
 
-    /// What the leader knows of a job's pipeline.
+    /// What the leader knows about a job's dependencies, for operators.
     pub(super) fn inspect_dependencies(&self, uid: &str) -> Value {
         let Some((leader_state, job)) = self
             .leader_state
@@ -266,8 +273,8 @@
     }
 }
 
-/// What a step of a pipeline takes from its release to its end: fetch, and the slowest of its
-/// tasks, which run longer than one does on the whole.
+/// How long a job takes from its release to its end, in microseconds: fetching its image, and the
+/// slowest of its tasks, which takes longer than the average one.
 fn expected_step_time(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,4 +1,9 @@
-//! Workers' reports: taken by the leader, passed on to it by the others.
+//! Workers' heartbeats: applied by the leader, passed on to it by the other controllers.
+//!
+//! A heartbeat is answered with 200 only by a leader that may act; the commands for the worker are
+//! in that answer. Other controllers batch heartbeats for the leader, and, while they can't reach
+//! it, send the worker to another controller. After a change of leader, workers are probed by all
+//! controllers, since most of them report to one that does not lead.
 
 use super::Controller;
 use super::api_error::ApiError;
@@ -15,32 +20,36 @@
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// So many workers to be asked go in a frame.
+/// At most this many workers to be probed go in a frame.
 const PROBE_ROWS_PER_FRAME: usize = 512;
-/// The answer to a report.
+/// What becomes of a heartbeat.
 enum HeartbeatOutcome {
+    /// It was applied; these are the commands for the worker.
     Commands(Commands),
-    /// No 200 for this worker.
+    /// The worker's machine was released: it gets no 200.
     Refused,
+    /// It can't be parsed.
     Malformed(String),
+    /// It is a repeat of a heartbeat that the leader does not know: it has to be sent in full.
     Unknown,
 }
 
 impl Controller {
+    /// Handles a heartbeat that a worker sent to this node.
     pub(super) fn handle_heartbeat(&mut self, conn: ConnId, body: Vec<u8>) {
         if self.refused_as_isolated(conn) {
             return;
         }
         self.worker_probe.note_heartbeat(self.now.steady, &body);
         if self.is_leader() {
-            if let Some(label) = self.handover_target() {
-                return self.respond(conn, 421, &json!({"boss": label}));
+            if let Some(name) = self.handover_target() {
+                return self.respond(conn, 421, &json!({"boss": name}));
             }
             return match self.take_heartbeat(&body, None) {
-                HeartbeatOutcome::Commands(orders) => self.outputs.push(Output::Respond {
+                HeartbeatOutcome::Commands(commands) => self.outputs.push(Output::Respond {
                     conn,
                     status: 200,
-                    body: encode_commands(&orders),
+                    body: encode_commands(&commands),
                     retry_after: None,
                 }),
                 HeartbeatOutcome::Malformed(e) => {
@@ -61,19 +70,19 @@
             }
             return;
         };
-        let (label, endpoint) = (peer.name.clone(), peer.address);
-        if self.is_link_avoided(endpoint) {
-            if !self.is_leader_in_doubt(endpoint)
+        let (leader, address) = (peer.name.clone(), peer.address);
+        if self.is_link_avoided(address) {
+            if !self.is_leader_in_doubt(address)
                 || self
                     .heartbeat_batch
                     .push(self.now.steady, conn, body)
                     .is_err()
             {
-                self.redirect_worker(conn, &label);
+                self.redirect_worker(conn, &leader);
             }
             return;
         }
-        let body = if self.leader_takes_batches(&label, endpoint) {
+        let body = if self.leader_takes_batches(&leader, address) {
             match self.heartbeat_batch.push(self.now.steady, conn, body) {
                 Ok(()) => return,
                 Err(body) => body,
@@ -81,13 +90,14 @@
         } else {
             body
         };
-        self.forward_heartbeat(conn, endpoint, body);
+        self.forward_heartbeat(conn, address, body);
     }
 
-    /// Whom a worker that reports here is handed to, now and then. A report through another controller costs
-    /// the leader a row in a frame instead of a request of its own, and the others have time to spare while
-    /// the leader has the least. Not while the fleet is not heard, nor to one controller alone, which all
-    /// workers would lose together; a worker is out of an answer for half a second by it.
+    /// The controller that a worker which reports to this leader is handed over to, now and then. A
+    /// heartbeat through another controller costs the leader a row in a frame instead of a request
+    /// of its own, and the others have time to spare while the leader has the least. Not while
+    /// machines have still to report, and not to a single controller, whose loss would interrupt
+    /// all workers; a handover costs a worker half a second without an answer.
     fn handover_target(&mut self) -> Option<String> {
         let now = self.now.steady;
         let leader_state = self.leader_state.as_ref()?;
@@ -99,30 +109,30 @@
         self.peer_links.take_handover_target(now)
     }
 
-    /// After a change of leader: asks the workers whose reports come here, for whoever leads now.
+    /// After a change of leader: probes the workers that report to this node, for the new leader.
     pub(super) fn probe_workers(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         if let Some(record) = self.election.leader() {
-            let since = t.saturating_sub(2 * self.settings.report_period());
+            let since = now.saturating_sub(2 * self.settings.report_period());
             let term = record.term;
             self.worker_probe
-                .begin_term(t, term, first_fencing_token(term), since);
+                .begin_term(now, term, first_fencing_token(term), since);
         }
         let lag = self.load.lag();
         self.worker_probe
-            .tick(t, lag, &mut self.tickets, &mut self.outputs);
+            .tick(now, lag, &mut self.tickets, &mut self.outputs);
     }
 
-    /// A new leader has the workers that have not spoken asked by all controllers at once, each its part.
+    /// Divides the workers that have not reported to a new leader among all controllers for probing.
     pub(super) fn share_probes(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if !leader_state.schedule.take_probe_sharing(t) {
+        if !leader_state.schedule.take_probe_sharing(now) {
             return;
         }
-        for (dest, rows) in leader_state.workers.share_unconfirmed(t) {
+        for (dest, rows) in leader_state.workers.share_unconfirmed(now) {
             for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
                 let hosts = rows.iter().map(|r| r.machine().into()).collect();
                 let body = rows.as_bytes().to_vec();
@@ -135,15 +145,15 @@
         }
     }
 
-    /// The leader wants workers to be asked from here.
+    /// Takes the workers that the leader wants probed from here.
     pub(super) fn accept_probe_assignment(&mut self, body: &[u8]) {
         if let Ok(rows) = <[ProbeRow]>::ref_from_bytes(body) {
             self.worker_probe.assign(self.now.steady, rows);
         }
     }
 
-    /// Its answer is as good as a report: a worker that has seen a new token reports at once, but not
-    /// twice in half a lease.
+    /// Passes a worker's answer to a probe to the leader. It is as good as a heartbeat: a worker that
+    /// has seen a new fencing token reports at once, but not twice in half a lease.
     pub(super) fn forward_probe_answer(&mut self, outcome: &Outcome) {
         let Outcome::Reply {
             status: 200 | 409,
@@ -165,7 +175,7 @@
         self.send_to_peer(dest, request);
     }
 
-    /// What a worker answered to a controller that asked it for the leader.
+    /// Applies a worker's answer to a probe.
     pub(super) fn take_probe_answer(&mut self, body: &[u8]) {
         let now = self.now.steady;
         if !self.is_leader() {
@@ -174,15 +184,15 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if let Ok(report) = serde_json::from_slice::<Heartbeat>(body) {
+        if let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) {
             leader_state
                 .workers
-                .take_probe_answer(now, &report, &mut leader_state.jobs);
+                .take_probe_answer(now, &heartbeat, &mut leader_state.jobs);
             self.apply_ledger_events();
         }
     }
 
-    /// Passes a report on by itself.
+    /// Forwards a heartbeat in a frame of its own.
     fn forward_heartbeat(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
         self.call_peer(
             dest,
@@ -191,39 +201,40 @@
         );
     }
 
-    /// Whether the leader takes many reports in a frame; if that is not known, it is asked.
+    /// Whether the leader accepts batches; if that is not known, it is asked.
     fn leader_takes_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
         let now = self.now.steady;
         let record = self.election.leader().filter(|r| r.node == leader);
-        let Some(run) = record.map(|r| r.incarnation) else {
+        let Some(incarnation) = record.map(|record| record.incarnation) else {
             return false;
         };
-        if self.peer_links.takes_batches(run) {
+        if self.peer_links.takes_batches(incarnation) {
             return true;
         }
         if self.peer_links.take_batch_support_query(now) {
             self.call_peer(
                 dest,
-                PeerCallPurpose::BatchSupport { incarnation: run },
+                PeerCallPurpose::BatchSupport { incarnation },
                 PeerRequest::new(KIND_HEARTBEAT_BATCH, &*self.settings.name, Vec::new()),
             );
         }
         false
     }
 
+    /// The leader, if it is another controller.
     pub(super) fn leader_peer(&self) -> Option<&Peer> {
         let leader = self.leader_name()?;
         self.peer_links.peer_named(&leader)
     }
 
-    /// Sends the reports whose time has come to the leader.
+    /// Sends the heartbeats whose batch is due to the leader.
     pub(super) fn send_heartbeat_batches(&mut self) {
         let now = self.now.steady;
         if self.heartbeat_batch.due_at().is_none_or(|d| d > now) {
             return;
         }
         if self.is_leader() {
-            // They came while nobody led.
+            // They arrived while there was no leader.
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.handle_heartbeat(conn, body);
             }
@@ -235,7 +246,7 @@
             }
             return;
         };
-        let (label, dest) = (peer.name.clone(), peer.address);
+        let (leader, dest) = (peer.name.clone(), peer.address);
         if self.is_link_avoided(dest) {
             let over = if self.is_leader_in_doubt(dest) {
                 self.heartbeat_batch.hold_for_leader(now)
@@ -247,11 +258,11 @@
                     .collect()
             };
             for conn in over {
-                self.redirect_worker(conn, &label);
+                self.redirect_worker(conn, &leader);
             }
             return;
         }
-        if !self.leader_takes_batches(&label, dest) {
+        if !self.leader_takes_batches(&leader, dest) {
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.forward_heartbeat(conn, dest, body);
             }
@@ -273,22 +284,23 @@
         }
     }
 
+    /// Answers the workers of a batch with what the leader answered.
     pub(super) fn heartbeat_batch_answered(&mut self, ticket: Ticket, outcome: &Outcome) {
         use crate::heartbeat_batch::HeartbeatAnswer;
         let leader = self.leader_peer().map(|p| p.address);
-        let mut doubtful = false;
+        let mut in_doubt = false;
         if let Some(dest) = leader {
             if matches!(outcome, Outcome::Reply { .. }) {
                 self.peer_links.note_link_answer(self.now.steady, dest);
             } else {
                 self.note_link_failure(dest, outcome);
-                doubtful = self.is_leader_in_doubt(dest);
+                in_doubt = self.is_leader_in_doubt(dest);
             }
         }
         let now = self.now.steady;
         for (conn, answer) in self
             .heartbeat_batch
-            .handle_outcome(now, ticket, outcome, doubtful)
+            .handle_outcome(now, ticket, outcome, in_doubt)
         {
             let (status, body) = match answer {
                 HeartbeatAnswer::NoCommands(token) => (200, empty_commands(token)),
@@ -311,7 +323,7 @@
         }
     }
 
-    /// The leader did not answer: the worker goes to another node.
+    /// The leader did not answer a heartbeat: the worker is sent elsewhere.
     pub(super) fn heartbeat_failed(&mut self, conn: ConnId, outcome: &Outcome) {
         let Some(leader) = self.leader_name() else {
             return self.respond_error(conn, &ApiError::NoLeader);
@@ -355,14 +367,14 @@
         self.peer_links.peer_named(name).map(|peer| peer.address)
     }
 
-    /// One report that another controller passes on.
+    /// Applies a heartbeat that another controller forwarded.
     pub(super) fn take_forwarded_heartbeat(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
         let via = self.peer_address(from);
         let (status, body) = match self.take_heartbeat(body, via) {
-            HeartbeatOutcome::Commands(orders) => (200, encode_commands(&orders)),
+            HeartbeatOutcome::Commands(commands) => (200, encode_commands(&commands)),
             HeartbeatOutcome::Malformed(_) => (400, br#"{"error":"report"}"#.to_vec()),
             HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
                 (503, br#"{"error":"returned"}"#.to_vec())
@@ -371,14 +383,14 @@
         Outcome::Reply { status, body }
     }
 
-    /// Many of them; each row is answered by a row.
+    /// Applies a batch of heartbeats; each row is answered by a row.
     pub(super) fn take_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
         let via = self.peer_address(from);
         let mut rest = body;
-        let mut told = Vec::new();
+        let mut answers = Vec::new();
         while let Ok((row, after)) = HeartbeatRow::read_from_prefix(rest) {
             let Some((text, after)) = after.split_at_checked(row.len.get() as usize) else {
                 break;
@@ -391,11 +403,11 @@
             };
             let mut text = Vec::new();
             let (status, token) = match answer {
-                HeartbeatOutcome::Commands(orders) => {
-                    if !orders.commands.is_empty() {
-                        text = encode_commands(&orders);
+                HeartbeatOutcome::Commands(commands) => {
+                    if !commands.commands.is_empty() {
+                        text = encode_commands(&commands);
                     }
-                    (200, orders.fencing_token)
+                    (200, commands.fencing_token)
                 }
                 HeartbeatOutcome::Malformed(e) => {
                     let error = ApiError::MalformedHeartbeat(e);
@@ -416,22 +428,22 @@
                 len: (text.len() as u32).into(),
                 unused2: 0.into(),
             };
-            told.extend_from_slice(row.as_bytes());
-            told.extend_from_slice(&text);
+            answers.extend_from_slice(row.as_bytes());
+            answers.extend_from_slice(&text);
         }
         Outcome::Reply {
             status: 200,
-            body: told,
+            body: answers,
         }
     }
 
-    /// A report as its worker sent it. Like the last one, it is not read.
+    /// Applies a heartbeat as its worker sent it; one that repeats the last is not parsed.
     fn take_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
         let row = HeartbeatSummary::of(body).and_then(|g| g.row());
         if let Some(row) = &row {
             match self.take_repeated_heartbeat(row, via) {
                 HeartbeatOutcome::Unknown => {}
-                told => return told,
+                known => return known,
             }
         }
         self.take_full_heartbeat(body, row.map(|r| r.digest.get()), via)
@@ -452,12 +464,12 @@
             return HeartbeatOutcome::Refused;
         };
         self.cloud.booting.remove(&report.machine);
-        let orders =
+        let commands =
             leader_state
                 .workers
                 .take_heartbeat(now, report, digest, via, &mut leader_state.jobs);
         self.apply_ledger_events();
-        orders.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
+        commands.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
     }
 
     fn take_repeated_heartbeat(
@@ -477,7 +489,7 @@
         match repeat {
             RepeatOutcome::Unknown => HeartbeatOutcome::Unknown,
             RepeatOutcome::Refused => HeartbeatOutcome::Refused,
-            RepeatOutcome::Answer(orders) => HeartbeatOutcome::Commands(orders),
+            RepeatOutcome::Answer(commands) => HeartbeatOutcome::Commands(commands),
         }
     }
 }
@@ -489,14 +501,14 @@
     }
 }
 
-fn encode_commands(orders: &Commands) -> Vec<u8> {
-    if orders.commands.is_empty() {
-        return empty_commands(orders.fencing_token);
+fn encode_commands(commands: &Commands) -> Vec<u8> {
+    if commands.commands.is_empty() {
+        return empty_commands(commands.fencing_token);
     }
-    serde_json::to_vec(orders).unwrap_or_default()
+    serde_json::to_vec(commands).unwrap_or_default()
 }
 
-/// The answer that nearly all reports get.
+/// The answer that nearly all heartbeats get.
 fn empty_commands(token: u64) -> Vec<u8> {
     format!(r#"{{"baton":{token},"orders":[]}}"#).into_bytes()
 }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,4 +1,7 @@
 //! What the leader does a few times a second, whatever happens.
+//!
+//! The periodic work runs in a fixed order: leases and silence of machines first, then what follows
+//! from them. It is made only while this node may act as leader.
 
 use super::leader::LeaderState;
 use super::state_request::StateRequest;
@@ -16,7 +19,7 @@
 use std::sync::Arc;
 
 impl Controller {
-    /// What is due a few times a second.
+    /// Does the periodic work.
     pub(super) fn run_maintenance(&mut self) {
         let t = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -67,8 +70,8 @@
         leader_state.schedule.request_placement(t);
     }
 
-    /// One line a round on where the cores are: the first look when work waits.
-    pub(super) fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, t: Micros) {
+    /// Logs where the cores are: the first thing to look at when work waits.
+    fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, t: Micros) {
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
@@ -107,8 +110,8 @@
         log::info!("work: {}", leader_state.accounting.summary());
     }
 
-    /// Cancelled jobs of which nothing can be on any machine any more.
-    pub(super) fn forget_cancelled_jobs(&mut self) {
+    /// Deletes the records of cancelled jobs of which nothing can be on a machine any more.
+    fn forget_cancelled_jobs(&mut self) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -128,7 +131,7 @@
             let mut txn = Transaction::default()
                 .require_revision(LEADER_KEY, mod_revision)
                 .delete(stopping_key(&uid));
-            // What doesn't fit is swept up later.
+            // Chunks beyond the limit are swept up later.
             for n in 0..pieces.min(most - 1) {
                 txn = txn.delete(chunk_key(&uid, n));
             }
@@ -140,15 +143,17 @@
         }
     }
 
-    /// Machines about to be taken: what can save does so in time, what can't finish moves now.
-    pub(super) fn drain_noticed_machines(&mut self) {
+    /// Drains machines that are about to be reclaimed: tasks that can save their state do so in
+    /// time, and tasks that can't finish are moved now.
+    fn drain_noticed_machines(&mut self) {
         let t = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let mut halts = Vec::new();
+        let mut stops = Vec::new();
         for m in leader_state.workers.noticed_machines() {
-            // A copy of an old report may be the first word of it; what runs is not stopped for that.
+            // A duplicate of an old heartbeat may be the first to report the notice; running tasks
+            // are not stopped for that.
             let Some(until) = m.reclaim_at.filter(|_| m.term_confirmed) else {
                 continue;
             };
@@ -160,7 +165,7 @@
                 }
                 if spec.saves() {
                     if left < from_secs(spec.save_s) + 5 * SECOND {
-                        halts.push((m.id.clone(), *key, *attempt, spec.save_s.max(0.1)));
+                        stops.push((m.id.clone(), *key, *attempt, spec.save_s.max(0.1)));
                     }
                 } else {
                     let ran = e.running_since.map_or(0, |s| t.saturating_sub(s));
@@ -169,12 +174,12 @@
                         .expected_run(spec)
                         .saturating_sub(ran);
                     if need > left {
-                        halts.push((m.id.clone(), *key, *attempt, 0.0));
+                        stops.push((m.id.clone(), *key, *attempt, 0.0));
                     }
                 }
             }
         }
-        for (machine, key, attempt, grace) in halts {
+        for (machine, key, attempt, grace) in stops {
             leader_state
                 .workers
                 .stop_task(&machine, key, attempt, grace, StopReason::SpotNotice);
@@ -182,24 +187,24 @@
         self.apply_ledger_events();
     }
 
-    /// Before its first start a machine stands in the stored roll.
-    pub(super) fn write_registry(&mut self) {
+    /// Writes changes of the machine registry: a machine is registered before it is given a task.
+    fn write_registry(&mut self) {
         let now = self.now;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for ask in
+        for request in
             leader_state
                 .registry
                 .take_due(now, &mut leader_state.workers, &leader_state.rented)
         {
-            // A few changes stand for hundreds of machines that wait for them: they go with the users'.
-            let rank = match ask {
+            // Hundreds of machines may wait for a few changes: these are queued with those of clients.
+            let priority = match request {
                 RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
                 _ => RequestPriority::Leader,
             };
-            let (purpose, op) = match ask {
+            let (state_request, op) = match request {
                 RegistryRequest::Read(key) => (
                     StateRequest::ReadRegistryPage {
                         term,
@@ -234,9 +239,13 @@
                     )
                 }
             };
-            let t = now.steady;
-            self.state
-                .submit(t, purpose, rank, op, LEADER_REQUEST_TIMEOUT);
+            self.state.submit(
+                now.steady,
+                state_request,
+                priority,
+                op,
+                LEADER_REQUEST_TIMEOUT,
+            );
         }
     }
 }
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -1,4 +1,10 @@
-//! Which format is written: what each controller understands, and when the stored number goes up.
+//! Which schema version is written, and when the stored version rises.
+//!
+//! Each controller registers at the state service which schema versions it supports; the leader
+//! raises the stored version once all of them support the next one. The version only rises, every
+//! version up to the newest is read, and a process that finds a newer one than it knows must end.
+//! [`SchemaMigration`] also remembers lower limits that the state service has shown to be in force
+//! before they were expected.
 
 use super::leader_schedule::CHUNK_SWEEP_INTERVAL;
 use super::state_request::StateRequest;
@@ -12,10 +18,14 @@
 };
 use crate::state_client::{Item, Op, Reply, RequestPriority, Transaction};
 
-/// How often the stored format is read while it may still go up.
+/// Interval at which the stored schema version is read while it may still rise.
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
-/// How often the leader looks whether all controllers understand the next format.
+/// Interval at which the leader reads whether all controllers support the next schema version.
 const SCHEMA_SUPPORT_CHECK_INTERVAL: Micros = SECOND;
+/// The first schema version whose records are split into chunks and kept within the lower limits.
+const CHUNKED_SCHEMA_VERSION: u32 = 2;
+/// Items of a listing, at most.
+const LIST_ITEMS_MAX: usize = 500;
 /// What this node knows of the stored schema version and of the limits that go with it.
 #[derive(Default)]
 pub(super) struct SchemaMigration {
@@ -44,17 +54,18 @@
 }
 
 impl Controller {
-    /// What is written now, and within which limits.
+    /// The schema version that is written now, and within which limits.
     pub(super) fn schema(&self) -> Schema {
         let state = &self.settings.deployment.state;
-        let tight = state.tightest();
-        // Everything of a newer format fits the limits to come: they come without notice.
-        let limits =
-            if self.schema_migration.version >= 2 || self.schema_migration.reduced_value_size {
-                &tight
-            } else {
-                state
-            };
+        let tightest = state.tightest();
+        // Records of a newer version fit the announced limits, which come into force unannounced.
+        let limits = if self.schema_migration.version >= CHUNKED_SCHEMA_VERSION
+            || self.schema_migration.reduced_value_size
+        {
+            &tightest
+        } else {
+            state
+        };
         Schema {
             version: self.schema_migration.version.max(1),
             value_bytes: limits.value_bytes(),
@@ -62,20 +73,21 @@
         }
     }
 
-    /// Why this process must end, if so.
+    /// Why this process must end, if it must: it can't read what is stored.
     pub fn fatal_error(&self) -> Option<&str> {
         self.schema_migration.fatal_error.as_deref()
     }
 
+    /// Reads the stored schema version and registers what this node supports, when due.
     pub(super) fn check_schema_version(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         self.apply_refused_limits();
-        if t < self.schema_migration.next_read_at
+        if now < self.schema_migration.next_read_at
             || (self.schema_migration.support_registered && self.schema_migration.is_complete())
         {
             return;
         }
-        self.schema_migration.next_read_at = t + SCHEMA_CHECK_INTERVAL;
+        self.schema_migration.next_read_at = now + SCHEMA_CHECK_INTERVAL;
         self.request_state(
             StateRequest::ReadSchemaVersion,
             Op::Get(SCHEMA_VERSION_KEY.to_owned()),
@@ -87,8 +99,8 @@
         }
     }
 
-    /// A value refused for its size, or changes for their rate, say that the lower limits hold
-    /// already. Without this the same write would be refused again and again.
+    /// A value refused for its size, or changes refused for their rate, show that the lower limits
+    /// are in force already. Otherwise the same write would be refused again and again.
     fn apply_refused_limits(&mut self) {
         let refused = self.state.take_refused();
         let state = &self.settings.deployment.state;
@@ -96,18 +108,23 @@
             return;
         }
         if refused.rate && !self.schema_migration.reduced_write_rate {
-            log::info!("the state service refuses the rate of changes; keeping to the next one");
+            log::info!(
+                "the state service refuses the rate of changes; applying the announced rates"
+            );
             self.schema_migration.reduced_write_rate = true;
-            let tight = state.tightest();
-            self.state.set_rates(tight.rps, tight.write_rps);
+            let tightest = state.tightest();
+            self.state.set_rates(tightest.rps, tightest.write_rps);
         }
         if refused.size && !self.schema_migration.reduced_value_size {
-            log::info!("the state service refuses a size; keeping to the next limits");
+            log::info!(
+                "the state service refuses a value for its size; applying the announced limits"
+            );
             self.schema_migration.reduced_value_size = true;
             self.apply_schema();
         }
     }
 
+    /// Handles what was read as the stored schema version.
     pub(super) fn schema_version_read(&mut self, reply: Reply) {
         match reply {
             Reply::Item(item) => self.learn_schema_version(&item),
@@ -116,6 +133,7 @@
         }
     }
 
+    /// Takes the stored schema version.
     pub(super) fn learn_schema_version(&mut self, item: &Item) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
             Ok(stored) if stored.format > SCHEMA_VERSION => {
@@ -126,53 +144,55 @@
                 ));
             }
             Ok(stored) => self.set_schema_version(stored.format),
-            Err(e) => {
-                // Whatever it says, it was raised: both formats are read, the newest is written.
-                log::error!("the stored {} can't be read: {e}", item.path);
+            Err(error) => {
+                // Whatever it says, it was raised: all versions are read, the newest is written.
+                log::error!(
+                    "stored schema version unreadable key={} error={error}",
+                    item.path
+                );
                 self.set_schema_version(SCHEMA_VERSION);
             }
         }
     }
 
-    /// It only goes up.
-    fn set_schema_version(&mut self, format: u32) {
-        if format <= self.schema_migration.version {
+    /// Sets the schema version that is written; it only rises.
+    fn set_schema_version(&mut self, version: u32) {
+        if version <= self.schema_migration.version {
             return;
         }
-        self.schema_migration.version = format;
-        if format >= 2 {
-            log::info!("format {format} is written from now on");
-            let tight = self.settings.deployment.state.tightest();
-            self.state.set_rates(tight.rps, tight.write_rps);
+        self.schema_migration.version = version;
+        if version >= CHUNKED_SCHEMA_VERSION {
+            log::info!("schema version raised schema_version={version}");
+            let tightest = self.settings.deployment.state.tightest();
+            self.state.set_rates(tightest.rps, tightest.write_rps);
             self.apply_schema();
         }
     }
 
+    /// Has everything written in the present schema from now on.
     fn apply_schema(&mut self) {
-        let t = self.now.steady;
-        let layout = self.schema();
+        let now = self.now.steady;
+        let schema = self.schema();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.scheduler.schema = layout;
-        leader_state.registry.set_schema(t, layout);
-        // In the background, as changes are left over, what is live is written anew.
-        for job in leader_state
-            .jobs
-            .by_number
-            .values_mut()
-            .filter(|j| !j.cancelled)
-        {
-            job.mark_dirty(t);
+        leader_state.scheduler.schema = schema;
+        leader_state.registry.set_schema(now, schema);
+        // Live jobs are rewritten in the background, as budget is left over.
+        let jobs = leader_state.jobs.by_number.values_mut();
+        for job in jobs.filter(|job| !job.cancelled) {
+            job.mark_dirty(now);
         }
     }
 
-    /// Says once what this program understands.
+    /// Registers what this program supports, unless that is registered already.
     pub(super) fn register_schema_support(&mut self, reply: Reply) {
         let mod_revision = match reply {
             Reply::Item(item) => {
-                let said = serde_json::from_str::<SchemaSupport>(item.value.get());
-                if said.is_ok_and(|u| u.format == SCHEMA_VERSION && u.version == PROGRAM_VERSION) {
+                let stored = serde_json::from_str::<SchemaSupport>(item.value.get());
+                if stored.is_ok_and(|support| {
+                    support.format == SCHEMA_VERSION && support.version == PROGRAM_VERSION
+                }) {
                     self.schema_migration.support_registered = true;
                     return;
                 }
@@ -182,13 +202,13 @@
             _ => return,
         };
         let key = controller_key(&self.settings.name);
-        let understood = SchemaSupport {
+        let support = SchemaSupport {
             format: SCHEMA_VERSION,
             version: PROGRAM_VERSION.to_owned(),
         };
         let txn = Transaction::default()
             .require_revision(key.clone(), mod_revision)
-            .set(key, &understood);
+            .set(key, &support);
         self.request_state(
             StateRequest::WriteOwnSchemaSupport,
             Op::Transaction(txn),
@@ -201,17 +221,18 @@
         self.schema_migration.support_registered = matches!(reply, Reply::Applied { .. });
     }
 
-    /// The leader looks whether all have said that they understand the next format. The store
-    /// says it, not the peers: a zone may be cut, and a controller down.
+    /// The leader reads whether all controllers support the next schema version, and looks for
+    /// chunks that belong to no job, when due. What is stored counts, not what the peers announce:
+    /// a zone may be cut off, and a controller down.
     pub(super) fn watch_schema_support(&mut self) {
-        let t = self.now.steady;
-        let format = self.schema_migration.version;
+        let now = self.now.steady;
+        let version = self.schema_migration.version;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if leader_state.schedule.take_chunk_sweep(t) {
+        if leader_state.schedule.take_chunk_sweep(now) {
             let term = leader_state.term;
-            if format >= 2 {
+            if version >= CHUNKED_SCHEMA_VERSION {
                 self.request_state(
                     StateRequest::ListChunks { term },
                     list_prefix(CHUNKS_PREFIX),
@@ -220,12 +241,15 @@
             }
             return;
         }
-        let interval = if format < SCHEMA_VERSION {
+        let interval = if version < SCHEMA_VERSION {
             SCHEMA_SUPPORT_CHECK_INTERVAL
         } else {
             CHUNK_SWEEP_INTERVAL
         };
-        if leader_state.schedule.take_schema_support_check(t, interval) {
+        if leader_state
+            .schedule
+            .take_schema_support_check(now, interval)
+        {
             let term = leader_state.term;
             self.request_state(
                 StateRequest::ReadSchemaSupport { term },
@@ -235,6 +259,7 @@
         }
     }
 
+    /// Handles what the controllers have registered; raises the stored version if all support it.
     pub(super) fn schema_support_read(&mut self, reply: Reply) {
         let Reply::Items { items, .. } = reply else {
             return;
@@ -243,16 +268,16 @@
             return;
         };
         for item in items {
-            let Some(label) = item.path.strip_prefix(CONTROLLERS_PREFIX) else {
+            let Some(name) = item.path.strip_prefix(CONTROLLERS_PREFIX) else {
                 continue;
             };
             match serde_json::from_str(item.value.get()) {
-                Ok(understood) => {
-                    leader_state
-                        .schema_support
-                        .insert(label.to_owned(), understood);
+                Ok(support) => {
+                    leader_state.schema_support.insert(name.to_owned(), support);
+                }
+                Err(error) => {
+                    log::error!("schema support unreadable key={} error={error}", item.path)
                 }
-                Err(e) => log::error!("{} can't be read: {e}", item.path),
             }
         }
         if self.schema_migration.is_complete() || !self.controllers_without_support().is_empty() {
@@ -278,44 +303,45 @@
         );
     }
 
-    /// The controllers of the settings that have not said that they understand the format.
+    /// The controllers of the settings that have not registered support for the newest version.
     pub(super) fn controllers_without_support(&self) -> Vec<&str> {
         let Some(leader_state) = &self.leader_state else {
             return Vec::new();
         };
-        let others = self.settings.peers.iter().map(|p| p.name.as_str());
-        let all = others.chain([self.settings.name.as_str()]);
-        let able = |label: &str| {
-            leader_state
-                .schema_support
-                .get(label)
-                .is_some_and(|u| u.format >= SCHEMA_VERSION)
+        let peers = self.peer_links.peers().iter();
+        let all = peers
+            .map(|peer| peer.name.as_str())
+            .chain([self.settings.name.as_str()]);
+        let supports = |name: &str| {
+            let support = leader_state.schema_support.get(name);
+            support.is_some_and(|support| support.format >= SCHEMA_VERSION)
         };
-        all.filter(|label| !able(label)).collect()
+        all.filter(|name| !supports(name)).collect()
     }
 
+    /// Handles the reply to the write that raises the stored version.
     pub(super) fn schema_version_raised(&mut self, reply: &Reply) {
         match reply {
             Reply::Applied { .. } => self.set_schema_version(SCHEMA_VERSION),
-            // Raised by an earlier leader, or by a write whose answer was lost: it is read.
+            // An earlier leader may have raised it, or a write whose reply was lost: it is read now.
             _ => self.schema_migration.next_read_at = self.now.steady,
         }
     }
 
-    /// Deletes pieces that belong to no job: ends and shrinking jobs leave some behind when they
-    /// have more than one transaction removes. Each deletion is conditional on the head, so that
-    /// one that is applied late can't take a piece that has come into use again.
+    /// Deletes chunks that belong to no job: ends and shrinking jobs leave some behind when they have
+    /// more than one transaction removes. Each deletion is guarded by the job's header, so that one
+    /// that is applied late can't remove a chunk that has come into use again.
     pub(super) fn delete_orphan_chunks(&mut self, reply: Reply) {
         let Reply::Items { items, .. } = reply else {
             return;
         };
-        let most = self.schema().txn_ops;
+        let deletions_max = self.schema().txn_ops;
         let Some(leader_state) = &self.leader_state else {
             return;
         };
         let mut txns = Vec::new();
         for item in items {
-            let Some((uid, n)) = split_chunk_key(&item.path) else {
+            let Some((uid, number)) = split_chunk_key(&item.path) else {
                 continue;
             };
             let txn = Transaction::default()
@@ -326,7 +352,7 @@
                     if job.cancelled
                         || job.save_in_flight
                         || job.reread_pending
-                        || n < job.chunks =>
+                        || number < job.chunks =>
                 {
                     continue;
                 }
@@ -337,7 +363,7 @@
             };
             txns.push(txn.delete(item.path));
         }
-        for txn in txns.into_iter().take(most) {
+        for txn in txns.into_iter().take(deletions_max) {
             self.state.submit(
                 self.now.steady,
                 StateRequest::DeleteOrphanChunk,
@@ -349,12 +375,14 @@
     }
 }
 
+/// The version of this program.
 pub(super) const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
+/// A listing of the keys with that prefix.
 fn list_prefix(prefix: &'static str) -> Op {
     Op::List {
         prefix,
         after: String::new(),
-        limit: 500,
+        limit: LIST_ITEMS_MAX,
     }
 }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -1,9 +1,9 @@
-//! The first second of a life: what a node needs before it can serve, and how soon it had it.
+//! The start of a process: what a node needs before it can serve, and how soon it had it.
 //!
-//! It needs the machine types, and nothing else: whether a job can ever run is answered by them. The
-//! cloud tells them, which takes a tenth of a second where it is well and is not to be had while it
-//! fails; so they are also kept at the state service. What is stored there is a hint: on it a job is
-//! taken, but none is refused for good.
+//! It needs the machine types and nothing else: they decide whether a job can ever run. The cloud
+//! reports them, which takes a tenth of a second where it is well and fails where it does not
+//! answer; so they are also kept at the state service. The stored ones are a hint: a job may be
+//! accepted by them, but none is rejected for good.
 
 use super::api::fits_value_limit;
 use super::state_request::StateRequest;
@@ -13,21 +13,23 @@
 use crate::state_client::{Op, Reply, Transaction, raw};
 use crate::wire::{MachineType, MachineTypes};
 
-/// The machine types as a leader last heard them from the cloud.
-pub(super) const MACHINE_TYPES_KEY: &str = "types";
-/// Between two tries to read or to store them.
+/// Key of the machine types as a leader last read them from the cloud.
+const MACHINE_TYPES_KEY: &str = "types";
+/// Interval of attempts to read or to store the machine types.
 const MACHINE_TYPES_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
+/// Interval at which a leader compares them with the cloud's.
 const MACHINE_TYPES_CHECK_INTERVAL: Micros = 5 * SECOND;
-/// Until the line about the first second is told, whatever is missing in it.
+/// The start is logged after this long at the latest, whatever is missing by then.
 const STARTUP_LOG_DELAY_MAX: Micros = 20 * SECOND;
 
+/// What is stored of the machine types, and the times of the start.
 #[derive(Default)]
 pub(super) struct Startup {
-    /// What is stored, and its stamp; None before it was read.
+    /// The stored machine types and the revision of their key; none before they were read.
     stored: Option<(Option<MachineTypes>, u64)>,
     request_in_flight: bool,
     next_check_at: Micros,
-    /// By whom the machine types were told first, and when.
+    /// Where the machine types first came from, and when.
     types_known_from: Option<(&'static str, Micros)>,
     first_health_check_at: Option<Micros>,
     first_accepted_at: Option<Micros>,
@@ -35,7 +37,7 @@
     logged: bool,
 }
 
-/// The same types, whatever they cost at the moment.
+/// Whether both are the same types, whatever they cost at the moment.
 fn same_types_ignoring_price(a: &[MachineType], b: &[MachineType]) -> bool {
     let bare = |t: &MachineType| {
         let (price, spot_price) = (0.0, 0.0);
@@ -50,33 +52,34 @@
 }
 
 impl Controller {
-    /// Reads the stored types at the start of a life; a leader stores what the cloud tells.
+    /// Reads the stored machine types at the start; a leader stores what the cloud reports.
     pub(super) fn tick_startup(&mut self) {
         let t = self.now.steady;
         if self.startup.types_known_from.is_none() && !self.cloud.types.is_empty() {
             self.startup.types_known_from = Some(("cloud", t));
         }
         self.log_startup();
-        // Beside the version before nothing is written that it does not write.
-        let leads = self.is_leader() && self.schema_migration.is_complete();
-        let layout = self.schema();
-        let o = &mut self.startup;
-        if o.request_in_flight || t < o.next_check_at {
+        // While controllers of the version before run, nothing is written that they don't know.
+        let may_store = self.is_leader() && self.schema_migration.is_complete();
+        let schema = self.schema();
+        let startup = &mut self.startup;
+        if startup.request_in_flight || t < startup.next_check_at {
             return;
         }
-        let Some((stored, mod_revision)) = &o.stored else {
-            (o.request_in_flight, o.next_check_at) = (true, t + MACHINE_TYPES_RETRY_INTERVAL);
+        let Some((stored, mod_revision)) = &startup.stored else {
+            (startup.request_in_flight, startup.next_check_at) =
+                (true, t + MACHINE_TYPES_RETRY_INTERVAL);
             return self.request_state(
                 StateRequest::ReadMachineTypes,
                 Op::Get(MACHINE_TYPES_KEY.to_owned()),
                 SECOND,
             );
         };
-        if !leads || !self.cloud.types_confirmed() {
+        if !may_store || !self.cloud.types_confirmed() {
             return;
         }
-        // Looked at now and then only: the cloud is asked every two minutes.
-        o.next_check_at = t + MACHINE_TYPES_CHECK_INTERVAL;
+        // Compared now and then only: the cloud is read every two minutes.
+        startup.next_check_at = t + MACHINE_TYPES_CHECK_INTERVAL;
         let known = stored.as_ref();
         if known.is_some_and(|s| same_types_ignoring_price(&s.types, &self.cloud.types)) {
             return;
@@ -84,15 +87,15 @@
         let value = raw(&MachineTypes {
             types: self.cloud.types.clone(),
         });
-        o.next_check_at = t + MACHINE_TYPES_RETRY_INTERVAL;
+        startup.next_check_at = t + MACHINE_TYPES_RETRY_INTERVAL;
         let Some(leader) = self
             .election
             .leader_key_revision()
-            .filter(|_| fits_value_limit(&value, &layout))
+            .filter(|_| fits_value_limit(&value, &schema))
         else {
             return;
         };
-        o.request_in_flight = true;
+        startup.request_in_flight = true;
         let txn = Transaction::default()
             .require_revision(LEADER_KEY, leader)
             .require_revision(MACHINE_TYPES_KEY, *mod_revision)
@@ -104,14 +107,17 @@
         );
     }
 
+    /// Handles what was read as the stored machine types.
     pub(super) fn machine_types_read(&mut self, reply: Reply) {
         let t = self.now.steady;
         self.startup.request_in_flight = false;
         let (types, mod_revision) = match reply {
             Reply::Item(item) => {
                 let types = serde_json::from_str::<MachineTypes>(item.value.get());
-                if let Err(e) = &types {
-                    log::error!("the stored {MACHINE_TYPES_KEY} can't be read: {e}");
+                if let Err(error) = &types {
+                    log::error!(
+                        "stored machine types unreadable key={MACHINE_TYPES_KEY} error={error}"
+                    );
                 }
                 (types.ok(), item.mod_revision)
             }
@@ -126,15 +132,16 @@
         self.startup.stored = Some((types, mod_revision));
     }
 
+    /// Handles the reply to the write of the machine types.
     pub(super) fn machine_types_stored(&mut self, reply: &Reply) {
         self.startup.request_in_flight = false;
-        // Written or not, it is read again to know.
+        // Written or not, they are read again.
         if !matches!(reply, Reply::Unavailable) {
             self.startup.stored = None;
         }
     }
 
-    /// An answer was given to a user or to the load balancer.
+    /// A client or the load balancer was answered.
     pub(super) fn note_startup_answer(&mut self, method: &str, status: u16) {
         if self.startup.logged || !matches!(status, 200 | 201) {
             return;
@@ -150,11 +157,11 @@
 
     fn log_startup(&mut self) {
         let t = self.now.steady;
-        let o = &self.startup;
-        let all = o.first_health_check_at.is_some()
-            && o.first_accepted_at.is_some()
-            && o.first_polled_at.is_some();
-        if o.logged || !(all || t >= STARTUP_LOG_DELAY_MAX) {
+        let startup = &self.startup;
+        let all = startup.first_health_check_at.is_some()
+            && startup.first_accepted_at.is_some()
+            && startup.first_polled_at.is_some();
+        if startup.logged || !(all || t >= STARTUP_LOG_DELAY_MAX) {
             return;
         }
         // Steady clocks of processes begin at one second.
@@ -164,12 +171,12 @@
             })
         };
         log::info!(
-            "opened types={} able_ms={} up_ms={} accepted_ms={} polled_ms={}",
-            o.types_known_from.map_or("none", |a| a.0),
-            ms(o.types_known_from.map(|a| a.1)),
-            ms(o.first_health_check_at),
-            ms(o.first_accepted_at),
-            ms(o.first_polled_at)
+            "started types={} types_ms={} up_ms={} accepted_ms={} polled_ms={}",
+            startup.types_known_from.map_or("none", |a| a.0),
+            ms(startup.types_known_from.map(|a| a.1)),
+            ms(startup.first_health_check_at),
+            ms(startup.first_accepted_at),
+            ms(startup.first_polled_at)
         );
         self.startup.logged = true;
     }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -48,6 +48,23 @@
     attempts: u32,
 }
 
+impl Submission {
+    /// The first of its dependencies in that state.
+    fn depends_on(&self, state: DependencyState) -> Option<&str> {
+        let mut dependencies = self.dependencies.iter();
+        dependencies
+            .find(|(_, known)| **known == state)
+            .map(|(uid, _)| &**uid)
+    }
+}
+
+/// The guards of a write that accepts a job: it is neither live nor over.
+fn accept_guards(uid: &str) -> Transaction {
+    Transaction::default()
+        .require_revision(live_key(uid), 0)
+        .require_revision(finished_key(uid), 0)
+}
+
 /// The submissions that wait for what is known of the jobs that they name, by a number of their own.
 #[derive(Default)]
 pub(super) struct Submissions {
@@ -256,54 +273,55 @@
         }
     }
 
-    /// Accepts the job once all that it names is known.
+    /// Accepts the job once everything that it depends on is known.
     fn continue_submission(&mut self, id: u64) {
-        let Some(s) = self.submissions.get(id) else {
+        let Some(submission) = self.submissions.get(id) else {
             return;
         };
-        if s.dependencies
-            .values()
-            .any(|n| *n == DependencyState::Requested)
-        {
+        if submission.depends_on(DependencyState::Requested).is_some() {
             return;
         }
-        let uid = s.spec.uid.clone();
-        if let Some(reason) = s.rejection.clone() {
-            let conn = s.conn;
+        if let Some(reason) = submission.rejection.clone() {
+            let (conn, uid) = (submission.conn, submission.spec.uid.clone());
             self.submissions.remove(id);
             return self.reject_unless_known(conn, uid, false, reason);
         }
-        let mut txn = Transaction::default()
-            .require_revision(live_key(&uid), 0)
-            .require_revision(finished_key(&uid), 0);
-        let gone = s
-            .dependencies
-            .iter()
-            .find(|n| *n.1 == DependencyState::Cancelled);
-        let cancelled = gone.is_some();
-        if let Some((root, _)) = gone {
-            let record = JobRecord::new(s.spec.clone(), self.now.wall, &self.settings.name);
-            let mut end = record.finish("cancelled", self.now.wall);
-            end.cancelled_with = Some(root.to_string());
-            txn = txn.set(finished_key(&uid), &end);
-        } else {
-            // Whoever writes last sees the other: a cancellation in between makes this one fail.
-            for (need, _) in s
-                .dependencies
-                .iter()
-                .filter(|n| *n.1 == DependencyState::Live)
-            {
-                txn = txn.require_revision(finished_key(need), 0);
-            }
-            txn = txn.set_raw(live_key(&uid), self.new_record(s.spec.clone()));
-        }
-        let purpose = StateRequest::AcceptDependentJob {
+        let cancelled_with = submission.depends_on(DependencyState::Cancelled);
+        let cancelled = cancelled_with.is_some();
+        let txn = match cancelled_with {
+            Some(root) => self.store_as_cancelled(&submission.spec, root),
+            None => self.store_as_live(submission),
+        };
+        let request = StateRequest::AcceptDependentJob {
             submission: id,
             cancelled,
         };
-        self.request_state(purpose, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
+        self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
+    }
+
+    /// The write that accepts a job and ends it at once, since a job that it depends on is
+    /// cancelled.
+    fn store_as_cancelled(&self, spec: &JobSpec, root: &str) -> Transaction {
+        let record = JobRecord::new(spec.clone(), self.now.wall, &self.settings.name);
+        let mut end = record.finish("cancelled", self.now.wall);
+        end.cancelled_with = Some(root.to_owned());
+        accept_guards(&spec.uid).set(finished_key(&spec.uid), &end)
+    }
+
+    /// The write that accepts a job whose dependencies are live or done.
+    fn store_as_live(&self, submission: &Submission) -> Transaction {
+        let uid = &submission.spec.uid;
+        let mut txn = accept_guards(uid);
+        // Of this write and a cancellation in between, the later one sees the other and fails.
+        for (dependency, state) in &submission.dependencies {
+            if *state == DependencyState::Live {
+                txn = txn.require_revision(finished_key(dependency), 0);
+            }
+        }
+        txn.set_raw(live_key(uid), self.new_record(submission.spec.clone()))
     }
 
+    /// Handles the reply to the write that accepts a job with dependencies.
     pub(super) fn dependent_job_accepted(&mut self, id: u64, cancelled: bool, reply: Reply) {
         let Some(mut s) = self.submissions.remove(id) else {
             return;
