--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -239,8 +239,8 @@
         };
         let rented = f64::from(number) * cores(&offer.machine_type);
         // Each offer counts as if it alone took all the waiting work.
-        for (other, n) in &mut leader_state.wanted_machines {
-            *n = (f64::from(*n) - rented / cores(&other.machine_type))
+        for (other, count) in &mut leader_state.wanted_machines {
+            *count = (f64::from(*count) - rented / cores(&other.machine_type))
                 .max(0.0)
                 .ceil() as u32;
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -43,8 +43,8 @@
         };
         let (spec, accepted) = (job.spec.clone(), job.accepted_at);
         let table = &leader_state.jobs;
-        leader_state.pipelines.add(&spec, accepted, |need| {
-            table.get(need).is_some_and(|j| !j.cancelled)
+        leader_state.pipelines.add(&spec, accepted, |dependency| {
+            table.get(dependency).is_some_and(|job| !job.cancelled)
         });
         let scheduler = &leader_state.scheduler;
         leader_state
@@ -56,7 +56,7 @@
 
     /// Reads how jobs ended that others depend on and that are not live any more.
     pub(super) fn read_dependency_outcomes(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -64,7 +64,7 @@
             return;
         }
         let term = leader_state.term;
-        for uid in leader_state.pipelines.take_outcomes_to_read(t) {
+        for uid in leader_state.pipelines.take_outcomes_to_read(now) {
             let key = finished_key(&uid);
             self.request_state(
                 StateRequest::ReadDependencyOutcome { term, uid },
@@ -252,22 +252,22 @@
             return Value::Null;
         };
         let unmet = leader_state.pipelines.unmet_dependencies(uid);
-        let state = |need: &Arc<str>| match leader_state.jobs.get(need) {
-            _ if !unmet.contains(need) => "done",
+        let state = |dependency: &Arc<str>| match leader_state.jobs.get(dependency) {
+            _ if !unmet.contains(dependency) => "done",
             Some(j) if j.cancelled => "cancelled",
             Some(j) if j.waits_for_dependencies() => "waits for other jobs",
             Some(j) if j.placements.is_empty() => "pending",
             Some(_) => "running",
             None => "not known yet",
         };
-        let needs: BTreeMap<&str, &str> = job
+        let dependencies: BTreeMap<&str, &str> = job
             .spec
             .waits_on
             .iter()
-            .map(|need| (&**need, state(need)))
+            .map(|dependency| (&**dependency, state(dependency)))
             .collect();
         let run = expected_step_time(&leader_state.scheduler, &self.cloud, &job.spec);
-        json!({"waits_on": needs, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
+        json!({"waits_on": dependencies, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
                "priority": job.priority(), "latest_start": latest_start(job, run),
                "ready": job.ready_at, "now": self.now.wall, "waits_because": self.wait_reason(leader_state, job)})
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -52,8 +52,8 @@
                     body: encode_commands(&commands),
                     retry_after: None,
                 }),
-                HeartbeatOutcome::Malformed(e) => {
-                    self.respond_error(conn, &ApiError::MalformedHeartbeat(e))
+                HeartbeatOutcome::Malformed(reason) => {
+                    self.respond_error(conn, &ApiError::MalformedHeartbeat(reason));
                 }
                 HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
                     self.respond_error(conn, &ApiError::MachineReleased);
@@ -230,7 +230,7 @@
     /// Sends the heartbeats whose batch is due to the leader.
     pub(super) fn send_heartbeat_batches(&mut self) {
         let now = self.now.steady;
-        if self.heartbeat_batch.due_at().is_none_or(|d| d > now) {
+        if self.heartbeat_batch.due_at().is_none_or(|due| due > now) {
             return;
         }
         if self.is_leader() {
@@ -254,7 +254,7 @@
                 self.heartbeat_batch
                     .drain()
                     .into_iter()
-                    .map(|w| w.0)
+                    .map(|(conn, _)| conn)
                     .collect()
             };
             for conn in over {
@@ -268,7 +268,7 @@
             }
             return;
         }
-        while self.heartbeat_batch.due_at().is_some_and(|d| d <= now) {
+        while self.heartbeat_batch.due_at().is_some_and(|due| due <= now) {
             self.tickets += 1;
             let Some(body) = self.heartbeat_batch.next_frame(now, self.tickets) else {
                 return;
@@ -409,8 +409,8 @@
                     }
                     (200, commands.fencing_token)
                 }
-                HeartbeatOutcome::Malformed(e) => {
-                    let error = ApiError::MalformedHeartbeat(e);
+                HeartbeatOutcome::Malformed(reason) => {
+                    let error = ApiError::MalformedHeartbeat(reason);
                     text = json!({"error": error.to_string()}).to_string().into();
                     (error.status(), 0)
                 }
@@ -439,7 +439,7 @@
 
     /// Applies a heartbeat as its worker sent it; one that repeats the last is not parsed.
     fn take_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
-        let row = HeartbeatSummary::of(body).and_then(|g| g.row());
+        let row = HeartbeatSummary::of(body).and_then(|summary| summary.row());
         if let Some(row) = &row {
             match self.take_repeated_heartbeat(row, via) {
                 HeartbeatOutcome::Unknown => {}
@@ -455,19 +455,22 @@
         digest: Option<u128>,
         via: Option<SocketAddr>,
     ) -> HeartbeatOutcome {
-        let report = match serde_json::from_slice::<Heartbeat>(body) {
-            Ok(report) => report,
-            Err(e) => return HeartbeatOutcome::Malformed(e.to_string()),
+        let heartbeat = match serde_json::from_slice::<Heartbeat>(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return HeartbeatOutcome::Malformed(error.to_string()),
         };
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return HeartbeatOutcome::Refused;
         };
-        self.cloud.booting.remove(&report.machine);
-        let commands =
-            leader_state
-                .workers
-                .take_heartbeat(now, report, digest, via, &mut leader_state.jobs);
+        self.cloud.booting.remove(&heartbeat.machine);
+        let commands = leader_state.workers.take_heartbeat(
+            now,
+            heartbeat,
+            digest,
+            via,
+            &mut leader_state.jobs,
+        );
         self.apply_ledger_events();
         commands.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
     }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -18,32 +18,43 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// A machine silent for longer than this counts as out of use in the log.
+const UNUSABLE_SILENCE: Micros = 10 * SECOND;
+/// A task that saves its state is stopped this long before its machine is reclaimed, besides what
+/// saving takes.
+const CHECKPOINT_MARGIN: Micros = 5 * SECOND;
+
 impl Controller {
     /// Does the periodic work.
     pub(super) fn run_maintenance(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         // Both walk over all machines, and neither is a matter of less than a second.
         let machines = leader_state.workers.machines.len();
-        if leader_state.schedule.take_fleet_scan(t, machines) {
-            leader_state.workers.expire_leases(t);
+        if leader_state.schedule.take_fleet_scan(now, machines) {
+            leader_state.workers.expire_leases(now);
             leader_state
                 .workers
                 .mark_silent_machines(self.now, leader_state.valid_since);
         }
-        if leader_state.scheduler.tick(t, &self.cloud.types) {
-            Self::log_cluster_usage(leader_state, &self.cloud, t);
+        if leader_state.scheduler.tick(now, &self.cloud.types) {
+            Self::log_cluster_usage(leader_state, &self.cloud, now);
             let used: BTreeSet<u32> = leader_state
                 .workers
                 .machines
                 .values()
-                .flat_map(|m| m.tasks.keys().map(|k| k.0.job))
+                .flat_map(|machine| machine.tasks.keys().map(|(task, _)| task.job))
                 .collect();
-            leader_state.jobs.prune(|n| used.contains(&n));
+            leader_state.jobs.prune(|number| used.contains(&number));
         }
-        for job in leader_state.jobs.by_number.values().filter(|j| j.cancelled) {
+        for job in leader_state
+            .jobs
+            .by_number
+            .values()
+            .filter(|job| job.cancelled)
+        {
             Self::stop_all_tasks(&mut leader_state.workers, job);
             Self::acknowledge_all_ends(&mut leader_state.workers, job);
         }
@@ -59,7 +70,7 @@
             return;
         };
         let machines = leader_state.workers.machines.len();
-        if leader_state.schedule.take_autoscaling(t, machines) {
+        if leader_state.schedule.take_autoscaling(now, machines) {
             self.autoscale();
         } else {
             self.rent_next();
@@ -67,38 +78,38 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.schedule.request_placement(t);
+        leader_state.schedule.request_placement(now);
     }
 
     /// Logs where the cores are: the first thing to look at when work waits.
-    fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, t: Micros) {
+    fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, now: Micros) {
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
         let (mut all, mut out, mut running, mut fetching, mut stopping, mut unsure) =
             (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
-        for m in leader_state.workers.machines.values() {
+        for machine in leader_state.workers.machines.values() {
             let cores = cloud
-                .machine_type_named(&m.machine_type)
-                .map_or(0.0, |s| s.cores);
+                .machine_type_named(&machine.machine_type)
+                .map_or(0.0, |found| found.cores);
             all += cores;
-            if !m.is_usable(t, 10 * SECOND) {
+            if !machine.is_usable(now, UNUSABLE_SILENCE) {
                 out += cores;
             }
-            for (_, e) in m.held_tasks() {
-                let c = e.spec.as_ref().map_or(0.0, |s| s.cores);
-                match e.state {
-                    _ if e.is_stopping() => stopping += c,
-                    TaskState::Running => running += c,
-                    TaskState::Unconfirmed | TaskState::Sent => unsure += c,
-                    _ => fetching += c,
+            for (_, held) in machine.held_tasks() {
+                let cores = held.spec.as_ref().map_or(0.0, |spec| spec.cores);
+                match held.state {
+                    _ if held.is_stopping() => stopping += cores,
+                    TaskState::Running => running += cores,
+                    TaskState::Unconfirmed | TaskState::Sent => unsure += cores,
+                    _ => fetching += cores,
                 }
             }
         }
         let mut waiting: BTreeMap<&str, u64> = BTreeMap::new();
         let jobs = leader_state.jobs.by_number.values();
-        for j in jobs.filter(|j| !j.cancelled && !j.waits_for_dependencies()) {
-            *waiting.entry(&j.spec.class).or_default() += j.pending_count;
+        for job in jobs.filter(|job| !job.cancelled && !job.waits_for_dependencies()) {
+            *waiting.entry(&job.spec.class).or_default() += job.pending_count;
         }
         log::info!(
             "cores: {all} in all, {out} out of use, {running} running, {fetching} fetching, \
@@ -120,20 +131,20 @@
             .jobs
             .by_number
             .values_mut()
-            .filter(|j| j.cancelled && !j.save_in_flight && j.placements.is_empty())
-            .map(|j| {
-                j.save_in_flight = true;
-                (j.spec.uid.clone(), j.chunks)
+            .filter(|job| job.cancelled && !job.save_in_flight && job.placements.is_empty())
+            .map(|job| {
+                job.save_in_flight = true;
+                (job.spec.uid.clone(), job.chunks)
             })
             .collect();
-        let most = self.settings.deployment.state.tightest().txn_ops;
-        for (uid, pieces) in gone {
+        let changes_max = self.settings.deployment.state.tightest().txn_ops;
+        for (uid, chunks) in gone {
             let mut txn = Transaction::default()
                 .require_revision(LEADER_KEY, mod_revision)
                 .delete(stopping_key(&uid));
             // Chunks beyond the limit are swept up later.
-            for n in 0..pieces.min(most - 1) {
-                txn = txn.delete(chunk_key(&uid, n));
+            for number in 0..chunks.min(changes_max - 1) {
+                txn = txn.delete(chunk_key(&uid, number));
             }
             self.request_state(
                 StateRequest::ForgetCancelledJob { term, uid },
@@ -146,43 +157,45 @@
     /// Drains machines that are about to be reclaimed: tasks that can save their state do so in
     /// time, and tasks that can't finish are moved now.
     fn drain_noticed_machines(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let mut stops = Vec::new();
-        for m in leader_state.workers.noticed_machines() {
+        for machine in leader_state.workers.noticed_machines() {
             // A duplicate of an old heartbeat may be the first to report the notice; running tasks
             // are not stopped for that.
-            let Some(until) = m.reclaim_at.filter(|_| m.term_confirmed) else {
+            let Some(until) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
                 continue;
             };
-            let left = until.saturating_sub(t);
-            for ((key, attempt), e) in m.held_tasks() {
-                let Some(spec) = &e.spec else { continue };
-                if e.is_stopping() {
+            let left = until.saturating_sub(now);
+            for ((task, attempt), held) in machine.held_tasks() {
+                let Some(spec) = &held.spec else { continue };
+                if held.is_stopping() {
                     continue;
                 }
                 if spec.saves() {
-                    if left < from_secs(spec.save_s) + 5 * SECOND {
-                        stops.push((m.id.clone(), *key, *attempt, spec.save_s.max(0.1)));
+                    if left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
+                        stops.push((machine.id.clone(), *task, *attempt, spec.save_s.max(0.1)));
                     }
                 } else {
-                    let ran = e.running_since.map_or(0, |s| t.saturating_sub(s));
-                    let need = leader_state
+                    let ran = held
+                        .running_since
+                        .map_or(0, |since| now.saturating_sub(since));
+                    let remaining = leader_state
                         .scheduler
                         .expected_run(spec)
                         .saturating_sub(ran);
-                    if need > left {
-                        stops.push((m.id.clone(), *key, *attempt, 0.0));
+                    if remaining > left {
+                        stops.push((machine.id.clone(), *task, *attempt, 0.0));
                     }
                 }
             }
         }
-        for (machine, key, attempt, grace) in stops {
+        for (machine, task, attempt, grace) in stops {
             leader_state
                 .workers
-                .stop_task(&machine, key, attempt, grace, StopReason::SpotNotice);
+                .stop_task(&machine, task, attempt, grace, StopReason::SpotNotice);
         }
         self.apply_ledger_events();
     }
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -39,36 +39,39 @@
 
 /// Whether both are the same types, whatever they cost at the moment.
 fn same_types_ignoring_price(a: &[MachineType], b: &[MachineType]) -> bool {
-    let bare = |t: &MachineType| {
+    let without_price = |machine_type: &MachineType| {
         let (price, spot_price) = (0.0, 0.0);
         serde_json::to_string(&MachineType {
             price,
             spot_price,
-            ..t.clone()
+            ..machine_type.clone()
         })
         .unwrap_or_default()
     };
-    a.len() == b.len() && a.iter().zip(b).all(|(a, b)| bare(a) == bare(b))
+    a.len() == b.len()
+        && a.iter()
+            .zip(b)
+            .all(|(a, b)| without_price(a) == without_price(b))
 }
 
 impl Controller {
     /// Reads the stored machine types at the start; a leader stores what the cloud reports.
     pub(super) fn tick_startup(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         if self.startup.types_known_from.is_none() && !self.cloud.types.is_empty() {
-            self.startup.types_known_from = Some(("cloud", t));
+            self.startup.types_known_from = Some(("cloud", now));
         }
         self.log_startup();
         // While controllers of the version before run, nothing is written that they don't know.
         let may_store = self.is_leader() && self.schema_migration.is_complete();
         let schema = self.schema();
         let startup = &mut self.startup;
-        if startup.request_in_flight || t < startup.next_check_at {
+        if startup.request_in_flight || now < startup.next_check_at {
             return;
         }
         let Some((stored, mod_revision)) = &startup.stored else {
             (startup.request_in_flight, startup.next_check_at) =
-                (true, t + MACHINE_TYPES_RETRY_INTERVAL);
+                (true, now + MACHINE_TYPES_RETRY_INTERVAL);
             return self.request_state(
                 StateRequest::ReadMachineTypes,
                 Op::Get(MACHINE_TYPES_KEY.to_owned()),
@@ -79,15 +82,15 @@
             return;
         }
         // Compared now and then only: the cloud is read every two minutes.
-        startup.next_check_at = t + MACHINE_TYPES_CHECK_INTERVAL;
+        startup.next_check_at = now + MACHINE_TYPES_CHECK_INTERVAL;
         let known = stored.as_ref();
-        if known.is_some_and(|s| same_types_ignoring_price(&s.types, &self.cloud.types)) {
+        if known.is_some_and(|known| same_types_ignoring_price(&known.types, &self.cloud.types)) {
             return;
         }
         let value = raw(&MachineTypes {
             types: self.cloud.types.clone(),
         });
-        startup.next_check_at = t + MACHINE_TYPES_RETRY_INTERVAL;
+        startup.next_check_at = now + MACHINE_TYPES_RETRY_INTERVAL;
         let Some(leader) = self
             .election
             .leader_key_revision()
@@ -109,7 +112,7 @@
 
     /// Handles what was read as the stored machine types.
     pub(super) fn machine_types_read(&mut self, reply: Reply) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         self.startup.request_in_flight = false;
         let (types, mod_revision) = match reply {
             Reply::Item(item) => {
@@ -127,7 +130,7 @@
         if let Some(types) = &types
             && self.cloud.assume_types(&types.types)
         {
-            self.startup.types_known_from = self.startup.types_known_from.or(Some(("stored", t)));
+            self.startup.types_known_from = self.startup.types_known_from.or(Some(("stored", now)));
         }
         self.startup.stored = Some((types, mod_revision));
     }
@@ -146,22 +149,22 @@
         if self.startup.logged || !matches!(status, 200 | 201) {
             return;
         }
-        let t = self.now.steady;
+        let now = self.now.steady;
         let at = match method {
             "GET /up" => &mut self.startup.first_health_check_at,
             "GET" => &mut self.startup.first_polled_at,
             _ => &mut self.startup.first_accepted_at,
         };
-        *at = at.or(Some(t));
+        *at = at.or(Some(now));
     }
 
     fn log_startup(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let startup = &self.startup;
         let all = startup.first_health_check_at.is_some()
             && startup.first_accepted_at.is_some()
             && startup.first_polled_at.is_some();
-        if startup.logged || !(all || t >= STARTUP_LOG_DELAY_MAX) {
+        if startup.logged || !(all || now >= STARTUP_LOG_DELAY_MAX) {
             return;
         }
         // Steady clocks of processes begin at one second.
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -1,5 +1,9 @@
-//! Submissions: accepted by this node's own conditional write, after what is stored of the jobs
-//! that they name.
+//! Submissions of jobs, and what they are rejected for.
+//!
+//! Any node accepts a job, by a conditional write of its own: no leader is needed, and a job is
+//! accepted once however often it is submitted. Before a job that depends on others is accepted,
+//! what is stored of them is read; the write is guarded so that a cancellation in between makes it
+//! fail. A submission is rejected only if it repeats no job that was accepted before.
 
 use super::api_error::ApiError;
 use super::state_replies::job_key;
@@ -18,33 +22,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A need that ends just now leads to another look, so many times.
+/// How often the dependencies are read anew after one of them ended in between.
 const DEPENDENCY_RETRIES_MAX: u32 = 4;
-/// What reading a long list may take longer than a user's request otherwise: for each job named,
-/// and at most. Users wait 5 s.
+/// How much longer than other requests of clients a submission may take for each job that it
+/// depends on.
 const TIMEOUT_PER_DEPENDENCY: Micros = 25 * MILLISECOND;
+/// The most that all dependencies add; clients wait 5 s.
 const DEPENDENCIES_TIMEOUT_MAX: Micros = SECOND;
 
+/// What is known of a job that a submission depends on.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DependencyState {
+    /// It is being read.
     Requested,
     Live,
     Done,
     Cancelled,
 }
 
-fn dependency_timeout(needs: usize) -> Micros {
+/// How long reading so many dependencies may take.
+fn dependency_timeout(dependencies: usize) -> Micros {
     CLIENT_REQUEST_TIMEOUT
-        + (TIMEOUT_PER_DEPENDENCY * needs as Micros).min(DEPENDENCIES_TIMEOUT_MAX)
+        + (TIMEOUT_PER_DEPENDENCY * dependencies as Micros).min(DEPENDENCIES_TIMEOUT_MAX)
 }
 
-/// A submission that names other jobs.
+/// A submission of a job that depends on others.
 struct Submission {
     conn: ConnId,
     spec: JobSpec,
     dependencies: BTreeMap<Arc<str>, DependencyState>,
-    /// Why it is to be refused.
+    /// Why it is to be rejected, if so.
     rejection: Option<String>,
+    /// How often its dependencies were read anew.
     attempts: u32,
 }
 
@@ -93,6 +102,7 @@
 }
 
 impl Controller {
+    /// Handles a submission.
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -113,9 +123,9 @@
             // What was accepted when the cloud offered more stays accepted.
             return self.reject_unless_known(conn, uid, false, reason);
         }
-        let odd = |n: &&Arc<str>| !valid_uid(n) || **n == uid;
-        if let Some(need) = spec.waits_on.iter().find(odd) {
-            let shown: String = need.chars().take(80).collect();
+        let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
+        if let Some(dependency) = spec.waits_on.iter().find(is_invalid) {
+            let shown: String = dependency.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
             return self.respond_error(conn, &ApiError::JobRejected(reason));
         }
@@ -127,20 +137,7 @@
             return self.reject_unless_known(conn, uid, false, reason);
         }
         if spec.waits_on.is_empty() {
-            let value = self.new_record(spec);
-            let mut txn = Transaction::default()
-                .require_revision(live_key(&uid), 0)
-                .set_raw(live_key(&uid), value);
-            // A job that is over is live no more: carried out late, after a repeat was accepted and done,
-            // this would else bring it back.
-            if !fault_injected(InjectedFault::AbsenceTrusted) {
-                txn = txn.require_revision(finished_key(&uid), 0);
-            }
-            return self.request_state(
-                StateRequest::AcceptJob { conn, uid },
-                Op::Transaction(txn),
-                CLIENT_REQUEST_TIMEOUT,
-            );
+            return self.accept_job(conn, uid, spec);
         }
         let submission = Submission {
             conn,
@@ -152,77 +149,97 @@
         self.read_dependencies(submission);
     }
 
-    /// A new job is one small value in the layout that every version reads.
+    /// Stores a job that depends on no other, if it is new.
+    fn accept_job(&mut self, conn: ConnId, uid: Arc<str>, spec: JobSpec) {
+        let value = self.new_record(spec);
+        let mut txn = Transaction::default()
+            .require_revision(live_key(&uid), 0)
+            .set_raw(live_key(&uid), value);
+        // A job that is over is not live any more: carried out late, after a repeat was accepted
+        // and done, the write would otherwise bring it back.
+        if !fault_injected(InjectedFault::AbsenceTrusted) {
+            txn = txn.require_revision(finished_key(&uid), 0);
+        }
+        self.request_state(
+            StateRequest::AcceptJob { conn, uid },
+            Op::Transaction(txn),
+            CLIENT_REQUEST_TIMEOUT,
+        );
+    }
+
+    /// The record of a new job: one small value in the schema version that every program reads.
     fn new_record(&self, spec: JobSpec) -> Raw {
         let record = JobRecord::new(spec, self.now.wall, &self.settings.name);
         schema::version_1::encode_job(&record, usize::MAX).unwrap_or_else(|| raw(&()))
     }
 
-    /// Why no layout can hold a job of this description, if so.
+    /// Why a job of this description can't be stored under any schema version, if so.
     fn size_violation(&self, spec: &JobSpec) -> Option<String> {
         let limits = self.settings.deployment.state.tightest();
-        let layout = Schema {
+        let schema = Schema {
             version: SCHEMA_VERSION,
             value_bytes: limits.value_bytes(),
             txn_ops: limits.txn_ops,
         };
-        if !layout.can_store(spec) {
-            let most = layout.spec_bytes_max();
+        if !schema.can_store(spec) {
+            let most = schema.spec_bytes_max();
             return Some(format!(
                 "the description is too long to be stored: at most {most} bytes"
             ));
         }
-        // Conditions of the accepting write: the job itself, live and over, and each need.
+        // Guards of the accepting write: the job itself, live and over, and each dependency.
         let most = 4 * limits.txn_ops - 2;
         (spec.waits_on.len() > most).then(|| format!("waitsOn: at most {most} jobs can be named"))
     }
 
-    /// Reads what is stored of each job named; "never accepted" needs a fresh answer.
-    fn read_dependencies(&mut self, mut s: Submission) {
-        s.dependencies.clear();
-        let mut asks = Vec::new();
-        for need in &s.spec.waits_on {
+    /// Reads what is stored of each dependency; that it was never accepted needs a fresh answer.
+    fn read_dependencies(&mut self, mut submission: Submission) {
+        submission.dependencies.clear();
+        let mut unknown = Vec::new();
+        for dependency in &submission.spec.waits_on {
             let known = self
                 .client_requests
-                .final_state(need)
-                .and_then(|f| f["status"].as_str());
+                .final_state(dependency)
+                .and_then(|end| end["status"].as_str());
             let state = match known {
                 Some("done") => DependencyState::Done,
                 Some("cancelled") => DependencyState::Cancelled,
                 _ => {
-                    asks.push(need.clone());
+                    unknown.push(dependency.clone());
                     DependencyState::Requested
                 }
             };
-            s.dependencies.insert(need.clone(), state);
+            submission.dependencies.insert(dependency.clone(), state);
         }
-        let id = self.submissions.insert(s);
-        let patience = dependency_timeout(asks.len());
-        for uid in asks {
+        let id = self.submissions.insert(submission);
+        let timeout = dependency_timeout(unknown.len());
+        for uid in unknown {
             let key = live_key(&uid);
-            let purpose = StateRequest::ReadDependency {
+            let request = StateRequest::ReadDependency {
                 submission: id,
                 uid,
                 over: false,
             };
-            self.request_state(purpose, Op::Get(key), patience);
+            self.request_state(request, Op::Get(key), timeout);
         }
         self.continue_submission(id);
     }
 
+    /// Handles what is stored of a dependency.
     pub(super) fn dependency_read(&mut self, id: u64, uid: Arc<str>, over: bool, reply: Reply) {
-        let Some(s) = self.submissions.get_mut(id) else {
+        let Some(submission) = self.submissions.get_mut(id) else {
             return;
         };
         let mut state = DependencyState::Live;
         match reply {
             Reply::Item(item) if !over => match schema::decode_job(&item.value) {
                 Ok((record, _)) if record.spec.kind == JobKind::Service => {
-                    s.rejection = Some(format!("waitsOn: {uid} is a service, which is never done"));
+                    submission.rejection =
+                        Some(format!("waitsOn: {uid} is a service, which is never done"));
                 }
                 Ok(_) => {}
-                Err(e) => {
-                    log::error!("{} can't be read: {e}", item.path);
+                Err(error) => {
+                    log::error!("stored job unreadable key={} error={error}", item.path);
                     return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
@@ -236,40 +253,40 @@
                         DependencyState::Cancelled
                     };
                 }
-                Err(e) => {
-                    log::error!("{} can't be read: {e}", item.path);
+                Err(error) => {
+                    log::error!("stored job unreadable key={} error={error}", item.path);
                     return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             // Live first, then over: a job moves only in that direction.
             Reply::Absent if !over => {
                 let key = finished_key(&uid);
-                let purpose = StateRequest::ReadDependency {
+                let request = StateRequest::ReadDependency {
                     submission: id,
                     uid,
                     over: true,
                 };
-                let patience = dependency_timeout(s.dependencies.len());
-                return self.request_state(purpose, Op::Get(key), patience);
+                let timeout = dependency_timeout(submission.dependencies.len());
+                return self.request_state(request, Op::Get(key), timeout);
             }
             Reply::Absent => {
-                s.rejection = Some(format!("waitsOn: {uid} was never accepted"));
+                submission.rejection = Some(format!("waitsOn: {uid} was never accepted"));
             }
             _ => {
-                let conn = s.conn;
+                let conn = submission.conn;
                 self.submissions.remove(id);
                 return self.state_unavailable(conn);
             }
         }
-        if let Some(s) = self.submissions.get_mut(id) {
-            s.dependencies.insert(uid, state);
+        if let Some(submission) = self.submissions.get_mut(id) {
+            submission.dependencies.insert(uid, state);
         }
         self.continue_submission(id);
     }
 
     fn abandon_submission(&mut self, id: u64, error: &ApiError) {
-        if let Some(s) = self.submissions.remove(id) {
-            self.respond_error(s.conn, error);
+        if let Some(submission) = self.submissions.remove(id) {
+            self.respond_error(submission.conn, error);
         }
     }
 
@@ -323,10 +340,10 @@
 
     /// Handles the reply to the write that accepts a job with dependencies.
     pub(super) fn dependent_job_accepted(&mut self, id: u64, cancelled: bool, reply: Reply) {
-        let Some(mut s) = self.submissions.remove(id) else {
+        let Some(mut submission) = self.submissions.remove(id) else {
             return;
         };
-        let (conn, uid) = (s.conn, s.spec.uid.clone());
+        let (conn, uid) = (submission.conn, submission.spec.uid.clone());
         match reply {
             Reply::Applied { .. } if cancelled => {
                 self.respond(conn, 201, &json!({"uid": uid, "status": "cancelled"}));
@@ -337,17 +354,17 @@
             }
             Reply::Conflict { failed } => {
                 let own = [live_key(&uid), finished_key(&uid)];
-                if failed.iter().any(|f| own.contains(f)) {
+                if failed.iter().any(|key| own.contains(key)) {
                     self.read_existing_job(conn, uid, false);
-                } else if s.attempts < DEPENDENCY_RETRIES_MAX {
-                    s.attempts += 1;
-                    self.read_dependencies(s);
+                } else if submission.attempts < DEPENDENCY_RETRIES_MAX {
+                    submission.attempts += 1;
+                    self.read_dependencies(submission);
                 } else {
                     self.state_unavailable(conn);
                 }
             }
             Reply::Refused(reason) => {
-                log::error!("the state service refused job {uid}: {reason}");
+                log::error!("the state service refused a job job={uid} reason={reason}");
                 self.respond_error(conn, &ApiError::StateRefusedJob);
             }
             _ => self.state_unavailable(conn),
@@ -357,13 +374,13 @@
     /// Reads whether a submission to be refused repeats one that was accepted.
     fn reject_unless_known(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reason: String) {
         let key = job_key(&uid, over);
-        let purpose = StateRequest::ReadBeforeRejecting {
+        let request = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
             over,
             reason,
         };
-        self.request_state(purpose, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
+        self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
     }
 
     /// Refuses a submission, unless it repeats one that was accepted.
