--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,472 +1,122 @@
-//! One controller node: routes requests, wires the actors, and, while it leads, drives jobs,
-//! workers and machines. No I/O here: inputs and the time go in, outputs come out.
+//! One controller process: routes inputs to the components that own the state.
+//!
+//! [`Controller`] takes [`Input`]s and the time and returns [`Output`]s; it does no I/O, reads no
+//! clock and starts no thread, so a run is determined by its inputs. What belongs together is owned
+//! by a component with private fields: client requests, links to the other controllers, the
+//! standby's replica, the schema migration, and, only while this node leads, the leader's state.
+//! The files below hold the parts of the controller that connect them, each for one concern.
+//!
+//! What holds at this door: nothing is done as leader unless [`Controller::is_leader`] says so, and
+//! whatever is decided for good is decided by a conditional write to the state service; what other
+//! controllers announce is a hint.
 
 mod admin;
 mod api;
+mod api_error;
 mod autoscaling;
+mod client_requests;
 mod dependencies;
 mod failover;
 mod heartbeats;
+mod leader;
+mod leader_schedule;
 mod maintenance;
+mod peer_links;
+mod peer_requests;
 mod persistence;
 mod schema_migration;
 mod standby;
 mod startup;
 mod state_replies;
+mod state_request;
 mod submission;
 mod task_events;
 
-use crate::accounting::{StopReason, TaskOutcome, WorkloadAccounting};
-use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
-use crate::clock::{MILLISECOND, Micros, Now, SECOND, from_secs};
-use crate::cloud::{Cloud, CloudEvent, Offer};
-use crate::dependency_graph::{DependencyGraph, latest_start};
-use crate::election::{Election, ElectionStep, LEADER_KEY, LeadershipChange};
+use crate::clock::{MILLISECOND, Micros, Now, SECOND};
+use crate::cloud::Cloud;
+use crate::election::{Election, LEADER_KEY};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
-use crate::job_record::{
-    FinalState, JobRecord, LIVE_PREFIX, STOPPING_PREFIX, TaskEnding, final_body, finished_key,
-    live_body, live_key, stopping_key,
-};
-use crate::jobs::{FinalCache, Job, JobTable, Progress};
+use crate::jobs::Job;
 use crate::load_shedding::{ConnectionPressure, LoadMonitor, ShedLevel};
 use crate::messages::{ConnId, Input, Outcome, Output, Ticket};
-use crate::reconciliation::Reconciliation;
-use crate::registry::{MachineRegistry, RegistryRequest, WriteResult};
-use crate::replica::{Checksum, Replica, ReplicaRead};
-use crate::request_starvation::RequestStarvation;
-use crate::scheduler::{Scheduler, impossible_reason};
-use crate::schema::{
-    self, CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema,
-    SchemaSupport, StoredSchemaVersion, chunk_key, controller_key, split_chunk_key,
-};
-use crate::seeded_hash::HashMap;
-use crate::settings::{Peer, Properties, Settings};
-use crate::state_client::{Item, Op, Reply, RequestPriority, StateClient, Transaction, raw};
-use crate::task_id::TaskId;
-use crate::wire::{
-    Heartbeat, JobSpec, KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST,
-    KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER,
-    KIND_PROBE_WORKERS, KIND_PROGRESS, Priority, ProgressRow, valid_uid,
-};
-use crate::worker_ledger::{TaskEvent, TaskEventKind, TaskState, WorkerLedger};
+use crate::settings::{Properties, Settings};
+use crate::state_client::{Op, RequestPriority, StateClient};
 use crate::worker_probe::WorkerProbe;
-use api::fits_value_limit;
-use rangemap::RangeSet;
+use api_error::ApiError;
+use client_requests::{ClientRequests, ProxiedRequest};
+use leader::LeaderState;
+use peer_links::PeerLinks;
+use peer_requests::PeerFrame;
+use schema_migration::SchemaMigration;
 use serde_json::{Value, json};
 pub use standby::LoadSource;
-use standby::{Failover, LeaderLoad, Standby};
+use standby::Standby;
 use startup::Startup;
-use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
-use std::sync::Arc;
-use submission::Submission;
-use zerocopy::IntoBytes;
+use state_request::StateRequest;
+use submission::Submissions;
 
-/// A user gets an answer at once, also when it is that we can't tell: little patience.
+/// How long a client's request waits for the state service: an answer that nothing can be said
+/// now is better than a late one.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
-/// Polls of a moment are asked together.
-const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
-/// A poll waits this long for the budget; users give a poll 2 s.
-const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
-/// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
-/// to 3 s old.
-const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
-const PROGRESS_FRESH_FOR: Micros = 2_500 * MILLISECOND;
-/// So many others must have said a moment ago that they can serve users for the leader not to.
-/// With two, both of which crashed at once, users had no node at all until the load balancer
-/// took the leader back.
-const SERVING_PEERS_MIN: usize = 3;
-const SERVING_FRESH_FOR: Micros = 3 * SECOND;
-/// Without a leader's word for longer than that, what is stored is shown.
-const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
+/// How long a write of the leader waits for the state service.
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
-/// Without the state service and the other controllers for so long, this node can serve nobody.
-const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
-/// Bits of a ticket that count within a life; above them stands the run, which has 52.
+/// Low bits of a ticket, which count within one process incarnation; the high 52 are the
+/// incarnation's number.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
-/// From here on, connection numbers stand for requests that came through another controller.
-const FIRST_PROXIED_CONN_ID: ConnId = 1 << 63;
-const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// Events of a few milliseconds are placed together.
-const PLACEMENT_BATCH_DELAY: Micros = 3 * MILLISECOND;
-/// What a pass of the scheduler may cost is kept a small share of the time.
-const PLACEMENT_INTERVAL_PER_MACHINE: Micros = 30;
-/// After a pass this many times what it took goes to other things.
-const PASS_COST_MULTIPLE: Micros = 3;
-const PASS_INTERVAL_MAX: Micros = 4 * SECOND;
-const SAVE_INTERVAL_PER_JOB: Micros = 30;
-const SAVE_SCAN_INTERVAL: Micros = 100 * MILLISECOND;
-const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
-/// What only says how far a job is waits this long at most for changes to be left over.
-const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
-const QUEUED_SAVES_MAX: usize = 2;
-/// A walk over all machines, for what only time makes due, is made again after so long for each of them.
-const FLEET_SCAN_INTERVAL_PER_MACHINE: Micros = 600;
-const AUTOSCALING_INTERVAL_MIN: Micros = 400 * MILLISECOND;
-const AUTOSCALING_INTERVAL_PER_MACHINE: Micros = MILLISECOND;
-const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
-const CANCEL_RETRIES_MAX: u32 = 8;
-const FINAL_STATES_CACHED: usize = 4096;
-/// With no job at all, rented machines are returned after this long.
-const IDLE_CLUSTER_RELEASE_DELAY: Micros = 30 * SECOND;
-/// A machine that answers nobody for this long is returned, if it can be replaced.
-const UNREACHABLE_RELEASE_DELAY: Micros = 8 * SECOND;
-/// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
+/// The longest time between two inputs or ticks.
+const TICK_INTERVAL_MAX: Micros = 250 * MILLISECOND;
+/// The shortest time to the next tick that is asked for.
+const TICK_INTERVAL_MIN: Micros = MILLISECOND;
+/// A gap between ticks, which come four times a second, that is counted and logged as a stall.
 const STALL_THRESHOLD: Micros = SECOND;
-/// A leader that hears no machine for this long, and two report periods, lets another lead; it
-/// then rests for a while, longer each time.
-const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
-const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
-const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
-
-#[derive(Clone, Debug)]
-struct PendingSave {
-    number: u32,
-    finished: bool,
-    done: RangeSet<u32>,
-    starts: Vec<(Arc<str>, TaskId, u64)>,
-    /// How many pieces belong to the head written.
-    chunks: usize,
-    /// The time of day that a final state written gives.
-    finished_at: Micros,
-}
-
-/// Why something was asked of the state service.
-enum StateRequest {
-    Election(ElectionStep),
-    /// To see whether the state service answers again.
-    AvailabilityProbe,
-    AcceptJob {
-        conn: ConnId,
-        uid: Arc<str>,
-    },
-    ReadExistingJob {
-        conn: ConnId,
-        uid: Arc<str>,
-        over: bool,
-    },
-    PollJob {
-        conn: ConnId,
-        uid: Arc<str>,
-        over: bool,
-    },
-    /// Whether jobs that were asked about are still live.
-    CheckFinished {
-        polls: Vec<(ConnId, Arc<str>, Micros)>,
-    },
-    ReadForCancel {
-        conn: ConnId,
-        uid: Arc<str>,
-        over: bool,
-        tries: u32,
-    },
-    WriteCancel {
-        conn: ConnId,
-        uid: Arc<str>,
-        tries: u32,
-        body: Value,
-    },
-    InspectJob {
-        conn: ConnId,
-        uid: Arc<str>,
-        over: bool,
-    },
-    /// For what this node follows, or builds its lead from.
-    ReadReplica {
-        round: u64,
-        want: ReplicaRead,
-    },
-    WatchJobs {
-        term: u64,
-    },
-    /// What has changed of the jobs, at once.
-    CatchUp {
-        term: u64,
-    },
-    SaveJobs {
-        term: u64,
-        items: Vec<PendingSave>,
-    },
-    RereadJob {
-        term: u64,
-        uid: Arc<str>,
-        over: bool,
-    },
-    WriteRegistryPage {
-        term: u64,
-        key: String,
-        written: Vec<(Arc<str>, Option<Micros>)>,
-    },
-    ReadRegistryPage {
-        term: u64,
-        key: String,
-    },
-    DeleteRegistryPage {
-        term: u64,
-        key: String,
-    },
-    /// What is stored as the format, and what this node has said that it understands.
-    ReadSchemaVersion,
-    /// The machine types as stored, and that they were stored.
-    ReadMachineTypes,
-    StoreMachineTypes,
-    ReadOwnSchemaSupport,
-    WriteOwnSchemaSupport,
-    /// What all controllers have said that they understand.
-    ReadSchemaSupport {
-        term: u64,
-    },
-    RaiseSchemaVersion {
-        term: u64,
-    },
-    /// A job that a submission names.
-    ReadDependency {
-        submission: u64,
-        uid: Arc<str>,
-        over: bool,
-    },
-    AcceptDependentJob {
-        submission: u64,
-        cancelled: bool,
-    },
-    /// Whether a submission to be refused is of a job that was accepted before.
-    ReadBeforeRejecting {
-        conn: ConnId,
-        uid: Arc<str>,
-        over: bool,
-        reason: String,
-    },
-    /// How a job ended that others wait for.
-    ReadDependencyOutcome {
-        term: u64,
-        uid: Arc<str>,
-    },
-    /// Jobs that end because one that they need was cancelled, with that one.
-    CancelDependents {
-        term: u64,
-        items: Vec<(Arc<str>, Arc<str>)>,
-    },
-    /// Pieces that may belong to nothing.
-    ListChunks {
-        term: u64,
-    },
-    DeleteOrphanChunk,
-    ForgetCancelledJob {
-        term: u64,
-        uid: Arc<str>,
-    },
-}
-
-impl StateRequest {
-    fn priority(&self) -> RequestPriority {
-        match self {
-            // Without its answer no worker gets a 200.
-            StateRequest::Election(_) | StateRequest::CatchUp { .. } => RequestPriority::Vital,
-            StateRequest::AcceptJob { .. }
-            | StateRequest::ReadExistingJob { .. }
-            | StateRequest::ReadDependency { .. }
-            | StateRequest::AcceptDependentJob { .. }
-            | StateRequest::ReadBeforeRejecting { .. }
-            | StateRequest::ReadDependencyOutcome { .. }
-            | StateRequest::CancelDependents { .. }
-            | StateRequest::ReadForCancel { .. }
-            | StateRequest::ReadMachineTypes
-            | StateRequest::WriteCancel { .. } => RequestPriority::Client,
-            StateRequest::AvailabilityProbe
-            | StateRequest::ReadSchemaVersion
-            | StateRequest::ReadOwnSchemaSupport
-            | StateRequest::ListChunks { .. }
-            | StateRequest::PollJob { .. }
-            | StateRequest::CheckFinished { .. }
-            | StateRequest::InspectJob { .. } => RequestPriority::Background,
-            _ => RequestPriority::Leader,
-        }
-    }
-}
-
-/// What exists only while this node leads.
-struct LeaderState {
-    term: u64,
-    leader_key_revision: u64,
-    jobs: JobTable,
-    pipelines: DependencyGraph,
-    /// Jobs that are to be ended since one that they need was cancelled, and that one.
-    cascading_cancellations: VecDeque<(Arc<str>, Arc<str>)>,
-    workers: WorkerLedger,
-    scheduler: Scheduler,
-    registry: MachineRegistry,
-    /// Stamp of the stored format number.
-    schema_key_revision: u64,
-    /// What the controllers say that they understand, and when that is asked next.
-    schema_support: BTreeMap<String, SchemaSupport>,
-    schema_support_check_at: Micros,
-    chunk_sweep_at: Micros,
-    /// Something stored could not be read: until all that ran then is surely over, nothing is
-    /// free to start.
-    starts_held_until: Micros,
-    /// What is still to be seen before anything is decided.
-    load: Option<LeaderLoad>,
-    failover: Failover,
-    reconciliation: Reconciliation,
-    /// When the machines that have not spoken are shared out among the controllers.
-    probe_sharing_at: Option<Micros>,
-    /// The line on the recovery was told.
-    reconciliation_logged: bool,
-    jobs_revision: u64,
-    /// How old what is known of cancellations is.
-    cancellation_freshness: CancellationFreshness,
-    /// Stamps of the live jobs at that epoch, and the sum that is told of them.
-    job_revisions: HashMap<Arc<str>, u64>,
-    jobs_checksum: Checksum,
-    watch_in_flight: bool,
-    next_watch_at: Micros,
-    placement_due_at: Option<Micros>,
-    /// The next pass is not before this: passes cost more the more machines there are.
-    placement_not_before: Micros,
-    next_save_at: Micros,
-    save_pending: bool,
-    autoscaling_at: Micros,
-    maintenance_at: Micros,
-    fleet_scan_at: Micros,
-    rented: BTreeSet<Arc<str>>,
-    /// Cancellations that other controllers told of before the state service did.
-    cancellation_hints: u64,
-    /// What became of the work so far.
-    accounting: WorkloadAccounting,
-    /// Machines that the waiting work would fill, by offer, the cheapest first.
-    wanted_machines: Vec<(Offer, u32)>,
-    elected_at: Micros,
-    /// When there last was a job.
-    last_busy_at: Micros,
-    /// Since when this node has been entitled to act without a break.
-    valid_since: Micros,
-    next_progress_at: Micros,
-}
-
-/// A user's request, kept until it is answered: another controller may be able to answer it.
-struct ClientRequest {
-    method: &'static str,
-    path: String,
-    body: Vec<u8>,
-}
-
-enum PeerCallPurpose {
-    ClientRequest {
-        conn: ConnId,
-        peer: SocketAddr,
-    },
-    Heartbeat {
-        conn: ConnId,
-    },
-    CommandDelivery {
-        conn: ConnId,
-        ticket: Ticket,
-    },
-    AdminQuery {
-        conn: ConnId,
-    },
-    /// What the leader knows of a job's pipeline, to be told beside what is stored.
-    DependencyQuery {
-        conn: ConnId,
-        body: Value,
-    },
-    /// Whether that leader, by its run, takes many reports in a frame.
-    BatchSupport {
-        run: u64,
-    },
-    /// Workers that the peer is to ask.
-    ProbeAssignment {
-        hosts: Vec<Arc<str>>,
-    },
-    /// The leader's word on how far jobs are; a 200 says that the peer can serve users.
-    ProgressAnnouncement {
-        peer: SocketAddr,
-    },
-    /// Whether any controller is to be reached.
-    LivenessCheck,
-}
+/// A node whose inputs wait for longer than this is overloaded.
+const OVERLOAD_LAG: Micros = 100 * MILLISECOND;
+/// The rules against workers that reconnect hold for this long after an overload.
+const OVERLOADED_FOR: Micros = 30 * SECOND;
 
+/// One controller process, without its I/O.
 pub struct Controller {
     settings: Settings,
     properties: Properties,
     rng_seed: u64,
+    /// The time of the input or tick in hand.
     now: Now,
+    /// The last ticket given to a call.
     tickets: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
     cloud: Cloud,
-    final_states: FinalCache,
-    /// How far live jobs are, as the leader last told.
-    progress: Progress,
-    progress_at: Micros,
-    /// What users asked about and got no answer.
-    starvation: RequestStarvation,
-    /// Polls that wait to be asked together, and since when.
-    polls: Vec<(ConnId, Arc<str>, Micros)>,
-    poll_batch_due_at: Micros,
-    client_requests: HashMap<ConnId, ClientRequest>,
-    /// Requests that came through another controller stand in the place of connections.
-    proxied_requests: HashMap<ConnId, (ConnId, Ticket)>,
-    next_proxied_conn: ConnId,
-    /// Controllers that could not answer for us a moment ago.
-    unhelpful_until: HashMap<SocketAddr, Micros>,
-    next_peer: usize,
-    /// The leader by its own word to us, for when the state service doesn't tell.
-    leader_hint: Option<(String, Micros)>,
+    client_requests: ClientRequests,
+    /// Present from the election to the end of the leadership.
     leader_state: Option<LeaderState>,
     standby: Standby,
     startup: Startup,
     worker_probe: WorkerProbe,
-    /// The times that `tick` came far too late: the process was stopped, or short of processor.
+    /// How often a tick came far too late: the process was stopped, or starved of processor time.
     stalls: u64,
+    /// How long the last of these gaps was.
     last_stall: Micros,
-    /// How long this node last left leading to the others.
+    /// How long this node last stayed out of the election after resigning for cause.
     resign_backoff: Micros,
-    /// When another controller last said anything, and when one was last asked only to see that.
-    peer_seen_at: Micros,
-    peer_checked_at: Micros,
-    /// When the load balancer last asked whether this node is up.
-    health_checked_at: Micros,
-    /// When the other controllers last said that they can serve users.
-    serving_peers: HashMap<SocketAddr, Micros>,
-    /// When a worker that reports to this leader may next be handed to another controller.
-    next_handover_at: Micros,
-    peer_calls: HashMap<Ticket, PeerCallPurpose>,
-    /// Workers' reports on their way to the leader.
+    peer_links: PeerLinks,
+    /// Workers' heartbeats on their way to the leader.
     heartbeat_batch: HeartbeatBatch,
-    /// The run of a leader that takes many reports in a frame, and when another was last asked.
-    batching_leader: Option<u64>,
-    batch_support_asked_at: Micros,
-    link_avoided_until: HashMap<SocketAddr, Micros>,
-    /// When a controller last refused a connection from here.
-    link_refused_at: HashMap<SocketAddr, Micros>,
-    /// Since when each link has failed; not there while it does not.
-    link_failing_since: HashMap<SocketAddr, Micros>,
-    /// Submissions that wait for what is known of the jobs that they name.
-    submissions: HashMap<u64, Submission>,
-    next_submission: u64,
-    /// The stored format, as far as this node knows; 0 before it was read.
-    schema_version: u32,
-    schema_check_at: Micros,
-    schema_support_registered: bool,
-    /// The state service has shown that the limits to come hold already.
-    reduced_value_size: bool,
-    reduced_write_rate: bool,
-    /// How far this node is behind.
+    submissions: Submissions,
+    schema_migration: SchemaMigration,
+    /// How far this node is behind its inputs.
     load: LoadMonitor,
-    /// What a pass of the scheduler lately took of this node's time.
+    /// Until then this node counts as overloaded, see [`Controller::was_overloaded`].
+    overloaded_until: Micros,
+    /// What ticks with a placement pass have cost lately, as a moving average.
     placement_pass_cost: Micros,
     placement_pass_ran: bool,
-    /// Until then this controller counts as overloaded.
-    overloaded_until: Micros,
-    fatal_error: Option<String>,
     outputs: Vec<Output>,
 }
 
 impl Controller {
-    /// `run` tells this run of the process from all others.
+    /// A controller that knows nothing yet. `run` is the number of this process incarnation, which
+    /// no other process of the deployment has ever had.
     pub fn new(settings: Settings, props: Properties, run: u64) -> Self {
         let s = &settings.deployment;
         Self {
@@ -482,19 +132,8 @@
                 (props.leader_ttl_min.min(props.leader_ttl), props.leader_ttl),
             ),
             cloud: Cloud::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
-            final_states: FinalCache::new(FINAL_STATES_CACHED),
-            progress: Progress::default(),
-            progress_at: 0,
-            starvation: RequestStarvation::default(),
-            polls: Vec::new(),
-            poll_batch_due_at: Micros::MAX,
+            client_requests: ClientRequests::new(),
             rng_seed: if props.seed == 0 { run } else { props.seed },
-            client_requests: HashMap::default(),
-            proxied_requests: HashMap::default(),
-            next_proxied_conn: FIRST_PROXIED_CONN_ID,
-            unhelpful_until: HashMap::default(),
-            next_peer: 0,
-            leader_hint: None,
             leader_state: None,
             standby: Standby::default(),
             startup: Startup::default(),
@@ -502,34 +141,18 @@
             stalls: 0,
             last_stall: 0,
             resign_backoff: 0,
-            peer_seen_at: 0,
-            peer_checked_at: 0,
-            health_checked_at: 0,
-            serving_peers: HashMap::default(),
-            next_handover_at: 0,
-            peer_calls: HashMap::default(),
+            peer_links: PeerLinks::new(settings.peers.clone()),
             heartbeat_batch: HeartbeatBatch::default(),
-            batching_leader: None,
-            batch_support_asked_at: 0,
-            link_avoided_until: HashMap::default(),
-            link_refused_at: HashMap::default(),
-            link_failing_since: HashMap::default(),
-            submissions: HashMap::default(),
-            next_submission: 0,
-            schema_version: 0,
-            schema_check_at: 0,
-            schema_support_registered: false,
-            reduced_value_size: false,
-            reduced_write_rate: false,
+            submissions: Submissions::default(),
+            schema_migration: SchemaMigration::default(),
             load: LoadMonitor::default(),
+            overloaded_until: 0,
             placement_pass_cost: 0,
             placement_pass_ran: false,
-            overloaded_until: 0,
-            fatal_error: None,
             outputs: Vec::new(),
             now: Now::default(),
-            // A process may be back before all that its former life asked is answered: no number of
-            // one life is one of another.
+            // A process may restart before all calls of its former incarnation are answered: no
+            // ticket of one is used by another.
             tickets: if fault_injected(InjectedFault::TicketsReused) {
                 0
             } else {
@@ -540,23 +163,35 @@
         }
     }
 
-    /// How far behind its inputs this node is.
+    /// Sets how far behind its inputs this node is, and with that what it refuses.
     pub fn set_loop_load(&mut self, load: LoadMonitor) {
         if load.shed_level() != self.load.shed_level() {
-            let (lag, shed) = (load.lag() / MILLISECOND, load.shed_level());
-            if shed > self.load.shed_level() {
-                log::warn!("{lag} ms behind: refusing {shed:?}");
+            let (lag_ms, level) = (load.lag() / MILLISECOND, load.shed_level());
+            let severity = if level > self.load.shed_level() {
+                log::Level::Warn
             } else {
-                log::info!("{lag} ms behind: refusing {shed:?}");
-            }
+                log::Level::Info
+            };
+            log::log!(
+                severity,
+                "load shedding changed level={level:?} lag_ms={lag_ms}"
+            );
         }
         self.election.note_pause(self.now.steady, load.lag());
         self.load = load;
-        self.note_overload();
+        if load.lag() > OVERLOAD_LAG || load.connection_pressure != ConnectionPressure::Low {
+            self.overloaded_until = self.now.steady + OVERLOADED_FOR;
+        }
+    }
+
+    /// Whether this node was behind its inputs or short of connections within [`OVERLOADED_FOR`]. Each worker that
+    /// reconnects costs more than a late answer then.
+    fn was_overloaded(&self) -> bool {
+        self.now.steady < self.overloaded_until
     }
 
-    /// What the last `tick` took of this node's time. Where processor time is short a pass costs
-    /// many times what it would, and the next has to wait for as many times as long.
+    /// Tells what the last `tick` took, in microseconds. Where processor time is short, a placement
+    /// pass takes many times what it would otherwise, and the next one waits accordingly longer.
     pub fn note_tick_cost(&mut self, took: Micros) {
         if std::mem::take(&mut self.placement_pass_ran) {
             self.placement_pass_cost = (3 * self.placement_pass_cost + took) / 4;
@@ -566,84 +201,48 @@
     /// The earliest time at which `tick` has something to do.
     pub fn wake_at(&self) -> Micros {
         let now = self.now.steady;
-        let mut at = (now + 250 * MILLISECOND).min(self.poll_batch_due_at.max(now + MILLISECOND));
-        at = at.min(self.election.wake_at().max(now + MILLISECOND));
-        at = at.min(self.cloud.wake_at(self.is_leader()).max(now + MILLISECOND));
-        if let Some(t) = self.heartbeat_batch.due_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
-        if let Some(t) = self.worker_probe.wake_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
-        if let Some(t) = self.state.wake_at() {
-            at = at.min(t.max(now + MILLISECOND));
-        }
+        let mut at = self
+            .client_requests
+            .poll_batch_due_at()
+            .min(self.election.wake_at())
+            .min(self.cloud.wake_at(self.is_leader()));
+        let others = [
+            self.heartbeat_batch.due_at(),
+            self.worker_probe.wake_at(),
+            self.state.wake_at(),
+        ];
+        at = others.into_iter().flatten().fold(at, Micros::min);
         if let Some(leader_state) = &self.leader_state {
-            if let Some(t) = leader_state.placement_due_at {
-                at = at.min(
-                    t.max(leader_state.placement_not_before)
-                        .max(now + MILLISECOND),
-                );
-            }
-            if leader_state.save_pending {
-                at = at.min(leader_state.next_save_at.max(now + MILLISECOND));
-            }
-            at = at.min(leader_state.workers.wake_at(now).max(now + MILLISECOND));
+            at = at
+                .min(leader_state.schedule.wake_at())
+                .min(leader_state.workers.wake_at(now));
         }
-        at
+        at.clamp(now + TICK_INTERVAL_MIN, now + TICK_INTERVAL_MAX)
     }
 
     /// Whether this node may act as leader now.
     pub fn is_leader(&self) -> bool {
-        let t = self.now.steady;
-        self.leader_state.as_ref().is_some_and(|l| {
-            l.load.is_none()
-                && self.election.is_valid(t)
-                && l.cancellation_freshness
-                    .is_fresh(t, self.election.valid_since())
+        let now = self.now.steady;
+        self.leader_state.as_ref().is_some_and(|leader_state| {
+            leader_state.load.is_none()
+                && self.election.is_valid(now)
+                && leader_state
+                    .cancellation_freshness
+                    .is_fresh(now, self.election.valid_since())
         })
     }
 
-    /// Asks what was cancelled before that is too old; false while this node does not know it well enough
-    /// to act as leader. One place for all that acts: who asks `leads` is told the same.
-    fn refresh_cancellations(&mut self) -> bool {
-        let t = self.now.steady;
-        let since = self.election.valid_since();
-        let Some(leader_state) = &mut self.leader_state else {
-            return false;
-        };
-        if !self.election.is_valid(t) {
-            return false;
-        }
-        let holds = leader_state.cancellation_freshness.is_fresh(t, since);
-        if let Some(line) = leader_state.cancellation_freshness.note_state(t, holds) {
-            log::warn!("{line}");
-        }
-        if leader_state.cancellation_freshness.should_refresh(t, since) {
-            let (term, from) = (leader_state.term, leader_state.jobs_revision);
-            let op = Op::Watch {
-                prefix: LIVE_PREFIX,
-                from,
-                block: 0,
-            };
-            self.request_state(StateRequest::CatchUp { term }, op, 0);
-        }
-        if self.resign_if_cancellations_stale() {
-            return false;
-        }
-        holds
-    }
-
     fn set_now(&mut self, now: Now) {
         let gap = now.steady.saturating_sub(self.now.steady);
         if self.now.steady > 0 && gap > STALL_THRESHOLD {
             self.stalls += 1;
             self.last_stall = gap;
-            log::warn!("this node stood still for {} ms", gap / MILLISECOND);
+            log::warn!("process stalled stall_ms={}", gap / MILLISECOND);
         }
         self.now = now;
     }
 
+    /// Takes an input. What it leads to is sent with the next [`Controller::tick`].
     pub fn handle(&mut self, now: Now, input: Input) {
         self.set_now(now);
         match input {
@@ -661,27 +260,34 @@
                 addr,
                 body,
             } => {
-                self.peer_seen_at = now.steady;
-                self.handle_peer_request(conn, ticket, kind, patience, &addr, body);
+                self.peer_links.note_peer_seen(now.steady);
+                self.handle_peer_request(PeerFrame {
+                    conn,
+                    ticket,
+                    kind,
+                    patience,
+                    addr,
+                    body,
+                });
             }
             Input::Outcome { ticket, outcome } => self.handle_outcome(ticket, &outcome),
         }
     }
 
-    /// Does what is due and hands out what is to be sent.
+    /// Does what is due, and returns everything that is to be sent.
     pub fn tick(&mut self, now: Now) -> Vec<Output> {
         self.set_now(now);
-        let t = now.steady;
-        for (step, op) in self.election.tick(t) {
+        let steady = now.steady;
+        for (step, op) in self.election.tick(steady) {
             self.state.submit(
-                t,
+                steady,
                 StateRequest::Election(step),
                 RequestPriority::Vital,
                 op,
                 SECOND,
             );
         }
-        if self.state.should_probe(t) {
+        if self.state.should_probe(steady) {
             self.request_state(
                 StateRequest::AvailabilityProbe,
                 Op::Get(LEADER_KEY.to_owned()),
@@ -698,35 +304,37 @@
         self.replicate();
         self.probe_workers();
         self.check_schema_version();
-        let leads = self.is_leader();
+        let is_leader = self.is_leader();
         self.cloud
-            .tick(t, leads, &mut self.tickets, &mut self.outputs);
+            .tick(steady, is_leader, &mut self.tickets, &mut self.outputs);
         self.run_leader();
         self.send_heartbeat_batches();
         self.flush_polls();
-        // Twice: what ran out of patience may lead to new questions.
+        // Twice: requests that time out unsent may lead to new ones.
         for _ in 0..2 {
-            for (purpose, reply) in self
-                .state
-                .send_queued(t, &mut self.tickets, &mut self.outputs)
+            for (request, reply) in
+                self.state
+                    .send_queued(steady, &mut self.tickets, &mut self.outputs)
             {
-                self.handle_state_reply(purpose, reply, t);
+                self.handle_state_reply(request, reply, steady);
             }
         }
         std::mem::take(&mut self.outputs)
     }
 
-    fn request_state(&mut self, purpose: StateRequest, op: Op, patience: Micros) {
-        let rank = purpose.priority();
+    /// Asks the state service, in the queue that goes with the request.
+    fn request_state(&mut self, request: StateRequest, op: Op, timeout: Micros) {
+        let priority = request.priority();
         self.state
-            .submit(self.now.steady, purpose, rank, op, patience);
+            .submit(self.now.steady, request, priority, op, timeout);
     }
 
+    /// Answers a client, or the controller that forwarded its request.
     fn respond(&mut self, conn: ConnId, status: u16, body: &Value) {
-        if let Some(asked) = self.client_requests.remove(&conn) {
-            self.note_startup_answer(asked.method, status);
+        if let Some(request) = self.client_requests.take(conn) {
+            self.note_startup_answer(request.method, status);
         }
-        if let Some((conn, ticket)) = self.proxied_requests.remove(&conn) {
+        if let Some(ProxiedRequest { conn, ticket }) = self.client_requests.take_proxied(conn) {
             let body = body.to_string().into_bytes();
             return self.outputs.push(Output::PeerRespond {
                 conn,
@@ -746,171 +354,27 @@
         });
     }
 
-    fn respond_error(&mut self, conn: ConnId, status: u16, reason: &str) {
+    fn respond_error(&mut self, conn: ConnId, error: &ApiError) {
+        let status = error.status();
         if log::log_enabled!(log::Level::Debug) {
-            let what = self.client_requests.get(&conn).map_or("", |a| a.method);
-            log::debug!("answering {what} with {status}: {reason}");
-        }
-        self.respond(conn, status, &json!({"error": reason}));
-    }
-
-    /// Asks another controller; what becomes of its answer is `relay`'s.
-    fn call_peer(
-        &mut self,
-        relay: PeerCallPurpose,
-        dest: SocketAddr,
-        (kind, addr): (u16, String),
-        body: Vec<u8>,
-        timeout: Micros,
-    ) {
-        self.tickets += 1;
-        self.peer_calls.insert(self.tickets, relay);
-        self.outputs.push(Output::PeerCall {
-            ticket: self.tickets,
-            dest,
-            kind,
-            addr,
-            body,
-            timeout,
-        });
-    }
-
-    /// Tells another controller that its word was taken.
-    fn acknowledge(&mut self, conn: ConnId, ticket: Ticket) {
-        self.outputs.push(Output::PeerRespond {
-            conn,
-            ticket,
-            outcome: Outcome::Reply {
-                status: 200,
-                body: Vec::new(),
-            },
-        });
-    }
-
-    fn handle_peer_request(
-        &mut self,
-        conn: ConnId,
-        ticket: Ticket,
-        kind: u16,
-        patience: Micros,
-        addr: &str,
-        body: Vec<u8>,
-    ) {
-        match kind {
-            KIND_HEARTBEAT => {
-                let outcome = self.take_forwarded_heartbeat(addr, &body);
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            KIND_HEARTBEAT_BATCH => {
-                let outcome = self.take_heartbeat_batch(addr, &body);
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            KIND_DELIVER_COMMANDS => {
-                let Ok(dest) = addr.parse() else {
-                    return self.outputs.push(Output::PeerRespond {
-                        conn,
-                        ticket,
-                        outcome: Outcome::NotSent,
-                    });
-                };
-                self.tickets += 1;
-                self.peer_calls.insert(
-                    self.tickets,
-                    PeerCallPurpose::CommandDelivery { conn, ticket },
-                );
-                let timeout = patience
-                    .saturating_sub(patience / 4)
-                    .clamp(100 * MILLISECOND, 5 * SECOND);
-                self.outputs.push(Output::Call {
-                    ticket: self.tickets,
-                    dest,
-                    method: "POST",
-                    path: "/commands".to_owned(),
-                    body,
-                    timeout,
-                });
-            }
-            KIND_CLIENT_REQUEST => {
-                self.next_proxied_conn += 1;
-                let via = self.next_proxied_conn;
-                self.proxied_requests.insert(via, (conn, ticket));
-                let (method, path) = addr.split_once(' ').unwrap_or((addr, ""));
-                self.handle_request(via, method, path, body);
-            }
-            KIND_PROGRESS => {
-                if !self.is_leader() {
-                    self.leader_hint = Some((addr.to_owned(), self.now.steady));
-                }
-                self.progress.replace(&body);
-                self.progress_at = self.now.steady;
-                // Only what is probed gets users: a node may be cut off from the load balancer.
-                let probed = self.now.steady < self.health_checked_at + SERVING_FRESH_FOR;
-                // A full node is handed no workers: each would cost another its connection.
-                let room = self.load.connection_pressure == ConnectionPressure::Low;
-                let serves =
-                    probed && room && !self.cloud.types.is_empty() && !self.state.is_failing();
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome: Outcome::Reply {
-                        status: if serves { 200 } else { 503 },
-                        body: Vec::new(),
-                    },
-                });
-            }
-            KIND_PROBE_ANSWER => {
-                self.take_probe_answer(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_PROBE_WORKERS => {
-                self.accept_probe_assignment(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_CHECKSUM => {
-                self.leader_checksum_received(&body);
-                self.acknowledge(conn, ticket);
-            }
-            KIND_CANCELLED => {
-                if let Ok(uid) = std::str::from_utf8(&body) {
-                    self.cancellation_hinted(uid);
-                }
-                self.acknowledge(conn, ticket);
-            }
-            KIND_ADMIN_QUERY => {
-                let outcome = self.proxied_admin_report(addr, &body);
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome,
-                });
-            }
-            _ => self.outputs.push(Output::PeerRespond {
-                conn,
-                ticket,
-                outcome: Outcome::NotSent,
-            }),
+            let method = self.client_requests.method_of(conn);
+            log::debug!("request refused method={method} status={status} error={error}");
         }
+        self.respond(conn, status, &json!({"error": error.to_string()}));
     }
 
+    /// Routes the outcome of a call to the component that made it.
     fn handle_outcome(&mut self, ticket: Ticket, outcome: &Outcome) {
         let now = self.now.steady;
         if self.state.owns(ticket) {
-            if let Some((purpose, reply, sent)) = self.state.handle_outcome(now, ticket, outcome) {
-                self.handle_state_reply(purpose, reply, sent);
+            if let Some((request, reply, sent)) = self.state.handle_outcome(now, ticket, outcome) {
+                self.handle_state_reply(request, reply, sent);
             }
         } else if self.cloud.owns(ticket) {
-            let news = self.cloud.handle_outcome(now, ticket, outcome);
-            self.handle_cloud_events(news);
-        } else if let Some(relay) = self.peer_calls.remove(&ticket) {
-            self.handle_peer_reply(relay, outcome);
+            let events = self.cloud.handle_outcome(now, ticket, outcome);
+            self.handle_cloud_events(events);
+        } else if let Some(purpose) = self.peer_links.take_call(ticket) {
+            self.handle_peer_reply(purpose, outcome);
         } else if self.worker_probe.answered(ticket) {
             self.forward_probe_answer(outcome);
         } else if self.heartbeat_batch.owns(ticket) {
@@ -925,202 +389,16 @@
         }
     }
 
-    fn handle_peer_reply(&mut self, relay: PeerCallPurpose, outcome: &Outcome) {
-        // An order's answer is the worker's.
-        if matches!(outcome, Outcome::Reply { .. })
-            && !matches!(relay, PeerCallPurpose::CommandDelivery { .. })
-        {
-            self.peer_seen_at = self.now.steady;
-        }
-        match relay {
-            PeerCallPurpose::LivenessCheck => {}
-            PeerCallPurpose::ClientRequest { conn, peer } => match outcome {
-                Outcome::Reply { status, body } if *status != 503 => {
-                    self.outputs.push(Output::Respond {
-                        conn,
-                        status: *status,
-                        body: body.clone(),
-                        retry_after: None,
-                    });
-                }
-                _ => {
-                    let until = self.now.steady + SECOND;
-                    self.unhelpful_until.insert(peer, until);
-                    self.respond_error(conn, 503, "the state service does not answer");
-                }
-            },
-            PeerCallPurpose::CommandDelivery { conn, ticket } => {
-                self.outputs.push(Output::PeerRespond {
-                    conn,
-                    ticket,
-                    outcome: outcome.clone(),
-                });
-            }
-            PeerCallPurpose::ProgressAnnouncement { peer } => {
-                if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.serving_peers.insert(peer, self.now.steady);
-                }
-            }
-            PeerCallPurpose::ProbeAssignment { hosts } => {
-                if !matches!(outcome, Outcome::Reply { status: 200, .. })
-                    && let Some(leader_state) = &mut self.leader_state
-                {
-                    leader_state.workers.reclaim_probes(&hosts);
-                }
-            }
-            PeerCallPurpose::BatchSupport { run } => {
-                if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.batching_leader = Some(run);
-                }
-            }
-            PeerCallPurpose::DependencyQuery { conn, mut body } => {
-                let told = match outcome {
-                    Outcome::Reply { status: 200, body } => serde_json::from_slice(body).ok(),
-                    _ => None,
-                };
-                body["leader"] = told.unwrap_or_else(|| json!("the leader does not answer"));
-                self.respond(conn, 200, &body);
-            }
-            // An operator's question says nothing of the link: its answer may just have been late.
-            PeerCallPurpose::AdminQuery { conn } if !matches!(outcome, Outcome::Reply { .. }) => {
-                self.respond_error(conn, 503, "the leader does not answer");
-            }
-            PeerCallPurpose::Heartbeat { conn } | PeerCallPurpose::AdminQuery { conn } => {
-                match outcome {
-                    Outcome::Reply { status, body } => {
-                        let retry_after = None;
-                        self.outputs.push(Output::Respond {
-                            conn,
-                            status: *status,
-                            body: body.clone(),
-                            retry_after,
-                        });
-                    }
-                    other => self.heartbeat_failed(conn, other),
-                }
-            }
-        }
-    }
-
-    fn run_leader(&mut self) {
-        let now = self.now;
-        let t = now.steady;
-        if self.leader_state.as_ref().is_none_or(|l| l.load.is_some()) {
-            return;
-        }
-        let valid = self.refresh_cancellations();
-        let Some(leader_state) = &mut self.leader_state else {
-            return;
-        };
-        if !leader_state.watch_in_flight && t >= leader_state.next_watch_at {
-            leader_state.watch_in_flight = true;
-            let (term, from) = (leader_state.term, leader_state.jobs_revision);
-            self.state.submit(
-                t,
-                StateRequest::WatchJobs { term },
-                RequestPriority::Leader,
-                Op::Watch {
-                    prefix: LIVE_PREFIX,
-                    from,
-                    block: 20 * SECOND,
-                },
-                SECOND,
-            );
-        }
-        if !valid {
-            leader_state.valid_since = t;
-            return;
-        }
-        if t >= leader_state.maintenance_at {
-            leader_state.maintenance_at = t + 250 * MILLISECOND;
-            if self.resign_if_fleet_silent() || self.resign_if_numbering_exhausted() {
-                return;
-            }
-            self.run_maintenance();
-        }
-        self.apply_ledger_events();
-        self.read_dependency_outcomes();
-        self.cancel_dependents();
-        let Some(leader_state) = &mut self.leader_state else {
-            return;
-        };
-        if leader_state.placement_due_at.is_some_and(|p| p <= t)
-            && t >= leader_state
-                .placement_not_before
-                .max(leader_state.starts_held_until)
-            && !self.cloud.types.is_empty()
-            && self.load.may_start_work()
-        {
-            leader_state.placement_due_at = None;
-            let rest =
-                PLACEMENT_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
-            leader_state.placement_not_before = t + rest
-                .max(PASS_COST_MULTIPLE * self.placement_pass_cost)
-                .min(PASS_INTERVAL_MAX);
-            self.placement_pass_ran = true;
-            leader_state.failover.first_pass_at = leader_state.failover.first_pass_at.or(Some(t));
-            let may_stop = leader_state
-                .reconciliation
-                .take_preemption_allowance(t, leader_state.scheduler.completion_rate(t));
-            leader_state.scheduler.preemption_allowance = may_stop;
-            let placed = leader_state.scheduler.place_tasks(
-                t,
-                now.wall,
-                &mut leader_state.jobs,
-                &mut leader_state.workers,
-                &self.cloud.types,
-                &self.settings,
-            );
-            if may_stop.is_finite() {
-                leader_state
-                    .reconciliation
-                    .note_preempted(may_stop - leader_state.scheduler.preemption_allowance);
-            }
-            leader_state.save_pending |= !placed.is_empty();
-            for p in &placed {
-                if let Some(j) = leader_state.jobs.by_number.get(&p.key.job) {
-                    log::debug!(
-                        "{}/{} try {} goes to {}",
-                        j.spec.uid,
-                        p.key.index,
-                        p.attempt,
-                        p.machine
-                    );
-                }
-            }
-        }
-        self.apply_ledger_events();
-        let Some(leader_state) = &mut self.leader_state else {
-            return;
-        };
-        if t >= leader_state.next_save_at
-            && (leader_state.save_pending || t >= leader_state.next_save_at + SAVE_SCAN_INTERVAL)
-        {
-            leader_state.save_pending = false;
-            leader_state.next_save_at =
-                t + SAVE_INTERVAL_PER_JOB * leader_state.jobs.by_number.len() as Micros;
-            self.save_jobs();
-        }
-        let Some(leader_state) = &mut self.leader_state else {
-            return;
-        };
-        leader_state.workers.loop_lag = self.load.lag();
-        leader_state
-            .workers
-            .send_due(t, &mut self.tickets, &mut self.outputs);
-    }
-
-    /// How many machines were looked at so far: tests bound the work of an event by it.
+    /// How many machines have been examined so far, by which tests bound the work of an event.
     pub fn machines_examined(&self) -> u64 {
-        self.leader_state.as_ref().map_or(0, |l| {
-            l.workers.machines_examined + l.scheduler.capacity.machines_examined
+        self.leader_state.as_ref().map_or(0, |leader_state| {
+            leader_state.workers.machines_examined
+                + leader_state.scheduler.capacity.machines_examined
         })
     }
 
-    /// The live job as the leader holds it; for tests and the operators.
+    /// The live job as the leader holds it, for tests.
     pub fn job(&self, uid: &str) -> Option<&Job> {
         self.leader_state.as_ref()?.jobs.get(uid)
     }
 }
-
-const FINISHED_PREFIX: &str = crate::job_record::FINISHED_PREFIX;
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,10 +1,23 @@
-//! What operators may look at.
+//! What operators may inspect: the paths below `/inspect`.
+//!
+//! Everything here only reads. Questions about workers and jobs are answered by the leader; another
+//! node passes them on to it and returns its answer.
 
-use super::*;
+use super::Controller;
+use super::api_error::ApiError;
+use super::leader::LeaderState;
+use super::peer_links::{PeerCallPurpose, PeerRequest};
+use super::schema_migration::PROGRAM_VERSION;
 use crate::admin_client::PAGE_QUERY_PREFIX;
+use crate::clock::MILLISECOND;
+use crate::jobs::Job;
+use crate::messages::{ConnId, Outcome};
 use crate::scheduler::silence_limit;
-use crate::wire::FRAME_MAX;
+use crate::schema::SCHEMA_VERSION;
+use crate::wire::{FRAME_MAX, KIND_ADMIN_QUERY};
 use crate::worker_ledger::Machine;
+use serde_json::{Value, json};
+use std::collections::BTreeMap;
 use std::ops::Bound;
 
 /// Bytes of rows on a page: below the longest line of an answer, far below a frame, and little of a leader's time.
@@ -29,20 +42,12 @@
 }
 
 impl Controller {
+    /// Routes a request below `/inspect`.
     pub(super) fn handle_admin_request(&mut self, conn: ConnId, rest: &[&str], query: &str) {
         let after = query.strip_prefix(PAGE_QUERY_PREFIX).unwrap_or("");
         match rest {
             ["job", uid] => {
-                let uid: Arc<str> = (*uid).into();
-                self.request_state(
-                    StateRequest::InspectJob {
-                        conn,
-                        uid: uid.clone(),
-                        over: false,
-                    },
-                    Op::Get(live_key(&uid)),
-                    CLIENT_REQUEST_TIMEOUT,
-                );
+                self.read_inspected_job(conn, (*uid).into(), false);
             }
             ["status" | "workers" | "jobs"] | ["workers" | "jobs", _] => {
                 if self.leader_state.is_some() || rest == ["status"] {
@@ -50,29 +55,18 @@
                     return self.respond(conn, 200, &body);
                 }
                 let leader = self.election.leader().map(|r| r.node.clone());
-                let Some(peer) = self
-                    .settings
-                    .peers
-                    .iter()
-                    .find(|p| Some(&p.name) == leader.as_ref())
-                else {
-                    return self.respond_error(conn, 503, "no leader at the moment");
+                let peer = leader.and_then(|name| self.peer_links.peer_named(&name));
+                let Some(peer) = peer else {
+                    return self.respond_error(conn, &ApiError::NoLeader);
                 };
-                // The version before reads no body, and answers whole.
-                let about = (KIND_ADMIN_QUERY, rest.join("/"));
+                let dest = peer.address;
                 self.call_peer(
+                    dest,
                     PeerCallPurpose::AdminQuery { conn },
-                    peer.address,
-                    about,
-                    after.as_bytes().to_vec(),
-                    PEER_CALL_TIMEOUT,
+                    PeerRequest::new(KIND_ADMIN_QUERY, rest.join("/"), after.as_bytes().to_vec()),
                 );
             }
-            _ => self.respond_error(
-                conn,
-                404,
-                "ask for /inspect/status, /inspect/job/UID, /inspect/jobs or /inspect/workers",
-            ),
+            _ => self.respond_error(conn, &ApiError::NoSuchInspection),
         }
     }
 
@@ -85,25 +79,25 @@
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return self.respond(conn, 200, &body);
         };
-        let about = (KIND_ADMIN_QUERY, format!("chain/{uid}"));
         self.call_peer(
-            PeerCallPurpose::DependencyQuery { conn, body },
             dest,
-            about,
-            Vec::new(),
-            PEER_CALL_TIMEOUT,
+            PeerCallPurpose::DependencyQuery { conn, body },
+            PeerRequest::new(KIND_ADMIN_QUERY, format!("chain/{uid}"), Vec::new()),
         );
     }
 
-    /// An operator's question that came through another controller.
+    /// The answer to an operator's question that another controller passed on. The key after which a page of a list
+    /// begins is the frame's body; the version before reads none, and answers with the whole list.
     pub(super) fn proxied_admin_report(&self, about: &str, after: &[u8]) -> Outcome {
         let after = std::str::from_utf8(after).unwrap_or("");
         let body = self.admin_report(&about.split('/').collect::<Vec<_>>(), after);
         let (status, body) = match body.to_string() {
             text if text.len() <= FRAME_MAX => (200, text),
             text => {
-                let length = text.len();
-                log::error!("what was asked of {about} takes {length} bytes, a frame {FRAME_MAX}");
+                let bytes = text.len();
+                log::error!(
+                    "answer to an operator does not fit a frame about={about} bytes={bytes} max={FRAME_MAX}"
+                );
                 let error = "the answer does not fit a frame between controllers: ask the leader";
                 (500, json!({ "error": error }).to_string())
             }
@@ -114,47 +108,11 @@
         }
     }
 
-    /// What the leader knows; of lists one page, of what comes after that key.
+    /// What this node answers to an operator's question, whoever passes it on. Of a list it is one page, of what
+    /// follows the key `after`.
     pub(super) fn admin_report(&self, rest: &[&str], after: &str) -> Value {
-        let t = self.now.steady;
         let Some(leader_state) = self.leader_state.as_ref().filter(|_| rest != ["status"]) else {
-            let leader = self.election.leader();
-            let (unanswered, longest) = self.starvation.worst(t);
-            return json!({
-                "node": self.settings.name,
-                "leader": leader.map(|r| r.node.clone()),
-                "term": leader.map(|r| r.term),
-                "leads": self.is_leader(),
-                "jobs": self.leader_state.as_ref().map(|l| l.jobs.by_number.len()),
-                "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
-                "booting": self.cloud.booting.len(),
-                "types": self.cloud.types.len(),
-                "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
-                "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
-                "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
-                "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
-                "state_service_fails": self.state.is_failing(),
-                "cut_off": self.is_isolated(),
-                "jobs_without_answer": unanswered,
-                "longest_without_answer_ms": longest / MILLISECOND,
-                "machines_held": self.leader_state.as_ref().map(|l| self.count_unavailable_machines(l)),
-                "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
-                "lag_ms": self.load.lag() / MILLISECOND,
-                "worst_lag_ms": self.load.worst_lag / MILLISECOND,
-                "shedding": format!("{:?}", self.load.shed_level()).to_lowercase(),
-                "following": self.inspect_standby(),
-                "stalls": self.stalls,
-                "last_stall_ms": self.last_stall / MILLISECOND,
-                "version": schema_migration::VERSION,
-                "format_known": SCHEMA_VERSION,
-                "format_stored": self.schema_version,
-                "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
-                "missing_for_next_format": self.leader_state.as_ref().filter(|_| self.schema_version < SCHEMA_VERSION).map(|_| self.controllers_without_support()),
-                "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
-                    "squared": l.workers.reconciled})),
-                "work": self.leader_state.as_ref().map(|l| &l.accounting),
-                "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
-            });
+            return self.inspect_status();
         };
         if let ["chain", uid] = rest {
             return self.inspect_dependencies(uid);
@@ -163,10 +121,21 @@
         if rest.first() == Some(&"jobs") {
             return self.inspect_jobs(leader_state, only, after);
         }
+        self.inspect_workers(leader_state, only, after)
+    }
+
+    /// A page of what each worker holds, by the leader's ledger, of all machines or of one.
+    fn inspect_workers(
+        &self,
+        leader_state: &LeaderState,
+        only: Option<&str>,
+        after: &str,
+    ) -> Value {
         let from = (Bound::Excluded(after), Bound::Unbounded);
         let machines = leader_state.workers.machines.range::<str, _>(from);
-        let machines = machines.filter(|(id, _)| only.is_none_or(|o| o == &***id));
-        let (machines, next) = page(machines.map(|(id, m)| (&**id, self.inspect_machine(m))));
+        let machines = machines.filter(|(id, _)| only.is_none_or(|only| only == &***id));
+        let (machines, next) =
+            page(machines.map(|(id, machine)| (&**id, self.inspect_machine(machine))));
         let machines: BTreeMap<&str, Value> = machines.into_iter().collect();
         let mut body =
             json!({"leader": self.settings.name, "term": leader_state.term, "workers": machines});
@@ -176,21 +145,64 @@
         body
     }
 
-    fn inspect_machine(&self, m: &Machine) -> Value {
-        let t = self.now.steady;
-        let tasks: Vec<Value> = m
+    fn inspect_machine(&self, machine: &Machine) -> Value {
+        let now = self.now.steady;
+        let tasks: Vec<Value> = machine
             .tasks
             .iter()
-            .map(|((k, a), e)| {
-                json!({"task": format!("{}/{}", e.uid, k.index), "attempt": a, "state": format!("{:?}", e.state),
-                       "halting": e.is_stopping(), "cause": e.cause})
+            .map(|((task, attempt), entry)| {
+                json!({"task": format!("{}/{}", entry.uid, task.index), "attempt": attempt,
+                       "state": format!("{:?}", entry.state), "halting": entry.is_stopping(), "cause": entry.cause})
             })
             .collect();
-        let silent_ms = t.saturating_sub(m.last_seen_at) / MILLISECOND;
-        json!({"type": m.machine_type, "zone": m.zone, "spot": m.spot, "session": m.agent_epoch,
-            "heard": m.term_confirmed, "in_doubt": m.is_in_doubt(), "silent_ms": silent_ms, "quarantined": m.quarantined_until > t,
-            "held_for": m.unavailable_reason(t, silence_limit(&self.settings)),
-            "notice": m.reclaim_at.is_some(), "tasks": tasks})
+        let silent_ms = now.saturating_sub(machine.last_seen_at) / MILLISECOND;
+        json!({"type": machine.machine_type, "zone": machine.zone, "spot": machine.spot, "session": machine.agent_epoch,
+               "heard": machine.term_confirmed, "in_doubt": machine.is_in_doubt(), "silent_ms": silent_ms,
+               "quarantined": machine.quarantined_until > now,
+               "held_for": machine.unavailable_reason(now, silence_limit(&self.settings)),
+               "notice": machine.reclaim_at.is_some(), "tasks": tasks})
+    }
+
+    /// The state of this node, and, if it leads, of the fleet.
+    fn inspect_status(&self) -> Value {
+        let t = self.now.steady;
+        let leader = self.election.leader();
+        let (unanswered, longest) = self.client_requests.worst_starvation(t);
+        json!({
+            "node": self.settings.name,
+            "leader": leader.map(|r| r.node.clone()),
+            "term": leader.map(|r| r.term),
+            "leads": self.is_leader(),
+            "jobs": self.leader_state.as_ref().map(|l| l.jobs.by_number.len()),
+            "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
+            "booting": self.cloud.booting.len(),
+            "types": self.cloud.types.len(),
+            "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
+            "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
+            "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
+            "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
+            "state_service_fails": self.state.is_failing(),
+            "cut_off": self.is_isolated(),
+            "jobs_without_answer": unanswered,
+            "longest_without_answer_ms": longest / MILLISECOND,
+            "machines_held": self.leader_state.as_ref().map(|l| self.count_unavailable_machines(l)),
+            "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
+            "lag_ms": self.load.lag() / MILLISECOND,
+            "worst_lag_ms": self.load.worst_lag / MILLISECOND,
+            "shedding": format!("{:?}", self.load.shed_level()).to_lowercase(),
+            "following": self.inspect_standby(),
+            "stalls": self.stalls,
+            "last_stall_ms": self.last_stall / MILLISECOND,
+            "version": PROGRAM_VERSION,
+            "format_known": SCHEMA_VERSION,
+            "format_stored": self.schema_migration.version(),
+            "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
+            "missing_for_next_format": self.leader_state.as_ref().filter(|_| !self.schema_migration.is_complete()).map(|_| self.controllers_without_support()),
+            "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
+                "squared": l.workers.reconciled})),
+            "work": self.leader_state.as_ref().map(|l| &l.accounting),
+            "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
+        })
     }
 
     /// How many machines may take no new tasks, by the reason.
@@ -237,22 +249,25 @@
         })
     }
 
-    /// The live jobs that this leader believes it holds, of all teams or of one.
+    /// A page of the live jobs that this leader believes it holds, of all teams or of one.
     fn inspect_jobs(&self, leader_state: &LeaderState, team: Option<&str>, after: &str) -> Value {
         let jobs = leader_state.jobs.by_number.values();
-        let jobs = jobs.filter(|j| team.is_none_or(|t| t == &*j.spec.team));
-        let mut jobs: Vec<&Job> = jobs.filter(|j| &*j.spec.uid > after).collect();
-        // Numbers are another leader's, should the lead change between two pages.
-        jobs.sort_unstable_by_key(|j| &j.spec.uid);
-        let rows = jobs.into_iter().map(|j| {
-            let row = json!({"uid": j.spec.uid, "team": j.spec.team, "class": j.spec.class, "accepted_by": j.accepted_by,
-                "tasks": j.spec.tasks, "done": j.spec.tasks - j.remaining_tasks(), "placed": j.placements.len(),
-                "waiting": j.pending_count, "waits_because": self.wait_reason(leader_state, j), "cancelled": j.cancelled, "failing": !j.errors.is_empty()});
-            (&*j.spec.uid, row)
+        let jobs = jobs.filter(|job| team.is_none_or(|team| team == &*job.spec.team));
+        let mut jobs: Vec<&Job> = jobs.filter(|job| &*job.spec.uid > after).collect();
+        // By id: numbers are another leader's, should leadership change between two pages.
+        jobs.sort_unstable_by_key(|job| &job.spec.uid);
+        let rows = jobs.into_iter().map(|job| {
+            let row = json!({"uid": job.spec.uid, "team": job.spec.team, "class": job.spec.class,
+                "accepted_by": job.accepted_by, "tasks": job.spec.tasks,
+                "done": job.spec.tasks - job.remaining_tasks(), "placed": job.placements.len(),
+                "waiting": job.pending_count, "waits_because": self.wait_reason(leader_state, job),
+                "cancelled": job.cancelled, "failing": !job.errors.is_empty()});
+            (&*job.spec.uid, row)
         });
         let (rows, next) = page(rows);
-        let rows: Vec<Value> = rows.into_iter().map(|r| r.1).collect();
-        let mut body = json!({"leader": self.settings.name, "term": leader_state.term, "leads": self.is_leader(), "jobs": rows});
+        let rows: Vec<Value> = rows.into_iter().map(|(_, row)| row).collect();
+        let mut body = json!({"leader": self.settings.name, "term": leader_state.term,
+            "leads": self.is_leader(), "jobs": rows});
         if let Some(next) = next {
             body["next"] = json!(next);
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,12 +1,38 @@
-//! Jobs that wait for others, on the leader: what frees them, and what ends them.
+//! Jobs that depend on others, on the leader: what releases them, and what cancels them.
+//!
+//! How a job ended is taken from its stored final state alone. A job is released once everything
+//! that it depends on is stored as done; it is cancelled once one of its dependencies is stored as
+//! cancelled, and so on along the graph.
 
-use super::*;
+use super::leader::LeaderState;
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
+use crate::clock::{Micros, from_secs};
+use crate::cloud::Cloud;
+use crate::dependency_graph::latest_start;
+use crate::election::LEADER_KEY;
+use crate::job_record::{FinalState, finished_key, live_key};
+use crate::scheduler::Scheduler;
+use crate::state_client::{Op, Reply, RequestPriority, Transaction};
+use crate::wire::JobSpec;
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, VecDeque};
+use std::sync::Arc;
 
-/// The largest part of the queue of users' rank that cascades take.
+/// Cascading cancellations are written only while fewer requests of clients than this are queued.
 const QUEUED_CASCADES_MAX: usize = 3;
 
+/// A job to be cancelled because a job that it depends on was.
+#[derive(Clone, Debug)]
+pub(super) struct CascadingCancellation {
+    /// The job to be cancelled.
+    uid: Arc<str>,
+    /// The job whose cancellation started the cascade.
+    root: Arc<str>,
+}
+
 impl Controller {
-    /// Takes a job that waits for others into the graph.
+    /// Adds a job that waits for others to the dependency graph.
     pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
         let Some(job) = leader_state
             .jobs
@@ -17,8 +43,8 @@
         };
         let (spec, accepted) = (job.spec.clone(), job.accepted_at);
         let table = &leader_state.jobs;
-        leader_state.pipelines.add(&spec, accepted, |need| {
-            table.get(need).is_some_and(|j| !j.cancelled)
+        leader_state.pipelines.add(&spec, accepted, |dependency| {
+            table.get(dependency).is_some_and(|job| !job.cancelled)
         });
         let scheduler = &leader_state.scheduler;
         leader_state
@@ -28,9 +54,9 @@
             });
     }
 
-    /// Asks how needed jobs ended that are not live any more.
+    /// Reads how jobs ended that others depend on and that are not live any more.
     pub(super) fn read_dependency_outcomes(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -38,7 +64,7 @@
             return;
         }
         let term = leader_state.term;
-        for uid in leader_state.pipelines.take_outcomes_to_read(t) {
+        for uid in leader_state.pipelines.take_outcomes_to_read(now) {
             let key = finished_key(&uid);
             self.request_state(
                 StateRequest::ReadDependencyOutcome { term, uid },
@@ -48,6 +74,7 @@
         }
     }
 
+    /// Handles how a job ended that others depend on.
     pub(super) fn dependency_outcome_read(&mut self, uid: &Arc<str>, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -57,19 +84,22 @@
         match reply {
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
-                Err(e) => {
-                    // It proves nothing: those that need it go on waiting.
-                    log::error!("{} can't be read: {e}", item.path);
+                Err(error) => {
+                    // It proves nothing: its dependents go on waiting.
+                    log::error!(
+                        "stored final state unreadable key={} error={error}",
+                        item.path
+                    );
                     leader_state.pipelines.retry_outcome(now, uid);
                 }
             },
-            // Live after all: its end will be told.
+            // Live after all: its end will be reported.
             Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
             _ => leader_state.pipelines.retry_outcome(now, uid),
         }
     }
 
-    /// A job that others may wait for is stored as over.
+    /// The final state of a job that others may depend on is stored.
     pub(super) fn dependency_finished(
         leader_state: &mut LeaderState,
         now: Micros,
@@ -87,30 +117,28 @@
         for dependent in leader_state.pipelines.dependency_cancelled(uid) {
             leader_state
                 .cascading_cancellations
-                .push_back((dependent, root.clone()));
+                .push_back(CascadingCancellation {
+                    uid: dependent,
+                    root: root.clone(),
+                });
         }
     }
 
-    /// The end of a job is stored: what needs nothing more is placed now, not at the round.
-    pub(super) fn dependency_done(
-        leader_state: &mut LeaderState,
-        now: Micros,
-        uid: &Arc<str>,
-        at: Micros,
-    ) {
+    /// A job is stored as done: dependents that wait for nothing more are placed without delay.
+    fn dependency_done(leader_state: &mut LeaderState, now: Micros, uid: &Arc<str>, at: Micros) {
         for (dependent, ready) in leader_state.pipelines.dependency_done(uid, at) {
             if let Some(job) = leader_state.jobs.get_mut(&dependent) {
-                log::info!("job {dependent} waits for no other job any more");
+                log::info!("job released by its dependencies job={dependent}");
                 job.ready_at = Some(ready.max(job.accepted_at));
-                leader_state.placement_due_at = Some(now);
+                leader_state.schedule.request_placement_now(now);
             }
         }
     }
 
-    /// Ends the jobs that need a cancelled one, in the rank of the user who cancelled it.
+    /// Cancels the jobs that depend on a cancelled one, with the priority of clients' changes.
     pub(super) fn cancel_dependents(&mut self) {
         let wall = self.now.wall;
-        let layout = self.schema();
+        let schema = self.schema();
         if self.state.queued(RequestPriority::Client) >= QUEUED_CASCADES_MAX {
             return;
         }
@@ -124,28 +152,32 @@
         let mut later = VecDeque::new();
         let mut txn = Transaction::default().require_revision(LEADER_KEY, mod_revision);
         let mut items = Vec::new();
-        while let Some((uid, root)) = leader_state.cascading_cancellations.pop_front() {
-            let Some(job) = leader_state.jobs.get_mut(&uid).filter(|j| !j.cancelled) else {
+        while let Some(cascade) = leader_state.cascading_cancellations.pop_front() {
+            let CascadingCancellation { uid, root } = &cascade;
+            let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
                 continue;
             };
-            if txn.changes.len() + 2 > layout.txn_ops || job.save_in_flight || job.reread_pending {
-                later.push_back((uid, root));
+            if txn.changes.len() + 2 > schema.txn_ops || job.save_in_flight || job.reread_pending {
+                later.push_back(cascade);
                 continue;
             }
             if !job.waits_for_dependencies() {
-                // It was let go on: then all that it needs were done, and their ends don't change.
-                log::error!("job {uid} runs, though {root}, which it needs, was cancelled");
+                // It was released: then all its dependencies were done, and a final state never
+                // changes.
+                log::error!(
+                    "job runs though a dependency was cancelled job={uid} cancelled={root}"
+                );
                 continue;
             }
             job.save_in_flight = true;
             let mut end = job.record().finish("cancelled", wall);
             end.cancelled_with = Some(root.to_string());
             txn = txn
-                .require_revision(live_key(&uid), job.mod_revision)
-                .require_revision(finished_key(&uid), 0)
-                .delete(live_key(&uid))
-                .set(finished_key(&uid), &end.fit(layout.usable_bytes()));
-            items.push((uid, root));
+                .require_revision(live_key(uid), job.mod_revision)
+                .require_revision(finished_key(uid), 0)
+                .delete(live_key(uid))
+                .set(finished_key(uid), &end.fit(schema.usable_bytes()));
+            items.push(cascade);
         }
         leader_state.cascading_cancellations = later;
         if !items.is_empty() {
@@ -157,37 +189,51 @@
         }
     }
 
-    pub(super) fn dependents_cancelled(&mut self, items: Vec<(Arc<str>, Arc<str>)>, reply: &Reply) {
+    /// Handles the reply to a write of cascading cancellations.
+    pub(super) fn dependents_cancelled(
+        &mut self,
+        items: Vec<CascadingCancellation>,
+        reply: &Reply,
+    ) {
         let mut reread = Vec::new();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for (uid, root) in items {
+        for CascadingCancellation { uid, root } in items {
             if let Some(job) = leader_state.jobs.get_mut(&uid) {
                 job.save_in_flight = false;
             }
             match reply {
                 Reply::Applied { .. } => {
-                    log::info!("job {uid} is cancelled with {root}, which it needs");
+                    log::info!("job cancelled with a dependency job={uid} cancelled={root}");
                     leader_state.pipelines.forget(&uid);
                     for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
                         leader_state
                             .cascading_cancellations
-                            .push_back((dependent, root.clone()));
+                            .push_back(CascadingCancellation {
+                                uid: dependent,
+                                root: root.clone(),
+                            });
                     }
                     leader_state.jobs.remove(&uid);
                 }
-                Reply::Unavailable => leader_state.cascading_cancellations.push_back((uid, root)),
+                Reply::Unavailable => leader_state
+                    .cascading_cancellations
+                    .push_back(CascadingCancellation { uid, root }),
                 Reply::Conflict { failed } => {
                     if failed.contains(&live_key(&uid)) || failed.contains(&finished_key(&uid)) {
                         reread.push(uid.clone());
                     }
-                    leader_state.cascading_cancellations.push_back((uid, root));
+                    leader_state
+                        .cascading_cancellations
+                        .push_back(CascadingCancellation { uid, root });
                 }
                 // It may have been applied.
                 _ => {
                     reread.push(uid.clone());
-                    leader_state.cascading_cancellations.push_back((uid, root));
+                    leader_state
+                        .cascading_cancellations
+                        .push_back(CascadingCancellation { uid, root });
                 }
             }
         }
@@ -196,7 +242,7 @@
         }
     }
 
-    /// What the leader knows of a job's pipeline.
+    /// What the leader knows about a job's dependencies, for operators.
     pub(super) fn inspect_dependencies(&self, uid: &str) -> Value {
         let Some((leader_state, job)) = self
             .leader_state
@@ -206,29 +252,29 @@
             return Value::Null;
         };
         let unmet = leader_state.pipelines.unmet_dependencies(uid);
-        let state = |need: &Arc<str>| match leader_state.jobs.get(need) {
-            _ if !unmet.contains(need) => "done",
+        let state = |dependency: &Arc<str>| match leader_state.jobs.get(dependency) {
+            _ if !unmet.contains(dependency) => "done",
             Some(j) if j.cancelled => "cancelled",
             Some(j) if j.waits_for_dependencies() => "waits for other jobs",
             Some(j) if j.placements.is_empty() => "pending",
             Some(_) => "running",
             None => "not known yet",
         };
-        let needs: BTreeMap<&str, &str> = job
+        let dependencies: BTreeMap<&str, &str> = job
             .spec
             .waits_on
             .iter()
-            .map(|need| (&**need, state(need)))
+            .map(|dependency| (&**dependency, state(dependency)))
             .collect();
         let run = expected_step_time(&leader_state.scheduler, &self.cloud, &job.spec);
-        json!({"waits_on": needs, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
+        json!({"waits_on": dependencies, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
                "priority": job.priority(), "latest_start": latest_start(job, run),
                "ready": job.ready_at, "now": self.now.wall, "waits_because": self.wait_reason(leader_state, job)})
     }
 }
 
-/// What a step of a pipeline takes from its release to its end: fetch, and the slowest of its
-/// tasks, which run longer than one does on the whole.
+/// How long a job takes from its release to its end, in microseconds: fetching its image, and the
+/// slowest of its tasks, which takes longer than the average one.
 fn expected_step_time(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,74 +1,70 @@
-//! Workers' reports: taken by the leader, passed on to it by the others.
-
-use super::*;
+//! Workers' heartbeats: applied by the leader, passed on to it by the other controllers.
+//!
+//! A heartbeat is answered with 200 only by a leader that may act; the commands for the worker are
+//! in that answer. Other controllers batch heartbeats for the leader, and, while they can't reach
+//! it, send the worker to another controller. After a change of leader, workers are probed by all
+//! controllers, since most of them report to one that does not lead.
+
+use super::Controller;
+use super::api_error::ApiError;
+use super::peer_links::{PEER_CALL_TIMEOUT, PeerCallPurpose, PeerRequest};
+use crate::clock::{Micros, SECOND};
+use crate::load_shedding::ConnectionPressure;
+use crate::messages::{ConnId, Outcome, Output, Ticket};
 use crate::reconciliation::ReconciliationPhase;
+use crate::settings::Peer;
 use crate::wire::{
-    AnswerRow, Commands, FRAME_MAX, HeartbeatRow, HeartbeatSummary, ProbeRow, SEND_FULL_HEARTBEAT,
+    AnswerRow, Commands, FRAME_MAX, Heartbeat, HeartbeatRow, HeartbeatSummary, KIND_HEARTBEAT,
+    KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, ProbeRow, SEND_FULL_HEARTBEAT,
 };
 use crate::worker_ledger::{RepeatOutcome, first_fencing_token};
-use zerocopy::FromBytes;
-
-/// A link over which a call failed is not used for that long.
-const LINK_AVOIDED_FOR: Micros = 4 * SECOND;
-
-/// At an overloaded controller a report may wait that long for the leader's answer. Its worker gives it
-/// 4 s: were it given up before that, a leader that is 2 s behind would see every worker come anew, which puts it
-/// further behind.
-const HEARTBEAT_FORWARD_TIMEOUT: Micros = 3 * SECOND;
-/// A controller whose inputs wait for longer than that is overloaded; for a while after it the rules against workers
-/// that come anew hold.
-const OVERLOAD_LAG: Micros = 100 * MILLISECOND;
-const OVERLOADED_FOR: Micros = 30 * SECOND;
-/// A leader that has spoken to this controller so lately is there, and the link to it too: it is slow.
-const LEADER_HEARD_FOR: Micros = 4 * SECOND;
-
-/// The same while it is in doubt whether there is a leader at its other end.
-const DOUBTFUL_LINK_AVOIDED_FOR: Micros = 400 * MILLISECOND;
-/// Of so many workers that can't be served by way of here, all but one are sent straight to a leader
-/// that refuses us.
-const DIRECT_REDIRECT_PERIOD: usize = 4;
-/// A leader hands one worker at a time to another controller, and only where so many can take them.
-const HANDOVER_INTERVAL: Micros = 50 * MILLISECOND;
-const HANDOVER_PEERS_MIN: usize = 2;
-/// So many workers to be asked go in a frame.
+use serde_json::json;
+use std::net::SocketAddr;
+use zerocopy::{FromBytes, IntoBytes};
+
+/// At most this many workers to be probed go in a frame.
 const PROBE_ROWS_PER_FRAME: usize = 512;
-/// Answers to many reports go in one frame: past that many bytes the other reports of it are not taken yet. One
-/// answer, of at most some hundred orders, is shorter than what is left.
+/// Answers to a batch go in one frame: past this many bytes the other heartbeats of the batch are not applied yet.
+/// One answer, of at most some hundred commands, is shorter than what is left of the frame.
 const ANSWER_FRAME_BYTES_MAX: usize = FRAME_MAX - 128 * 1024;
-/// How often a leader is asked whether it takes many reports in a frame.
-const BATCH_SUPPORT_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
-
-/// The answer to a report.
+/// At an overloaded node a heartbeat may wait this long for the leader's answer. Its worker waits 4 s: were it given up
+/// earlier, a leader that is 2 s behind would see every worker reconnect, which puts it further behind.
+const OVERLOADED_HEARTBEAT_TIMEOUT: Micros = 3 * SECOND;
+/// What becomes of a heartbeat.
 enum HeartbeatOutcome {
+    /// It was applied; these are the commands for the worker.
     Commands(Commands),
-    /// No 200 for this worker.
+    /// The worker's machine was released: it gets no 200.
     Refused,
+    /// It can't be parsed.
     Malformed(String),
+    /// It is a repeat of a heartbeat that the leader does not know: it has to be sent in full.
     Unknown,
 }
 
 impl Controller {
+    /// Handles a heartbeat that a worker sent to this node.
     pub(super) fn handle_heartbeat(&mut self, conn: ConnId, body: Vec<u8>) {
         if self.refused_as_isolated(conn) {
             return;
         }
         self.worker_probe.note_heartbeat(self.now.steady, &body);
         if self.is_leader() {
-            if let Some(label) = self.handover_target() {
-                return self.respond(conn, 421, &json!({"boss": label}));
+            if let Some(name) = self.handover_target() {
+                return self.respond(conn, 421, &json!({"boss": name}));
             }
             return match self.take_heartbeat(&body, None) {
-                HeartbeatOutcome::Commands(orders) => self.outputs.push(Output::Respond {
+                HeartbeatOutcome::Commands(commands) => self.outputs.push(Output::Respond {
                     conn,
                     status: 200,
-                    body: encode_commands(&orders),
+                    body: encode_commands(&commands),
                     retry_after: None,
                 }),
-                HeartbeatOutcome::Malformed(e) => {
-                    self.respond_error(conn, 400, &format!("report: {e}"))
+                HeartbeatOutcome::Malformed(reason) => {
+                    self.respond_error(conn, &ApiError::MalformedHeartbeat(reason));
                 }
                 HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
-                    self.respond_error(conn, 503, "this machine has been returned");
+                    self.respond_error(conn, &ApiError::MachineReleased);
                 }
             };
         }
@@ -78,26 +74,26 @@
                 .push(self.now.steady, conn, body)
                 .is_err()
             {
-                self.respond_error(conn, 503, "no leader at the moment");
+                self.respond_error(conn, &ApiError::NoLeader);
             }
             return;
         };
-        let (label, endpoint) = (peer.name.clone(), peer.address);
-        if self.returns_worker_to_leader() {
-            return self.respond(conn, 421, &json!({"boss": label}));
+        let (leader, address) = (peer.name.clone(), peer.address);
+        if self.hands_worker_back() {
+            return self.respond(conn, 421, &json!({"boss": leader}));
         }
-        if self.is_link_avoided(endpoint) {
-            if !self.may_answer_later(endpoint)
+        if self.is_link_avoided(address) {
+            if !self.may_answer_later(address)
                 || self
                     .heartbeat_batch
                     .push(self.now.steady, conn, body)
                     .is_err()
             {
-                self.turn_worker_away(conn, &label);
+                self.turn_worker_away(conn, &leader);
             }
             return;
         }
-        let body = if self.leader_takes_batches(&label, endpoint) {
+        let body = if self.leader_takes_batches(&leader, address) {
             match self.heartbeat_batch.push(self.now.steady, conn, body) {
                 Ok(()) => return,
                 Err(body) => body,
@@ -105,93 +101,70 @@
         } else {
             body
         };
-        self.forward_heartbeat(conn, endpoint, body);
+        self.forward_heartbeat(conn, address, body);
     }
 
-    /// Whom a worker that reports here is handed to, now and then. A report through another controller costs
-    /// the leader a row in a frame instead of a request of its own, and the others have time to spare while
-    /// the leader has the least. Not while the fleet is not heard, nor to one controller alone, which all
-    /// workers would lose together; a worker is out of an answer for half a second by it.
+    /// The controller that a worker which reports to this leader is handed over to, now and then. A
+    /// heartbeat through another controller costs the leader a row in a frame instead of a request
+    /// of its own, and the others have time to spare while the leader has the least. Not while
+    /// machines have still to report, and not to a single controller, whose loss would interrupt
+    /// all workers; a handover costs a worker half a second without an answer.
     fn handover_target(&mut self) -> Option<String> {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let leader_state = self.leader_state.as_ref()?;
-        if t < self.next_handover_at
-            || leader_state.reconciliation.phase(t) != ReconciliationPhase::Complete
+        if !self.peer_links.is_handover_due(now)
+            || leader_state.reconciliation.phase(now) != ReconciliationPhase::Complete
         {
             return None;
         }
-        let well = |p: &&Peer| self.peer_serves(p.address) && !self.is_link_avoided(p.address);
-        let others: Vec<&Peer> = self.settings.peers.iter().filter(well).collect();
-        if others.len() < HANDOVER_PEERS_MIN {
-            return None;
-        }
-        let label = others.get(self.next_peer % others.len())?.name.clone();
-        self.next_peer += 1;
-        self.next_handover_at = t + HANDOVER_INTERVAL;
-        Some(label)
+        self.peer_links.take_handover_target(now)
     }
 
-    /// Whether a worker that reports to this controller, which does not lead and has no connections left, is
-    /// sent to the leader: one at a time, and the leader hands none to a controller that is crowded.
-    fn returns_worker_to_leader(&mut self) -> bool {
-        let t = self.now.steady;
-        let due = self.load.connection_pressure == ConnectionPressure::Critical
-            && t >= self.next_handover_at;
-        if due {
-            self.next_handover_at = t + HANDOVER_INTERVAL;
-        }
-        due
-    }
-
-    /// After a change of leader: asks the workers whose reports come here, for whoever leads now.
+    /// After a change of leader: probes the workers that report to this node, for the new leader.
     pub(super) fn probe_workers(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         if let Some(record) = self.election.leader() {
-            let since = t.saturating_sub(2 * self.settings.report_period());
+            let since = now.saturating_sub(2 * self.settings.report_period());
             let term = record.term;
             self.worker_probe
-                .begin_term(t, term, first_fencing_token(term), since);
+                .begin_term(now, term, first_fencing_token(term), since);
         }
         let lag = self.load.lag();
         self.worker_probe
-            .tick(t, lag, &mut self.tickets, &mut self.outputs);
+            .tick(now, lag, &mut self.tickets, &mut self.outputs);
     }
 
-    /// A new leader has the workers that have not spoken asked by all controllers at once, each its part.
+    /// Divides the workers that have not reported to a new leader among all controllers for probing.
     pub(super) fn share_probes(&mut self) {
-        let t = self.now.steady;
-        let Some(leader_state) = self
-            .leader_state
-            .as_mut()
-            .filter(|l| l.probe_sharing_at.is_some_and(|at| at <= t))
-        else {
+        let now = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.probe_sharing_at = None;
-        for (dest, rows) in leader_state.workers.share_unconfirmed(t) {
+        if !leader_state.schedule.take_probe_sharing(now) {
+            return;
+        }
+        for (dest, rows) in leader_state.workers.share_unconfirmed(now) {
             for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
                 let hosts = rows.iter().map(|r| r.machine().into()).collect();
-                let about = (KIND_PROBE_WORKERS, self.settings.name.clone());
+                let body = rows.as_bytes().to_vec();
                 self.call_peer(
-                    PeerCallPurpose::ProbeAssignment { hosts },
                     dest,
-                    about,
-                    rows.as_bytes().to_vec(),
-                    PEER_CALL_TIMEOUT,
+                    PeerCallPurpose::ProbeAssignment { hosts },
+                    PeerRequest::new(KIND_PROBE_WORKERS, &*self.settings.name, body),
                 );
             }
         }
     }
 
-    /// The leader wants workers to be asked from here.
+    /// Takes the workers that the leader wants probed from here.
     pub(super) fn accept_probe_assignment(&mut self, body: &[u8]) {
         if let Ok(rows) = <[ProbeRow]>::ref_from_bytes(body) {
             self.worker_probe.assign(self.now.steady, rows);
         }
     }
 
-    /// Its answer is as good as a report: a worker that has seen a new token reports at once, but not
-    /// twice in half a lease.
+    /// Passes a worker's answer to a probe to the leader. It is as good as a heartbeat: a worker that
+    /// has seen a new fencing token reports at once, but not twice in half a lease.
     pub(super) fn forward_probe_answer(&mut self, outcome: &Outcome) {
         let Outcome::Reply {
             status: 200 | 409,
@@ -209,18 +182,11 @@
         if self.is_link_avoided(dest) {
             return;
         }
-        self.tickets += 1;
-        self.outputs.push(Output::PeerCall {
-            ticket: self.tickets,
-            dest,
-            kind: KIND_PROBE_ANSWER,
-            addr: self.settings.name.clone(),
-            body: body.clone(),
-            timeout: PEER_CALL_TIMEOUT,
-        });
+        let request = PeerRequest::new(KIND_PROBE_ANSWER, &*self.settings.name, body.clone());
+        self.send_to_peer(dest, request);
     }
 
-    /// What a worker answered to a controller that asked it for the leader.
+    /// Applies a worker's answer to a probe.
     pub(super) fn take_probe_answer(&mut self, body: &[u8]) {
         let now = self.now.steady;
         if !self.is_leader() {
@@ -229,63 +195,58 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if let Ok(report) = serde_json::from_slice::<Heartbeat>(body) {
+        if let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) {
             leader_state
                 .workers
-                .take_probe_answer(now, &report, &mut leader_state.jobs);
+                .take_probe_answer(now, &heartbeat, &mut leader_state.jobs);
             self.apply_ledger_events();
         }
     }
 
-    /// Passes a report on by itself.
+    /// Forwards a heartbeat in a frame of its own.
     fn forward_heartbeat(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
-        let about = (KIND_HEARTBEAT, self.settings.name.clone());
         self.call_peer(
-            PeerCallPurpose::Heartbeat { conn },
             dest,
-            about,
-            body,
-            self.heartbeat_timeout(),
+            PeerCallPurpose::Heartbeat { conn },
+            PeerRequest::new(KIND_HEARTBEAT, &*self.settings.name, body)
+                .with_timeout(self.heartbeat_timeout()),
         );
     }
 
-    /// Whether the leader takes many reports in a frame; if that is not known, it is asked.
+    /// Whether the leader accepts batches; if that is not known, it is asked.
     fn leader_takes_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
         let now = self.now.steady;
         let record = self.election.leader().filter(|r| r.node == leader);
-        let Some(run) = record.map(|r| r.incarnation) else {
+        let Some(incarnation) = record.map(|record| record.incarnation) else {
             return false;
         };
-        if self.batching_leader == Some(run) {
+        if self.peer_links.takes_batches(incarnation) {
             return true;
         }
-        if now >= self.batch_support_asked_at + BATCH_SUPPORT_RETRY_INTERVAL {
-            self.batch_support_asked_at = now;
-            let about = (KIND_HEARTBEAT_BATCH, self.settings.name.clone());
+        if self.peer_links.take_batch_support_query(now) {
             self.call_peer(
-                PeerCallPurpose::BatchSupport { run },
                 dest,
-                about,
-                Vec::new(),
-                PEER_CALL_TIMEOUT,
+                PeerCallPurpose::BatchSupport { incarnation },
+                PeerRequest::new(KIND_HEARTBEAT_BATCH, &*self.settings.name, Vec::new()),
             );
         }
         false
     }
 
+    /// The leader, if it is another controller.
     pub(super) fn leader_peer(&self) -> Option<&Peer> {
         let leader = self.leader_name()?;
-        self.settings.peers.iter().find(|p| p.name == leader)
+        self.peer_links.peer_named(&leader)
     }
 
-    /// Sends the reports whose time has come to the leader.
+    /// Sends the heartbeats whose batch is due to the leader.
     pub(super) fn send_heartbeat_batches(&mut self) {
         let now = self.now.steady;
-        if self.heartbeat_batch.due_at().is_none_or(|d| d > now) {
+        if self.heartbeat_batch.due_at().is_none_or(|due| due > now) {
             return;
         }
         if self.is_leader() {
-            // They came while nobody led.
+            // They arrived while there was no leader.
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.handle_heartbeat(conn, body);
             }
@@ -293,11 +254,11 @@
         }
         let Some(peer) = self.leader_peer() else {
             for conn in self.heartbeat_batch.hold_for_leader(now) {
-                self.respond_error(conn, 503, "no leader at the moment");
+                self.respond_error(conn, &ApiError::NoLeader);
             }
             return;
         };
-        let (label, dest) = (peer.name.clone(), peer.address);
+        let (leader, dest) = (peer.name.clone(), peer.address);
         if self.is_link_avoided(dest) {
             let over = if self.may_answer_later(dest) {
                 self.heartbeat_batch.hold_for_leader(now)
@@ -305,21 +266,21 @@
                 self.heartbeat_batch
                     .drain()
                     .into_iter()
-                    .map(|w| w.0)
+                    .map(|(conn, _)| conn)
                     .collect()
             };
             for conn in over {
-                self.turn_worker_away(conn, &label);
+                self.turn_worker_away(conn, &leader);
             }
             return;
         }
-        if !self.leader_takes_batches(&label, dest) {
+        if !self.leader_takes_batches(&leader, dest) {
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.forward_heartbeat(conn, dest, body);
             }
             return;
         }
-        while self.heartbeat_batch.due_at().is_some_and(|d| d <= now) {
+        while self.heartbeat_batch.due_at().is_some_and(|due| due <= now) {
             self.tickets += 1;
             let Some(body) = self.heartbeat_batch.next_frame(now, self.tickets) else {
                 return;
@@ -335,30 +296,29 @@
         }
     }
 
+    /// Answers the workers of a batch with what the leader answered.
     pub(super) fn heartbeat_batch_answered(&mut self, ticket: Ticket, outcome: &Outcome) {
         use crate::heartbeat_batch::HeartbeatAnswer;
         let leader = self.leader_peer().map(|p| p.address);
-        let mut doubtful = false;
+        let mut in_doubt = false;
         if let Some(dest) = leader {
             if matches!(outcome, Outcome::Reply { .. }) {
-                self.peer_seen_at = self.now.steady;
-                self.link_failing_since.remove(&dest);
-                self.link_refused_at.remove(&dest);
+                self.peer_links.note_link_answer(self.now.steady, dest);
             } else {
                 self.note_link_failure(dest, outcome);
-                doubtful = self.may_answer_later(dest);
+                in_doubt = self.may_answer_later(dest);
             }
         }
         let now = self.now.steady;
         for (conn, answer) in self
             .heartbeat_batch
-            .handle_outcome(now, ticket, outcome, doubtful)
+            .handle_outcome(now, ticket, outcome, in_doubt)
         {
             let (status, body) = match answer {
                 HeartbeatAnswer::NoCommands(token) => (200, empty_commands(token)),
                 HeartbeatAnswer::Body { status, body } => (status, body),
                 HeartbeatAnswer::NoLeader => {
-                    self.respond_error(conn, 503, "no leader at the moment");
+                    self.respond_error(conn, &ApiError::NoLeader);
                     continue;
                 }
                 HeartbeatAnswer::Failed => {
@@ -375,10 +335,10 @@
         }
     }
 
-    /// The leader did not answer: the worker goes to another node.
+    /// The leader did not answer a heartbeat: the worker is sent elsewhere.
     pub(super) fn heartbeat_failed(&mut self, conn: ConnId, outcome: &Outcome) {
         let Some(leader) = self.leader_name() else {
-            return self.respond_error(conn, 503, "no leader at the moment");
+            return self.respond_error(conn, &ApiError::NoLeader);
         };
         if let Some(dest) = self.leader_peer().map(|p| p.address) {
             self.note_link_failure(dest, outcome);
@@ -386,119 +346,92 @@
         self.turn_worker_away(conn, &leader);
     }
 
-    /// Whether this controller was overloaded a moment ago: each worker that comes anew costs more
-    /// than a late answer then.
-    fn was_overloaded(&self) -> bool {
-        self.now.steady < self.overloaded_until
+    /// A call over this link failed: it is avoided for a while.
+    fn note_link_failure(&mut self, dest: SocketAddr, outcome: &Outcome) {
+        let refused = *outcome == Outcome::Refused;
+        let leader_ttl = self.properties.leader_ttl;
+        let is_leader_slow = self.is_leader_slow();
+        self.peer_links.note_link_failure(
+            self.now.steady,
+            dest,
+            refused,
+            leader_ttl,
+            is_leader_slow,
+        );
     }
 
-    /// Notes that this controller falls behind or is short of connections.
-    pub(super) fn note_overload(&mut self) {
-        if self.load.lag() > OVERLOAD_LAG
-            || self.load.connection_pressure != ConnectionPressure::Low
-        {
-            self.overloaded_until = self.now.steady + OVERLOADED_FOR;
-        }
+    fn is_link_avoided(&self, dest: SocketAddr) -> bool {
+        self.peer_links.is_link_avoided(self.now.steady, dest)
+    }
+
+    fn is_leader_in_doubt(&self, dest: SocketAddr) -> bool {
+        self.peer_links
+            .is_leader_in_doubt(self.now.steady, dest, self.properties.leader_ttl)
     }
 
-    /// How long a report may wait for the leader's answer.
+    /// Whether a worker that reports to this node, which is short of connections and does not lead, is sent to the
+    /// leader: one at a time, and the leader hands none to a node short of connections.
+    fn hands_worker_back(&mut self) -> bool {
+        self.load.connection_pressure == ConnectionPressure::Critical
+            && self.peer_links.take_handback(self.now.steady)
+    }
+
+    /// How long a forwarded heartbeat waits for the leader's answer.
     fn heartbeat_timeout(&self) -> Micros {
         if self.was_overloaded() {
-            HEARTBEAT_FORWARD_TIMEOUT
+            OVERLOADED_HEARTBEAT_TIMEOUT
         } else {
             PEER_CALL_TIMEOUT
         }
     }
 
-    /// Whether this controller was overloaded and the leader was heard so lately that it must be slow
-    /// where it does not answer.
+    /// Whether this node was overloaded and the leader was heard so lately that it must be slow where it does not
+    /// answer.
     fn is_leader_slow(&self) -> bool {
-        let heard = self.leader_hint.as_ref();
-        self.was_overloaded() && heard.is_some_and(|h| self.now.steady < h.1 + LEADER_HEARD_FOR)
+        self.was_overloaded() && self.peer_links.is_leader_heard(self.now.steady)
     }
 
-    /// Whether a leader over whose link a call failed may answer the next: reports wait for that.
+    /// Whether the leader may answer the next call after one that failed: heartbeats wait for that.
     fn may_answer_later(&self, dest: SocketAddr) -> bool {
         self.is_leader_in_doubt(dest) || self.is_leader_slow()
     }
 
-    /// A worker can't be served by way of here. While the leader is only slow no other controller serves it
-    /// either: named one, it would come there at once, be named this one, and each time over a new connection.
-    /// Told of no other it takes a second, which bounds how many come.
+    /// Sends a worker away whose heartbeat can't be passed to the leader.
+    ///
+    /// While the leader is only slow, no other controller serves the worker either: redirected, it would reconnect
+    /// there at once, be redirected back, and each time cost a new connection. An error without a redirect costs it
+    /// a second, which bounds how many reconnect.
     fn turn_worker_away(&mut self, conn: ConnId, leader: &str) {
         if self.is_leader_slow() {
-            return self.respond_error(conn, 503, "the leader does not answer in time");
+            return self.respond_error(conn, &ApiError::LeaderSlow);
         }
         self.redirect_worker(conn, leader);
     }
 
-    /// A call over this link failed: it rests.
-    fn note_link_failure(&mut self, dest: SocketAddr, outcome: &Outcome) {
-        let now = self.now.steady;
-        if *outcome == Outcome::Refused {
-            self.link_refused_at.insert(dest, now);
-        }
-        self.link_failing_since.entry(dest).or_insert(now);
-        let rest = if self.may_answer_later(dest) {
-            DOUBTFUL_LINK_AVOIDED_FOR
-        } else {
-            LINK_AVOIDED_FOR
-        };
-        self.link_avoided_until.insert(dest, now + rest);
-    }
-
-    fn is_link_avoided(&self, dest: SocketAddr) -> bool {
-        let until = self.link_avoided_until.get(&dest);
-        until.is_some_and(|t| *t > self.now.steady)
-    }
-
-    /// A leader whose link has failed for less than a grant's length may be no more: whom to send
-    /// reports to will be known in a moment. After that the link is at fault, and another
-    /// controller may reach the leader.
-    fn is_leader_in_doubt(&self, dest: SocketAddr) -> bool {
-        let since = self.link_failing_since.get(&dest);
-        since.is_some_and(|t| self.now.steady < t + self.properties.leader_ttl + SECOND / 2)
-    }
-
-    /// We can't reach the leader; another node may, so the worker is sent there. Where the leader's own
-    /// host refuses us, it is there, and workers reach it by another way than we do: they go straight to
-    /// it. Sent around among nodes that are all refused, as the version before did, they came to each
-    /// over a new connection, and a filter that stood for longer than a lease cost every task.
+    /// Sends a worker whose heartbeat can't be passed to the leader to another controller.
     fn redirect_worker(&mut self, conn: ConnId, leader: &str) {
-        let now = self.now.steady;
-        let endpoint = self.peer_address(leader);
-        let refused = endpoint.and_then(|e| self.link_refused_at.get(&e));
-        let refuses = refused.is_some_and(|at| now < at + 2 * LINK_AVOIDED_FOR);
-        // Now and then another way is tried all the same.
-        if refuses && (self.next_peer + 1) % DIRECT_REDIRECT_PERIOD != 0 {
-            self.next_peer += 1;
-            return self.respond(conn, 421, &json!({"boss": leader}));
-        }
-        let able = |p: &&Peer| p.name != leader && !self.is_link_avoided(p.address);
-        let others: Vec<&Peer> = self.settings.peers.iter().filter(able).collect();
-        // By turns, so that not all workers crowd at one.
-        self.next_peer += 1;
-        let third = others.get(self.next_peer % others.len().max(1));
-        let body = match third {
-            Some(p) => json!({"boss": p.name}),
+        let body = match self
+            .peer_links
+            .take_redirect_target(self.now.steady, leader)
+        {
+            Some(name) => json!({"boss": name}),
             None => json!({}),
         };
         self.respond(conn, 421, &body);
     }
 
-    fn peer_address(&self, label: &str) -> Option<SocketAddr> {
-        let peer = self.settings.peers.iter().find(|p| p.name == label);
-        peer.map(|p| p.address)
+    fn peer_address(&self, name: &str) -> Option<SocketAddr> {
+        self.peer_links.peer_named(name).map(|peer| peer.address)
     }
 
-    /// One report that another controller passes on.
+    /// Applies a heartbeat that another controller forwarded.
     pub(super) fn take_forwarded_heartbeat(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
         let via = self.peer_address(from);
         let (status, body) = match self.take_heartbeat(body, via) {
-            HeartbeatOutcome::Commands(orders) => (200, encode_commands(&orders)),
+            HeartbeatOutcome::Commands(commands) => (200, encode_commands(&commands)),
             HeartbeatOutcome::Malformed(_) => (400, br#"{"error":"report"}"#.to_vec()),
             HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
                 (503, br#"{"error":"returned"}"#.to_vec())
@@ -507,26 +440,26 @@
         Outcome::Reply { status, body }
     }
 
-    /// Many of them; each row is answered by a row.
+    /// Applies a batch of heartbeats; each row is answered by a row.
     pub(super) fn take_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
         let via = self.peer_address(from);
         let mut rest = body;
-        let mut told = Vec::new();
+        let mut answers = Vec::new();
         while let Ok((row, after)) = HeartbeatRow::read_from_prefix(rest) {
             let Some((text, after)) = after.split_at_checked(row.len.get() as usize) else {
                 break;
             };
             rest = after;
-            let full = told.len() > ANSWER_FRAME_BYTES_MAX;
+            let full = answers.len() > ANSWER_FRAME_BYTES_MAX;
             if full && !text.is_empty() {
-                // Not taken: its worker reports elsewhere.
+                // Not applied: its worker reports elsewhere.
                 continue;
             }
             let answer = if full {
-                // Not taken: it comes again, whole, in another frame.
+                // Not applied: it comes again, in full, in another frame.
                 HeartbeatOutcome::Unknown
             } else if text.is_empty() {
                 self.take_repeated_heartbeat(&row, via)
@@ -535,15 +468,16 @@
             };
             let mut text = Vec::new();
             let (status, token) = match answer {
-                HeartbeatOutcome::Commands(orders) => {
-                    if !orders.commands.is_empty() {
-                        text = encode_commands(&orders);
+                HeartbeatOutcome::Commands(commands) => {
+                    if !commands.commands.is_empty() {
+                        text = encode_commands(&commands);
                     }
-                    (200, orders.fencing_token)
+                    (200, commands.fencing_token)
                 }
-                HeartbeatOutcome::Malformed(e) => {
-                    text = json!({"error": format!("report: {e}")}).to_string().into();
-                    (400, 0)
+                HeartbeatOutcome::Malformed(reason) => {
+                    let error = ApiError::MalformedHeartbeat(reason);
+                    text = json!({"error": error.to_string()}).to_string().into();
+                    (error.status(), 0)
                 }
                 HeartbeatOutcome::Refused => {
                     text = br#"{"error":"returned"}"#.to_vec();
@@ -559,22 +493,22 @@
                 len: (text.len() as u32).into(),
                 unused2: 0.into(),
             };
-            told.extend_from_slice(row.as_bytes());
-            told.extend_from_slice(&text);
+            answers.extend_from_slice(row.as_bytes());
+            answers.extend_from_slice(&text);
         }
         Outcome::Reply {
             status: 200,
-            body: told,
+            body: answers,
         }
     }
 
-    /// A report as its worker sent it. Like the last one, it is not read.
+    /// Applies a heartbeat as its worker sent it; one that repeats the last is not parsed.
     fn take_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
-        let row = HeartbeatSummary::of(body).and_then(|g| g.row());
+        let row = HeartbeatSummary::of(body).and_then(|summary| summary.row());
         if let Some(row) = &row {
             match self.take_repeated_heartbeat(row, via) {
                 HeartbeatOutcome::Unknown => {}
-                told => return told,
+                known => return known,
             }
         }
         self.take_full_heartbeat(body, row.map(|r| r.digest.get()), via)
@@ -586,21 +520,24 @@
         digest: Option<u128>,
         via: Option<SocketAddr>,
     ) -> HeartbeatOutcome {
-        let report = match serde_json::from_slice::<Heartbeat>(body) {
-            Ok(report) => report,
-            Err(e) => return HeartbeatOutcome::Malformed(e.to_string()),
+        let heartbeat = match serde_json::from_slice::<Heartbeat>(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return HeartbeatOutcome::Malformed(error.to_string()),
         };
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return HeartbeatOutcome::Refused;
         };
-        self.cloud.booting.remove(&report.machine);
-        let orders =
-            leader_state
-                .workers
-                .take_heartbeat(now, report, digest, via, &mut leader_state.jobs);
+        self.cloud.booting.remove(&heartbeat.machine);
+        let commands = leader_state.workers.take_heartbeat(
+            now,
+            heartbeat,
+            digest,
+            via,
+            &mut leader_state.jobs,
+        );
         self.apply_ledger_events();
-        orders.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
+        commands.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
     }
 
     fn take_repeated_heartbeat(
@@ -620,7 +557,7 @@
         match repeat {
             RepeatOutcome::Unknown => HeartbeatOutcome::Unknown,
             RepeatOutcome::Refused => HeartbeatOutcome::Refused,
-            RepeatOutcome::Answer(orders) => HeartbeatOutcome::Commands(orders),
+            RepeatOutcome::Answer(commands) => HeartbeatOutcome::Commands(commands),
         }
     }
 }
@@ -632,14 +569,14 @@
     }
 }
 
-fn encode_commands(orders: &Commands) -> Vec<u8> {
-    if orders.commands.is_empty() {
-        return empty_commands(orders.fencing_token);
+fn encode_commands(commands: &Commands) -> Vec<u8> {
+    if commands.commands.is_empty() {
+        return empty_commands(commands.fencing_token);
     }
-    serde_json::to_vec(orders).unwrap_or_default()
+    serde_json::to_vec(commands).unwrap_or_default()
 }
 
-/// The answer that nearly all reports get.
+/// The answer that nearly all heartbeats get.
 fn empty_commands(token: u64) -> Vec<u8> {
     format!(r#"{{"baton":{token},"orders":[]}}"#).into_bytes()
 }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,34 +1,60 @@
 //! What the leader does a few times a second, whatever happens.
+//!
+//! The periodic work runs in a fixed order: leases and silence of machines first, then what follows
+//! from them. It is made only while this node may act as leader.
 
-use super::*;
+use super::leader::LeaderState;
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
+use crate::accounting::StopReason;
+use crate::clock::{Micros, SECOND, from_secs};
+use crate::cloud::Cloud;
+use crate::election::LEADER_KEY;
+use crate::job_record::stopping_key;
+use crate::registry::RegistryRequest;
+use crate::schema::chunk_key;
+use crate::state_client::{Op, RequestPriority, Transaction};
+use crate::worker_ledger::TaskState;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A machine silent for longer than this counts as out of use in the log.
+const UNUSABLE_SILENCE: Micros = 10 * SECOND;
+/// A task that saves its state is stopped this long before its machine is reclaimed, besides what
+/// saving takes.
+const CHECKPOINT_MARGIN: Micros = 5 * SECOND;
 
 impl Controller {
-    /// What is due a few times a second.
+    /// Does the periodic work.
     pub(super) fn run_maintenance(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         // Both walk over all machines, and neither is a matter of less than a second.
-        if t >= leader_state.fleet_scan_at {
-            leader_state.fleet_scan_at =
-                t + FLEET_SCAN_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
-            leader_state.workers.expire_leases(t);
+        let machines = leader_state.workers.machines.len();
+        if leader_state.schedule.take_fleet_scan(now, machines) {
+            leader_state.workers.expire_leases(now);
             leader_state
                 .workers
                 .mark_silent_machines(self.now, leader_state.valid_since);
         }
-        if leader_state.scheduler.tick(t, &self.cloud.types) {
-            Self::log_cluster_usage(leader_state, &self.cloud, t);
+        if leader_state.scheduler.tick(now, &self.cloud.types) {
+            Self::log_cluster_usage(leader_state, &self.cloud, now);
             let used: BTreeSet<u32> = leader_state
                 .workers
                 .machines
                 .values()
-                .flat_map(|m| m.tasks.keys().map(|k| k.0.job))
+                .flat_map(|machine| machine.tasks.keys().map(|(task, _)| task.job))
                 .collect();
-            leader_state.jobs.prune(|n| used.contains(&n));
+            leader_state.jobs.prune(|number| used.contains(&number));
         }
-        for job in leader_state.jobs.by_number.values().filter(|j| j.cancelled) {
+        for job in leader_state
+            .jobs
+            .by_number
+            .values()
+            .filter(|job| job.cancelled)
+        {
             Self::stop_all_tasks(&mut leader_state.workers, job);
             Self::acknowledge_all_ends(&mut leader_state.workers, job);
         }
@@ -43,10 +69,8 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if t >= leader_state.autoscaling_at {
-            leader_state.autoscaling_at = t + AUTOSCALING_INTERVAL_MIN.max(
-                AUTOSCALING_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros,
-            );
+        let machines = leader_state.workers.machines.len();
+        if leader_state.schedule.take_autoscaling(now, machines) {
             self.autoscale();
         } else {
             self.rent_next();
@@ -54,40 +78,38 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.placement_due_at = leader_state
-            .placement_due_at
-            .or(Some(t + PLACEMENT_BATCH_DELAY));
+        leader_state.schedule.request_placement(now);
     }
 
-    /// One line a round on where the cores are: the first look when work waits.
-    pub(super) fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, t: Micros) {
+    /// Logs where the cores are: the first thing to look at when work waits.
+    fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, now: Micros) {
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
         let (mut all, mut out, mut running, mut fetching, mut stopping, mut unsure) =
             (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
-        for m in leader_state.workers.machines.values() {
+        for machine in leader_state.workers.machines.values() {
             let cores = cloud
-                .machine_type_named(&m.machine_type)
-                .map_or(0.0, |s| s.cores);
+                .machine_type_named(&machine.machine_type)
+                .map_or(0.0, |found| found.cores);
             all += cores;
-            if !m.is_usable(t, 10 * SECOND) {
+            if !machine.is_usable(now, UNUSABLE_SILENCE) {
                 out += cores;
             }
-            for (_, e) in m.held_tasks() {
-                let c = e.spec.as_ref().map_or(0.0, |s| s.cores);
-                match e.state {
-                    _ if e.is_stopping() => stopping += c,
-                    TaskState::Running => running += c,
-                    TaskState::Unconfirmed | TaskState::Sent => unsure += c,
-                    _ => fetching += c,
+            for (_, held) in machine.held_tasks() {
+                let cores = held.spec.as_ref().map_or(0.0, |spec| spec.cores);
+                match held.state {
+                    _ if held.is_stopping() => stopping += cores,
+                    TaskState::Running => running += cores,
+                    TaskState::Unconfirmed | TaskState::Sent => unsure += cores,
+                    _ => fetching += cores,
                 }
             }
         }
         let mut waiting: BTreeMap<&str, u64> = BTreeMap::new();
         let jobs = leader_state.jobs.by_number.values();
-        for j in jobs.filter(|j| !j.cancelled && !j.waits_for_dependencies()) {
-            *waiting.entry(&j.spec.class).or_default() += j.pending_count;
+        for job in jobs.filter(|job| !job.cancelled && !job.waits_for_dependencies()) {
+            *waiting.entry(&job.spec.class).or_default() += job.pending_count;
         }
         log::info!(
             "cores: {all} in all, {out} out of use, {running} running, {fetching} fetching, \
@@ -99,8 +121,8 @@
         log::info!("work: {}", leader_state.accounting.summary());
     }
 
-    /// Cancelled jobs of which nothing can be on any machine any more.
-    pub(super) fn forget_cancelled_jobs(&mut self) {
+    /// Deletes the records of cancelled jobs of which nothing can be on a machine any more.
+    fn forget_cancelled_jobs(&mut self) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -109,20 +131,20 @@
             .jobs
             .by_number
             .values_mut()
-            .filter(|j| j.cancelled && !j.save_in_flight && j.placements.is_empty())
-            .map(|j| {
-                j.save_in_flight = true;
-                (j.spec.uid.clone(), j.chunks)
+            .filter(|job| job.cancelled && !job.save_in_flight && job.placements.is_empty())
+            .map(|job| {
+                job.save_in_flight = true;
+                (job.spec.uid.clone(), job.chunks)
             })
             .collect();
-        let most = self.settings.deployment.state.tightest().txn_ops;
-        for (uid, pieces) in gone {
+        let changes_max = self.settings.deployment.state.tightest().txn_ops;
+        for (uid, chunks) in gone {
             let mut txn = Transaction::default()
                 .require_revision(LEADER_KEY, mod_revision)
                 .delete(stopping_key(&uid));
-            // What doesn't fit is swept up later.
-            for n in 0..pieces.min(most - 1) {
-                txn = txn.delete(chunk_key(&uid, n));
+            // Chunks beyond the limit are swept up later.
+            for number in 0..chunks.min(changes_max - 1) {
+                txn = txn.delete(chunk_key(&uid, number));
             }
             self.request_state(
                 StateRequest::ForgetCancelledJob { term, uid },
@@ -132,66 +154,70 @@
         }
     }
 
-    /// Machines about to be taken: what can save does so in time, what can't finish moves now.
-    pub(super) fn drain_noticed_machines(&mut self) {
-        let t = self.now.steady;
+    /// Drains machines that are about to be reclaimed: tasks that can save their state do so in
+    /// time, and tasks that can't finish are moved now.
+    fn drain_noticed_machines(&mut self) {
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let mut halts = Vec::new();
-        for m in leader_state.workers.noticed_machines() {
-            // A copy of an old report may be the first word of it; what runs is not stopped for that.
-            let Some(until) = m.reclaim_at.filter(|_| m.term_confirmed) else {
+        let mut stops = Vec::new();
+        for machine in leader_state.workers.noticed_machines() {
+            // A duplicate of an old heartbeat may be the first to report the notice; running tasks
+            // are not stopped for that.
+            let Some(until) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
                 continue;
             };
-            let left = until.saturating_sub(t);
-            for ((key, attempt), e) in m.held_tasks() {
-                let Some(spec) = &e.spec else { continue };
-                if e.is_stopping() {
+            let left = until.saturating_sub(now);
+            for ((task, attempt), held) in machine.held_tasks() {
+                let Some(spec) = &held.spec else { continue };
+                if held.is_stopping() {
                     continue;
                 }
                 if spec.saves() {
-                    if left < from_secs(spec.save_s) + 5 * SECOND {
-                        halts.push((m.id.clone(), *key, *attempt, spec.save_s.max(0.1)));
+                    if left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
+                        stops.push((machine.id.clone(), *task, *attempt, spec.save_s.max(0.1)));
                     }
                 } else {
-                    let ran = e.running_since.map_or(0, |s| t.saturating_sub(s));
-                    let need = leader_state
+                    let ran = held
+                        .running_since
+                        .map_or(0, |since| now.saturating_sub(since));
+                    let remaining = leader_state
                         .scheduler
                         .expected_run(spec)
                         .saturating_sub(ran);
-                    if need > left {
-                        halts.push((m.id.clone(), *key, *attempt, 0.0));
+                    if remaining > left {
+                        stops.push((machine.id.clone(), *task, *attempt, 0.0));
                     }
                 }
             }
         }
-        for (machine, key, attempt, grace) in halts {
+        for (machine, task, attempt, grace) in stops {
             leader_state
                 .workers
-                .stop_task(&machine, key, attempt, grace, StopReason::SpotNotice);
+                .stop_task(&machine, task, attempt, grace, StopReason::SpotNotice);
         }
         self.apply_ledger_events();
     }
 
-    /// Before its first start a machine stands in the stored roll.
-    pub(super) fn write_registry(&mut self) {
+    /// Writes changes of the machine registry: a machine is registered before it is given a task.
+    fn write_registry(&mut self) {
         let now = self.now;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for ask in
+        for request in
             leader_state
                 .registry
                 .take_due(now, &mut leader_state.workers, &leader_state.rented)
         {
-            // A few changes stand for hundreds of machines that wait for them: they go with the users'.
-            let rank = match ask {
+            // Hundreds of machines may wait for a few changes: these are queued with those of clients.
+            let priority = match request {
                 RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
                 _ => RequestPriority::Leader,
             };
-            let (purpose, op) = match ask {
+            let (state_request, op) = match request {
                 RegistryRequest::Read(key) => (
                     StateRequest::ReadRegistryPage {
                         term,
@@ -226,9 +252,13 @@
                     )
                 }
             };
-            let t = now.steady;
-            self.state
-                .submit(t, purpose, rank, op, LEADER_REQUEST_TIMEOUT);
+            self.state.submit(
+                now.steady,
+                state_request,
+                priority,
+                op,
+                LEADER_REQUEST_TIMEOUT,
+            );
         }
     }
 }
