--- a/src/controller.rs
+++ b/src/controller.rs
@@ -174,7 +174,7 @@
             };
             log::log!(
                 severity,
-                "load shedding changed level={level:?} lag_ms={lag_ms}"
+                "load shedding changed level={level} lag_ms={lag_ms}"
             );
         }
         self.election.note_pause(self.now.steady, load.lag());
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -152,7 +152,7 @@
             .iter()
             .map(|((task, attempt), entry)| {
                 json!({"task": format!("{}/{}", entry.uid, task.index), "attempt": attempt,
-                       "state": format!("{:?}", entry.state), "halting": entry.is_stopping(), "cause": entry.cause})
+                       "state": entry.state.as_str(), "halting": entry.is_stopping(), "cause": entry.cause})
             })
             .collect();
         let silent_ms = now.saturating_sub(machine.last_seen_at) / MILLISECOND;
@@ -189,7 +189,7 @@
             "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
             "lag_ms": self.load.lag() / MILLISECOND,
             "worst_lag_ms": self.load.worst_lag / MILLISECOND,
-            "shedding": format!("{:?}", self.load.shed_level()).to_lowercase(),
+            "shedding": self.load.shed_level().to_string(),
             "following": self.inspect_standby(),
             "stalls": self.stalls,
             "last_stall_ms": self.last_stall / MILLISECOND,
--- a/src/input_queue.rs
+++ b/src/input_queue.rs
@@ -1,5 +1,8 @@
-//! Who is served first: answers, then users, then reports, as long as no worker loses its lease
-//! for it. Owns the inputs that wait; knows nothing of sockets.
+//! The order in which inputs are served: answers first, then client requests, then heartbeats, as long as that
+//! costs no worker its lease.
+//!
+//! [`InputQueue`] owns the inputs that wait, and when each arrived. It knows nothing of sockets, and drops an
+//! input only when its sender no longer waits for the answer.
 
 use crate::clock::{MILLISECOND, Micros};
 use crate::messages::Input;
@@ -8,10 +11,10 @@
 };
 use std::collections::VecDeque;
 
-/// Reports that have waited this long, an eighth of what their workers give an answer, no longer
-/// stand behind users.
+/// Heartbeats that have waited this long, an eighth of what their workers wait for an answer, no longer queue
+/// behind client requests.
 const HEARTBEAT_WAIT_MAX: Micros = 500 * MILLISECOND;
-/// Then so many of them are taken for each request of a user.
+/// From then on this many of them are served for each client request.
 const HEARTBEATS_PER_CLIENT_REQUEST: u32 = 4;
 
 enum InputClass {
@@ -34,37 +37,48 @@
     }
 }
 
+/// An input that waits.
+struct Waiting {
+    since: Micros,
+    input: Input,
+}
+
+/// The inputs that wait, by class.
 #[derive(Default)]
 pub struct InputQueue {
     now: Micros,
-    /// Taken in since the time was last set.
+    /// Arrived since the time was last set.
     unsorted: Vec<Input>,
-    /// Answers to our calls, and what other controllers ask for themselves.
+    /// Answers to this node's calls, and what other controllers ask for themselves.
     answers: VecDeque<Input>,
-    /// Users' requests, and since when they wait.
-    client_requests: VecDeque<(Micros, Input)>,
-    /// Workers' reports, also those that peers pass on.
-    heartbeats: VecDeque<(Micros, Input)>,
+    client_requests: VecDeque<Waiting>,
+    /// Workers' heartbeats, also those that peers forward.
+    heartbeats: VecDeque<Waiting>,
+    /// Counts the inputs served while heartbeats are overdue.
     turn: u32,
 }
 
 impl InputQueue {
-    /// Sets the time; what came in meanwhile counts as having come now.
+    /// Sets the time. What arrived since it was last set counts as having arrived now.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
         for input in std::mem::take(&mut self.unsorted) {
-            match classify(&input) {
-                InputClass::Answers => self.answers.push_back(input),
-                InputClass::ClientRequests => self.client_requests.push_back((now, input)),
-                InputClass::Heartbeats => self.heartbeats.push_back((now, input)),
+            let class = classify(&input);
+            let waiting = Waiting { since: now, input };
+            match class {
+                InputClass::Answers => self.answers.push_back(waiting.input),
+                InputClass::ClientRequests => self.client_requests.push_back(waiting),
+                InputClass::Heartbeats => self.heartbeats.push_back(waiting),
             }
         }
     }
 
+    /// Adds an input that has just arrived.
     pub fn push(&mut self, input: Input) {
         self.unsorted.push(input);
     }
 
+    /// Whether no input waits.
     pub fn is_empty(&self) -> bool {
         self.unsorted.is_empty()
             && self.answers.is_empty()
@@ -72,25 +86,25 @@
             && self.heartbeats.is_empty()
     }
 
-    /// How long the input that has waited longest has done so.
+    /// How long the client request or heartbeat that has waited longest has done so, in microseconds.
     pub fn longest_wait(&self) -> Micros {
-        let users = self.client_requests.front().map(|w| w.0);
-        let reports = self.heartbeats.front().map(|w| w.0);
-        let since = users.into_iter().chain(reports).min();
-        since.map_or(0, |t| self.now.saturating_sub(t))
+        let fronts = [self.client_requests.front(), self.heartbeats.front()];
+        let since = fronts.into_iter().flatten().map(|waiting| waiting.since);
+        since
+            .min()
+            .map_or(0, |since| self.now.saturating_sub(since))
     }
 
-    /// Reports have waited for so long that users wait with them.
+    /// Whether heartbeats have waited for so long that client requests take turns with them.
     fn heartbeats_overdue(&self) -> bool {
         let first = self.heartbeats.front();
-        first.is_some_and(|w| self.now >= w.0 + HEARTBEAT_WAIT_MAX)
+        first.is_some_and(|waiting| self.now >= waiting.since + HEARTBEAT_WAIT_MAX)
     }
 
-    /// The next of what goes before reports. After a takeover a thousand reports come within
-    /// seconds; in one line with them, users' requests and the grant's renewals would wait as
-    /// long. Users go first only while that costs no worker its lease.
+    /// The next input that precedes heartbeats. After a failover a thousand heartbeats arrive within seconds; in
+    /// one queue with them, client requests and lease renewals would wait as long.
     ///
-    /// `awaited` tells whether the other end still waits for the answer. Whoever has given up asks
+    /// `awaited` says whether the sender of an input still waits for the answer. A sender that has given up asks
     /// again; were both served, a node that is behind would only fall further behind.
     pub fn next_urgent(&mut self, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
         self.set_now(self.now);
@@ -103,7 +117,7 @@
         pop_awaited(&mut self.client_requests, awaited)
     }
 
-    /// The next input; reports come last, or, once they have waited long, take turns with users.
+    /// The next input. Heartbeats come last, or, once they are overdue, take turns with client requests.
     pub fn next(&mut self, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
         if let Some(input) = self.next_urgent(&awaited) {
             return Some(input);
@@ -119,13 +133,11 @@
     }
 }
 
-fn pop_awaited(
-    line: &mut VecDeque<(Micros, Input)>,
-    awaited: impl Fn(&Input) -> bool,
-) -> Option<Input> {
-    while let Some((_, input)) = line.pop_front() {
-        if awaited(&input) {
-            return Some(input);
+/// The first input of the queue whose sender still waits; those before it are dropped.
+fn pop_awaited(queue: &mut VecDeque<Waiting>, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
+    while let Some(waiting) = queue.pop_front() {
+        if awaited(&waiting.input) {
+            return Some(waiting.input);
         }
     }
     None
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,18 @@
 //! dewramp: a cluster scheduler run by a few controllers, one of which leads.
 //!
-//! The actors (`store`, `leadership`, `jobs`, `pipelines`, `workers`, `roll`, `cloud`, `scheduler`
-//! with its `rooms`) do no I/O: a message and the time go in, messages come out. `layout` says how
-//! what is stored is laid out, `desk` passes reports on to the leader, `controller` wires the actors,
-//! `lanes` says who is
-//! served first, `load` what is not taken on when the node is behind, `net` moves bytes. `maps` and `planted`
-//! serve those who play runs again and look for bugs.
+//! The modules do no I/O, with the exception of [`net`], [`open_files`] and [`admin_client`]: a message and the time
+//! go in, messages come out, so a run is determined by its inputs. `docs/architecture.md` has the order of the modules,
+//! who owns which state, and the paths of requests, heartbeats and commands; `docs/glossary.md` has the terms.
+
+#![warn(
+    missing_docs,
+    rustdoc::broken_intra_doc_links,
+    clippy::allow_attributes_without_reason,
+    clippy::too_many_arguments,
+    clippy::type_complexity,
+    clippy::wildcard_imports
+)]
+#![cfg_attr(not(test), warn(clippy::unwrap_used))]
 
 pub mod accounting;
 pub mod admin_client;
@@ -23,6 +30,7 @@
 pub mod job_record;
 pub mod jobs;
 pub mod load_shedding;
+pub mod loop_timing;
 pub mod messages;
 pub mod net;
 pub mod open_files;
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -1,65 +1,86 @@
-//! How far behind its inputs this node is, and what it does not take on for that. Work that is
-//! running goes before new work, and whoever can come again is told so at once: a node that takes
-//! everything answers all of it too late, is asked again, and stays behind when the cause is over.
+//! Load shedding: how far behind its inputs this node is, and what it refuses for that reason.
+//!
+//! Running work precedes new work, and a client that can retry is told so at once: a node that accepts
+//! everything answers all of it too late, is asked again, and stays behind after the cause is over.
+//! [`LoadMonitor`] only measures and judges; `net` refuses, and the controller starts less.
+
+#[cfg(test)]
+mod tests;
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::wire::SUBMIT_PATH;
 
-/// A worker waits that long for the answer to a report (protocol, "Workers -> controller nodes").
+/// How long a worker waits for the answer to a heartbeat (protocol, "Workers -> controller nodes").
 const WORKER_TIMEOUT: Micros = 4 * SECOND;
-/// Users wait that long for a poll and for a submission (protocol, "Users -> controller nodes").
+/// How long a client waits for the answer to a poll (protocol, "Users -> controller nodes").
 const POLL_TIMEOUT: Micros = 2 * SECOND;
+/// The same for a submission.
 const SUBMIT_TIMEOUT: Micros = 5 * SECOND;
-/// What was measured counts half after this long without a new peak.
+/// The measured lag halves in this time unless a higher one is seen.
 const LAG_HALF_LIFE: Micros = 500 * MILLISECOND;
-/// The longest `Retry-After` that users keep to is 30 s.
+/// The largest `Retry-After`, in seconds; clients keep to no more than 30 s.
 const RETRY_AFTER_MAX_S: u32 = 20;
 
-/// Which users' requests are refused before they are looked at.
+/// Which client requests are refused before they are parsed further.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShedLevel {
+    /// None.
     #[default]
     Nothing,
+    /// Polls.
     Polls,
+    /// All client requests.
     ClientRequests,
 }
 
+impl std::fmt::Display for ShedLevel {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        f.write_str(match self {
+            Self::Nothing => "nothing",
+            Self::Polls => "polls",
+            Self::ClientRequests => "client_requests",
+        })
+    }
+}
+
 impl ShedLevel {
-    /// Whether a user's request of this path is refused. Polls go first: whoever asks how a job is
-    /// asks again anyhow, while a submission or a cancellation is what its user waits for.
+    /// Whether a client request of this path is refused. Polls are refused first: a client polls again anyway,
+    /// while it waits for a submission or a cancellation.
     pub fn refuses(self, path: &str) -> bool {
-        let asks = path == SUBMIT_PATH || path.ends_with("/cancel");
+        let is_write = path == SUBMIT_PATH || path.ends_with("/cancel");
         match self {
             ShedLevel::Nothing => false,
-            ShedLevel::Polls => !asks,
+            ShedLevel::Polls => !is_write,
             ShedLevel::ClientRequests => true,
         }
     }
 }
 
-/// How far the connections that others may have to a node are taken.
+/// How many of the connections that others may have to this node are in use.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPressure {
+    /// There are enough.
     #[default]
     Low,
-    /// It wants no more workers handed to it.
+    /// The node takes no more workers from the leader.
     High,
-    /// It hands some to the leader.
+    /// The node hands workers back to the leader.
     Critical,
 }
 
+/// How far behind its inputs this node is.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoadMonitor {
     lag: f64,
     noted_at: Micros,
-    /// The highest lag of this run.
+    /// The highest lag of this process, in microseconds.
     pub worst_lag: Micros,
-    /// How far its connections are taken.
+    /// How many of its connections are in use.
     pub connection_pressure: ConnectionPressure,
 }
 
 impl LoadMonitor {
-    /// Takes what the oldest input just handled, or still waiting, has waited.
+    /// Takes how long the oldest input has waited that was just handled or still waits.
     pub fn note_wait(&mut self, now: Micros, waited: Micros) {
         let aged =
             self.lag * 0.5f64.powf(now.saturating_sub(self.noted_at) as f64 / LAG_HALF_LIFE as f64);
@@ -68,11 +89,12 @@
         self.worst_lag = self.worst_lag.max(waited);
     }
 
-    /// Time from the arrival of an input to its being handled, lately at worst.
+    /// The longest recent time from the arrival of an input to its handling, in microseconds.
     pub fn lag(&self) -> Micros {
         self.lag as Micros
     }
 
+    /// What is refused at this lag.
     pub fn shed_level(&self) -> ShedLevel {
         match self.lag() {
             lag if lag > SUBMIT_TIMEOUT / 3 => ShedLevel::ClientRequests,
@@ -81,111 +103,16 @@
         }
     }
 
-    /// Whether new work may be started. A start brings reports of its own; when those that keep
-    /// leases alive wait for a good part of what their workers give them, there are enough.
+    /// Whether new work may be started. A start causes further heartbeats; while those that renew leases wait for
+    /// a quarter of what their workers wait, there are enough.
     pub fn may_start_work(&self) -> bool {
         self.lag() < WORKER_TIMEOUT / 4
     }
 
-    /// When a user who is refused should come again, in seconds: the later the further behind,
-    /// and spread, so that they don't come back together.
+    /// When a refused client should retry, in seconds: the later the further behind, and spread by `who`, so that
+    /// clients don't return together.
     pub fn retry_after(&self, who: u64) -> u32 {
         let base = (2 * self.lag() / SECOND) as u32 + 1;
         (base + (who % u64::from(base)) as u32).min(RETRY_AFTER_MAX_S)
     }
 }
-
-/// What a node's time goes to.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LoopPhase {
-    /// Taking bytes from sockets, and waiting for them.
-    Sockets,
-    /// Users' requests, answers of other systems, and what other controllers ask.
-    Requests,
-    Heartbeats,
-    /// What the node does by itself: placing, saving, upkeep.
-    Internal,
-    /// Writing to sockets.
-    Sending,
-}
-
-const PHASES: [LoopPhase; 5] = [
-    LoopPhase::Sockets,
-    LoopPhase::Requests,
-    LoopPhase::Heartbeats,
-    LoopPhase::Internal,
-    LoopPhase::Sending,
-];
-
-/// Between two lines in the log.
-const LOG_INTERVAL: Micros = 10 * SECOND;
-
-/// How often each kind of work was done lately, and the time it took.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct LoopTiming {
-    counts: [u64; PHASES.len()],
-    times: [Micros; PHASES.len()],
-    /// Turns of the loop, and those in which nothing came in.
-    turns: u64,
-    idle_turns: u64,
-    last_logged_at: Micros,
-}
-
-impl LoopTiming {
-    pub fn add(&mut self, work: LoopPhase, took: Micros) {
-        self.counts[work as usize] += 1;
-        self.times[work as usize] += took;
-    }
-
-    /// The loop has waited for something to come in.
-    pub fn note_turn(&mut self, idle: bool) {
-        self.turns += 1;
-        self.idle_turns += u64::from(idle);
-    }
-
-    /// A line on the last seconds, now and then.
-    pub fn take_log_line(&mut self, now: Micros) -> Option<String> {
-        if now < self.last_logged_at + LOG_INTERVAL {
-            return None;
-        }
-        let line = PHASES.iter().map(|w| {
-            let at = *w as usize;
-            format!(
-                "{w:?} {} in {} ms",
-                self.counts[at],
-                self.times[at] / MILLISECOND
-            )
-        });
-        let line = line.collect::<Vec<_>>().join(", ").to_lowercase();
-        let line = format!(
-            "{line}; {} turns, {} without input",
-            self.turns, self.idle_turns
-        );
-        *self = Self {
-            last_logged_at: now,
-            ..Self::default()
-        };
-        Some(line)
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn what_is_refused_grows_with_the_lag_and_ends_soon_after_it() {
-        let mut load = LoadMonitor::default();
-        load.note_wait(SECOND, 20 * MILLISECOND);
-        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Nothing);
-        load.note_wait(SECOND, 800 * MILLISECOND);
-        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Polls);
-        load.note_wait(2 * SECOND, 3 * SECOND);
-        assert!(!load.may_start_work() && load.shed_level() == ShedLevel::ClientRequests);
-        let spread: std::collections::BTreeSet<u32> =
-            (0..50).map(|n| load.retry_after(n)).collect();
-        assert!(spread.len() > 3 && spread.iter().all(|s| (1..=20).contains(s)));
-        load.note_wait(5 * SECOND, 0);
-        assert!(load.may_start_work() && load.shed_level() == ShedLevel::Nothing);
-    }
-}
--- a/src/request_starvation.rs
+++ b/src/request_starvation.rs
@@ -1,70 +1,91 @@
-//! Whose questions had no answer here, and for how long: so that what is refused for want of time or budget
-//! is not the same job's questions again and again. Pure, and bounded.
+//! Which requests went unanswered here, and for how long, so that load shedding and a short budget do not refuse
+//! the requests of the same job again and again.
+//!
+//! [`RequestStarvation`] owns a bounded memory of failures by subject (a job or a path); it refuses and answers
+//! nothing itself.
 
 use crate::clock::{Micros, SECOND};
 use crate::seeded_hash::HashMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What was asked last so long ago is asked elsewhere, or not any more.
+/// A subject not asked about for this long is asked about elsewhere, or no more.
 const FORGET_AFTER: Micros = 60 * SECOND;
-/// At most so many are remembered; those that came first are, since they have waited longest.
+/// The most subjects remembered; the first are kept, since they have waited longest.
 const TRACKED_MAX: usize = 16_384;
-/// Questions that had no answer for so long go before all others: users ask about every 5 s, and a job is
-/// forgotten when nobody answers for 75 s, at whichever controllers they asked meanwhile.
+/// Requests unanswered for this long precede all others: clients ask about every 5 s, and a job counts as forgotten
+/// when nobody answers for 75 s, at whichever controllers they asked meanwhile.
 pub const STARVED_AFTER: Micros = 10 * SECOND;
 
+/// The first and the last failure of one subject.
+struct Unanswered {
+    first: Micros,
+    last: Micros,
+}
+
+impl Unanswered {
+    fn is_recent(&self, now: Micros) -> bool {
+        now < self.last + FORGET_AFTER
+    }
+}
+
+/// What was asked about and had no answer.
 #[derive(Default)]
 pub struct RequestStarvation {
-    /// First and last time without an answer, by a digest of what was asked about.
-    unanswered_since: HashMap<u64, (Micros, Micros)>,
+    /// By a digest of the subject.
+    unanswered: HashMap<u64, Unanswered>,
 }
 
 impl RequestStarvation {
-    /// A question about that had no answer.
+    /// A request about this subject was not answered.
     pub fn note_failure(&mut self, now: Micros, about: &str) {
         let key = xxh3_64(about.as_bytes());
-        if self.unanswered_since.len() >= TRACKED_MAX && !self.unanswered_since.contains_key(&key) {
-            self.unanswered_since
-                .retain(|_, (_, last)| now < *last + FORGET_AFTER);
-            if self.unanswered_since.len() >= TRACKED_MAX {
+        if self.unanswered.len() >= TRACKED_MAX && !self.unanswered.contains_key(&key) {
+            self.unanswered.retain(|_, entry| entry.is_recent(now));
+            if self.unanswered.len() >= TRACKED_MAX {
                 return;
             }
         }
-        let entry = self.unanswered_since.entry(key).or_insert((now, now));
-        if now >= entry.1 + FORGET_AFTER {
-            entry.0 = now;
+        let new = Unanswered {
+            first: now,
+            last: now,
+        };
+        let entry = self.unanswered.entry(key).or_insert(new);
+        if !entry.is_recent(now) {
+            entry.first = now;
         }
-        entry.1 = now;
+        entry.last = now;
     }
 
+    /// A request about this subject was answered.
     pub fn note_answer(&mut self, about: &str) {
-        if !self.unanswered_since.is_empty() {
-            self.unanswered_since.remove(&xxh3_64(about.as_bytes()));
+        if !self.unanswered.is_empty() {
+            self.unanswered.remove(&xxh3_64(about.as_bytes()));
         }
     }
 
-    /// For how long questions about that have had no answer here.
+    /// For how long requests about this subject have gone unanswered here, in microseconds.
     pub fn waited(&self, now: Micros, about: &str) -> Micros {
-        if self.unanswered_since.is_empty() {
+        if self.unanswered.is_empty() {
             return 0;
         }
-        let found = self.unanswered_since.get(&xxh3_64(about.as_bytes()));
-        let fresh = found.filter(|(_, last)| now < *last + FORGET_AFTER);
-        fresh.map_or(0, |(first, _)| now.saturating_sub(*first))
+        let found = self.unanswered.get(&xxh3_64(about.as_bytes()));
+        let recent = found.filter(|entry| entry.is_recent(now));
+        recent.map_or(0, |entry| now.saturating_sub(entry.first))
     }
 
+    /// Whether requests about this subject precede all others.
     pub fn is_starved(&self, now: Micros, about: &str) -> bool {
         self.waited(now, about) >= STARVED_AFTER
     }
 
-    /// How many have had no answer, and the longest wait of them.
+    /// How many subjects had no answer, and the longest wait among them in microseconds.
     pub fn worst(&self, now: Micros) -> (usize, Micros) {
-        let fresh = self
-            .unanswered_since
+        let recent = self
+            .unanswered
             .values()
-            .filter(|(_, last)| now < *last + FORGET_AFTER);
-        fresh.fold((0, 0), |(n, worst), (first, _)| {
-            (n + 1, worst.max(now - first))
+            .filter(|entry| entry.is_recent(now));
+        recent.fold((0, 0), |(count, worst), entry| {
+            (count + 1, worst.max(now - entry.first))
         })
     }
 }
