--- a/src/messages.rs
+++ b/src/messages.rs
@@ -19,14 +19,17 @@
     Refused,
     /// No answer; it may have been executed, or may still be, minutes later.
     Lost,
+    /// It was answered.
     Reply {
+        /// HTTP status.
         status: u16,
+        /// The body as it came.
         body: Vec<u8>,
     },
 }
 
 impl Outcome {
-    /// Whether it surely never left.
+    /// Whether the call surely never left.
     pub fn not_sent(&self) -> bool {
         matches!(self, Outcome::NotSent | Outcome::Refused)
     }
@@ -35,30 +38,46 @@
 /// Where a call goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Dest {
+    /// An HTTP server: the state service, the cloud or a worker.
     Http(SocketAddr),
+    /// Another controller.
     Peer(SocketAddr),
 }
 
 /// What came in from outside.
 #[derive(Debug)]
 pub enum Input {
+    /// An HTTP request; answered once on its connection.
     Request {
+        /// The connection that it came on.
         conn: ConnId,
+        /// HTTP method.
         method: String,
+        /// Path with its query.
         path: String,
+        /// The whole body.
         body: Vec<u8>,
     },
-    /// From another controller; answered by ticket on the same connection.
+    /// A frame of another controller; answered by ticket on the same connection.
     PeerRequest {
+        /// The connection that it came on.
         conn: ConnId,
+        /// The sender's ticket, which the answer carries.
         ticket: Ticket,
+        /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
+        /// How long the sender waits for the answer, in microseconds.
         patience: Micros,
+        /// What it is about; its meaning depends on the kind.
         addr: String,
+        /// The payload, in the format of the kind.
         body: Vec<u8>,
     },
+    /// A call of this process has ended.
     Outcome {
+        /// The call's ticket.
         ticket: Ticket,
+        /// How it ended.
         outcome: Outcome,
     },
 }
@@ -66,31 +85,54 @@
 /// What is to be sent.
 #[derive(Debug)]
 pub enum Output {
+    /// The answer to an HTTP request.
     Respond {
+        /// The request's connection.
         conn: ConnId,
+        /// HTTP status.
         status: u16,
+        /// The body, JSON.
         body: Vec<u8>,
+        /// Seconds of the header `Retry-After`, if there is to be one.
         retry_after: Option<u32>,
     },
+    /// The answer to a frame of another controller.
     PeerRespond {
+        /// The frame's connection.
         conn: ConnId,
+        /// The frame's ticket.
         ticket: Ticket,
+        /// The answer, or how the call ended that was made for it.
         outcome: Outcome,
     },
+    /// A call over HTTP.
     Call {
+        /// Identifies the call in its outcome.
         ticket: Ticket,
+        /// The server.
         dest: SocketAddr,
+        /// HTTP method.
         method: &'static str,
+        /// Path with its query.
         path: String,
+        /// The body, JSON.
         body: Vec<u8>,
+        /// The call ends as lost after this time, in microseconds.
         timeout: Micros,
     },
+    /// A frame to another controller.
     PeerCall {
+        /// Identifies the call in its outcome.
         ticket: Ticket,
+        /// The other controller.
         dest: SocketAddr,
+        /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
+        /// What it is about; its meaning depends on the kind.
         addr: String,
+        /// The payload, in the format of the kind.
         body: Vec<u8>,
+        /// The call ends as lost after this time, in microseconds.
         timeout: Micros,
     },
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,5 +1,9 @@
-//! Bytes in, bytes out: sockets on one calloop loop, HTTP/1.1 both ways, frames between
-//! controllers, time limits and caps. Knows nothing of jobs.
+//! Sockets on one `calloop` event loop: HTTP/1.1 as server and client, frames between controllers, timeouts, and
+//! caps on connections.
+//!
+//! [`Net`] owns the connections, the calls in flight and the inputs that wait. It knows nothing of jobs or leaders:
+//! what it takes in goes out as [`Input`], and what it is to send comes as [`Output`]. Every call that it accepts ends
+//! with exactly one [`Input::Outcome`].
 
 mod frames;
 mod http;
@@ -13,6 +17,7 @@
 use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, MAX_BODY};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+use frames::OutgoingFrame;
 use rustix::io::Errno;
 use rustix::net::{SocketFlags, accept_with};
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
@@ -21,28 +26,33 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// Largest response taken from another system; a watch's answer has no limit of its own.
+/// The largest response taken from another system, in bytes; the answer to a watch has no limit of its own.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
+/// The largest head of a request or response, in bytes.
 const HTTP_HEAD_BYTES_MAX: usize = 16 * 1024;
-/// Time for a request to come in whole, and for a client to take its answer.
+/// Time for a request to arrive completely, and for its sender to take the answer.
 const REQUEST_TIMEOUT: Micros = 10 * SECOND;
+/// An idle connection to this node is closed after this time.
 const SERVER_IDLE_TIMEOUT: Micros = 90 * SECOND;
+/// An idle connection of this node's own calls is closed after this time.
 const CLIENT_IDLE_TIMEOUT: Micros = 45 * SECOND;
+/// Time for a connection to be established.
 const CONNECT_TIMEOUT: Micros = SECOND;
-/// So many calls in a row that got no answer end a link between controllers.
+/// This many calls in a row without an answer close a link between controllers.
 const LINK_MISSED_ANSWERS_MAX: u32 = 8;
-/// A connection that rests for longer than this many report periods belongs to somebody who is gone; without
-/// the period, for so long.
+/// The owner of a connection that was idle for this many heartbeat periods is gone.
 const IDLE_PEER_GONE_PERIODS: Micros = 2;
+/// The same where the heartbeat period is not known.
 const IDLE_PEER_GONE_AFTER: Micros = 16 * SECOND;
-/// With this share of its connections taken a node wants no more workers handed to it, and with that
-/// share it sends some to the leader.
+/// With this share of its connections in use a node takes no more workers.
 const HIGH_PRESSURE_SHARE: f64 = 0.9;
+/// With this share of its connections in use a node hands workers back to the leader.
 const CRITICAL_PRESSURE_SHARE: f64 = 0.95;
-/// So many connections are taken at a time.
+/// The most connections accepted per event of a listening socket.
 const ACCEPTS_PER_EVENT: usize = 32;
+/// A link with more unsent bytes than this is closed.
 const PENDING_OUTPUT_BYTES_MAX: usize = 4 << 20;
-/// The share of the connections to us that users may have while workers need the others.
+/// The share of the connections to this node that clients may have while workers need the others.
 const CLIENT_CONNS_SHARE: f64 = 0.6;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -98,6 +108,7 @@
     deadline: Micros,
 }
 
+/// The sockets of this process, and what is under way on them.
 pub struct Net {
     handle: LoopHandle<'static, Net>,
     now: Micros,
@@ -123,28 +134,33 @@
     shed_level: ShedLevel,
     retry_after: u32,
     isolated: bool,
-    /// Users' requests refused without being looked at.
+    /// How many client requests were refused unparsed.
     pub refused_requests: u64,
     /// What those were about.
     starvation: RequestStarvation,
+    /// What the sockets did since this was last taken.
     pub traffic: Traffic,
 }
 
-/// What the sockets did since it was last told, for the line on where the time goes: each of these is a call
-/// of the system, and they cost as much as what the calls bring (`docs/cost.md`).
+/// What the sockets did, for the log line on loop timing: nearly each of these is a system call, and these cost as
+/// much as what they carry (`docs/cost.md`).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Sockets that the loop found ready.
+    /// Events of sockets.
     pub events: u64,
-    /// Connections taken, and those made for our own calls.
+    /// Connections accepted.
     pub accepted: u64,
-    /// Connections that rested and were closed to make room for those.
+    /// Idle connections closed to make room for those.
     pub evicted: u64,
+    /// Connections opened for this node's own calls.
     pub connected: u64,
+    /// Reads from sockets.
     pub reads: u64,
+    /// Writes to sockets.
     pub writes: u64,
-    /// Requests over HTTP, and frames of other controllers, that came in whole.
+    /// Complete HTTP requests received.
     pub requests: u64,
+    /// Complete frames of other controllers received.
     pub frames: u64,
 }
 
@@ -169,6 +185,7 @@
 }
 
 impl Net {
+    /// Without sockets yet. Of `max_connections`, two thirds are for connections to this node.
     pub fn new(handle: LoopHandle<'static, Net>, max_connections: usize) -> Self {
         Self {
             handle,
@@ -197,7 +214,11 @@
         }
     }
 
-    /// Opens a listening socket; `peers` tells frames from HTTP.
+    /// Opens a listening socket: for frames of other controllers if `peers`, else for HTTP.
+    ///
+    /// # Errors
+    ///
+    /// If the socket can't be opened or bound.
     pub fn listen(&mut self, addr: SocketAddr, peers: bool) -> std::io::Result<()> {
         let kind = Type::STREAM.nonblocking();
         let socket = Socket::new(Domain::for_address(addr), kind, Some(Protocol::TCP))?;
@@ -224,23 +245,23 @@
         Ok(())
     }
 
-    /// Which users' requests are refused as soon as they are seen, and when they may come again.
-    /// While this node can serve nobody, the connections of those it tells so are closed: they would else
-    /// come back here.
-    pub fn set_isolated(&mut self, cut_off: bool) {
-        self.isolated = cut_off;
+    /// Sets whether this node can serve nobody. The connections of clients that it tells so are closed, since they
+    /// would otherwise return here.
+    pub fn set_isolated(&mut self, isolated: bool) {
+        self.isolated = isolated;
     }
 
+    /// Sets which client requests are refused unparsed, and after how many seconds they may be retried.
     pub fn set_shed(&mut self, shed: ShedLevel, retry_after: u32) {
         (self.shed_level, self.retry_after) = (shed, retry_after);
     }
 
-    /// How often a worker reports.
+    /// Sets how often a worker sends a heartbeat.
     pub fn set_report_period(&mut self, period: Micros) {
         self.idle_peer_gone_after = IDLE_PEER_GONE_PERIODS * period;
     }
 
-    /// How far the connections that others may have to this node are taken.
+    /// How many of the connections that others may have to this node are in use.
     pub fn connection_pressure(&self) -> ConnectionPressure {
         let taken = self.server_conns as f64 / self.server_conns_max.max(1) as f64;
         match taken {
@@ -250,27 +271,30 @@
         }
     }
 
-    /// Sets the time; what came in meanwhile counts as having come now.
+    /// Sets the time. What arrived since it was last set counts as having arrived now.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
         self.inputs.set_now(now);
     }
 
-    /// How long the input that has waited longest has done so.
+    /// How long the input that has waited longest has done so, in microseconds.
     pub fn longest_wait(&self) -> Micros {
         self.inputs.longest_wait()
     }
 
+    /// The next input that precedes heartbeats.
     pub fn next_urgent(&mut self) -> Option<Input> {
         let conns = &self.conns;
         self.inputs.next_urgent(|input| awaited(conns, input))
     }
 
+    /// The next input of any kind.
     pub fn next_input(&mut self) -> Option<Input> {
         let conns = &self.conns;
         self.inputs.next(|input| awaited(conns, input))
     }
 
+    /// Whether any input waits.
     pub fn has_input(&self) -> bool {
         !self.inputs.is_empty()
     }
@@ -279,13 +303,14 @@
         self.inputs.push(input);
     }
 
+    /// When [`Net::expire`] next has something to do.
     pub fn next_deadline(&self) -> Option<Micros> {
         let calls = self.deadlines.first().map(|d| d.0);
         let conns = self.conn_deadlines.first().map(|d| d.0);
         calls.into_iter().chain(conns).min()
     }
 
-    /// Ends calls and connections whose time is over.
+    /// Ends calls and connections that have timed out.
     pub fn expire(&mut self) {
         while let Some(&(at, ticket)) = self.deadlines.first() {
             if at > self.now {
@@ -367,7 +392,7 @@
         self.conns.len() - self.server_conns
     }
 
-    /// Closes a connection of ours that is at rest: a thousand workers may each have one.
+    /// Closes an idle connection of this node's own calls: a thousand workers may each have one.
     fn close_idle_client(&mut self) {
         let resting = |d: &&Dest| matches!(d, Dest::Http(_));
         let found = self.idle.iter().find(|(d, l)| resting(d) && !l.is_empty());
@@ -376,11 +401,11 @@
         }
     }
 
-    /// Closes a connection to us that rests; false when none does. One that has rested for longer than
-    /// anybody who is still there would is the first to go. After those the one that rests for the shortest
-    /// time: all come again in turn, so it is needed last. Were the oldest closed, as for caches whose use
-    /// has no period, a few callers too many would cost each caller its connection just before it is used
-    /// again, and every request would need a new one, for ever.
+    /// Closes an idle connection to this node; false if there is none. One idle for longer than the owner of a live
+    /// one would leave it goes first. After those goes the one idle for the shortest time: callers come in turn, so it
+    /// is needed last. Were the one idle longest closed, as in a cache whose use has no period, a few callers too
+    /// many would cost each caller its connection just before it is used again, and every request would need a
+    /// new one, for ever.
     fn close_idle_server(&mut self) -> bool {
         let oldest = self.idle_since_order.first();
         let gone = oldest.filter(|(since, _)| self.now >= since + self.idle_peer_gone_after);
@@ -392,7 +417,7 @@
         found.is_some()
     }
 
-    /// Notes whether a connection to us rests now.
+    /// Notes whether a connection to this node is idle now.
     fn note_idle(&mut self, id: ConnId) {
         let Some(c) = self.conns.get_mut(&id) else {
             return;
@@ -640,6 +665,7 @@
         }
     }
 
+    /// Sends an output. A call that can't be sent ends as not sent.
     pub fn perform(&mut self, output: Output) {
         match output {
             Output::Respond {
@@ -662,7 +688,15 @@
                     }
                     Outcome::Reply { status, body } => (status, body),
                 };
-                self.write_frame(conn, KIND_ANSWER, status, ticket, 0, "", &body);
+                let answer = OutgoingFrame {
+                    kind: KIND_ANSWER,
+                    status,
+                    ticket,
+                    patience: 0,
+                    addr: "",
+                    body: &body,
+                };
+                self.write_frame(conn, &answer);
             }
             Output::Call {
                 ticket,
@@ -701,7 +735,15 @@
                 let Some(id) = self.open(ticket, Dest::Peer(dest), timeout) else {
                     return;
                 };
-                self.write_frame(id, kind, 0, ticket, timeout, &addr, &body);
+                let request = OutgoingFrame {
+                    kind,
+                    status: 0,
+                    ticket,
+                    patience: timeout,
+                    addr: &addr,
+                    body: &body,
+                };
+                self.write_frame(id, &request);
             }
         }
     }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -1,10 +1,27 @@
 //! Frames between controllers: one link each way, calls told apart by their tickets.
 
-use super::*;
-use crate::wire::{FRAME_HEAD, FRAME_MAGIC, FRAME_MAX, FrameHead};
+use super::{Net, PENDING_OUTPUT_BYTES_MAX};
+use crate::clock::Micros;
+use crate::messages::{ConnId, Input, Outcome, Ticket};
+use crate::wire::{
+    FRAME_HEAD, FRAME_LOST, FRAME_MAGIC, FRAME_MAX, FRAME_NOT_SENT, FrameHead, KIND_ANSWER,
+};
 use zerocopy::{FromBytes, IntoBytes};
 
+/// A frame to be written.
+pub(super) struct OutgoingFrame<'a> {
+    pub(super) kind: u16,
+    /// Of an answer: HTTP status or one of the `FRAME_` outcomes.
+    pub(super) status: u16,
+    pub(super) ticket: Ticket,
+    /// How long the answer is waited for, in microseconds.
+    pub(super) patience: Micros,
+    pub(super) addr: &'a str,
+    pub(super) body: &'a [u8],
+}
+
 impl Net {
+    /// Takes a frame from what was read; false if there is no complete one.
     pub(super) fn consume_frame(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
@@ -48,8 +65,8 @@
         true
     }
 
-    /// Whether a frame takes that much. Its receiver would close the link over a longer one, and with it all
-    /// calls and heartbeats on it: what does not fit is refused here.
+    /// Whether a payload fits a frame. The receiver of a longer frame would close the link, and with it all calls and
+    /// heartbeats on it, so what does not fit is refused here.
     pub(super) fn fits_frame(kind: u16, addr: &str, body: &[u8]) -> bool {
         let length = addr.len() + body.len();
         if length > FRAME_MAX {
@@ -58,17 +75,8 @@
         length <= FRAME_MAX
     }
 
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn write_frame(
-        &mut self,
-        id: ConnId,
-        kind: u16,
-        status: u16,
-        ticket: Ticket,
-        patience: Micros,
-        addr: &str,
-        body: &[u8],
-    ) {
+    /// Writes a frame to a link; a link that takes nothing any more is closed.
+    pub(super) fn write_frame(&mut self, id: ConnId, frame: &OutgoingFrame) {
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
@@ -78,16 +86,16 @@
         }
         let head = FrameHead {
             magic: FRAME_MAGIC.into(),
-            kind: kind.into(),
-            status: status.into(),
-            ticket: ticket.into(),
-            patience: patience.into(),
-            addr_len: (addr.len() as u32).into(),
-            len: ((addr.len() + body.len()) as u32).into(),
+            kind: frame.kind.into(),
+            status: frame.status.into(),
+            ticket: frame.ticket.into(),
+            patience: frame.patience.into(),
+            addr_len: (frame.addr.len() as u32).into(),
+            len: ((frame.addr.len() + frame.body.len()) as u32).into(),
         };
         c.output.extend_from_slice(head.as_bytes());
-        c.output.extend_from_slice(addr.as_bytes());
-        c.output.extend_from_slice(body);
+        c.output.extend_from_slice(frame.addr.as_bytes());
+        c.output.extend_from_slice(frame.body);
         self.flush(id);
     }
 }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,9 +1,13 @@
 //! HTTP/1.1, as server and as client.
 
-use super::*;
-use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH};
+use super::{
+    CLIENT_CONNS_SHARE, HTTP_HEAD_BYTES_MAX, Net, REQUEST_TIMEOUT, RESPONSE_BYTES_MAX, Role,
+    SERVER_IDLE_TIMEOUT,
+};
+use crate::messages::{ConnId, Input, Outcome};
+use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, MAX_BODY};
 
-/// That many 503 in a row end a user's connection.
+/// This many 503 answers in a row close a client's connection.
 const REFUSALS_BEFORE_CLOSE: u8 = 2;
 
 /// Decodes a chunked body: its bytes and how many were used, or None while incomplete.
@@ -31,6 +35,7 @@
     }
 }
 
+/// The reason phrase that goes with a status.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -51,6 +56,7 @@
 }
 
 impl Net {
+    /// Takes a request from what was read; false if there is no complete one.
     pub(super) fn consume_request(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
@@ -112,7 +118,7 @@
         true
     }
 
-    /// Answers a user's request that is not taken on, if it is one.
+    /// Refuses a client request if load shedding covers it; true if so.
     pub(super) fn shed_client_request(&mut self, id: ConnId, path: &str) -> bool {
         if path == HEARTBEAT_PATH || path == HEALTH_PATH || path.starts_with("/inspect") {
             return false;
@@ -129,7 +135,7 @@
         if crowd {
             c.close_after = true;
         }
-        // Whoever comes again goes before those that come for the first time.
+        // A client that retries precedes those that come for the first time.
         let again = self.starvation.is_starved(self.now, path);
         let refused = crowd || (self.shed_level.refuses(path) && !again);
         if again {
@@ -145,6 +151,7 @@
         refused
     }
 
+    /// Answers a request that can't be parsed, and closes the connection.
     pub(super) fn reject_malformed(&mut self, id: ConnId, status: u16, reason: &str) -> bool {
         if let Some(c) = self.conns.get_mut(&id) {
             c.close_after = true;
@@ -160,6 +167,7 @@
         false
     }
 
+    /// Takes the response to a call from what was read; false, since a connection carries one call at a time.
     pub(super) fn consume_response(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
@@ -168,7 +176,7 @@
             return false;
         }
         if c.waiting_calls.is_empty() {
-            // Nobody asked: whatever this is, it is no answer of ours.
+            // No call waits on it: whatever this is, it answers none.
             self.close(id);
             return false;
         }
@@ -238,6 +246,7 @@
         false
     }
 
+    /// Writes the answer to the request under way on a connection.
     pub(super) fn respond(
         &mut self,
         id: ConnId,
@@ -253,8 +262,8 @@
         }
         c.busy = false;
         c.served = true;
-        // A user who is sent away twice in a row comes over a new connection, which the load balancer may give
-        // to another node: it does not move those that are open.
+        // A client refused twice in a row comes back over a new connection, which the load balancer may give to
+        // another node: it does not move open ones.
         c.refusals_in_row = if c.user && status == 503 {
             c.refusals_in_row.saturating_add(1)
         } else {
