--- a/src/open_files.rs
+++ b/src/open_files.rs
@@ -1,26 +1,32 @@
-//! The process's limit of open files, against what the settings ask for: each connection takes one.
+//! The process's limit of open files, compared with what the settings need: each connection takes one file.
+//!
+//! Raises the soft limit of this process as far as its hard limit allows, and nothing else.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-/// Beside connections: listening sockets, the event loop, signals, logs, and what is accepted just to be closed.
+/// Files beside connections: listening sockets, the event loop, signals, logs, and connections accepted only to be closed.
 const RESERVE: u64 = 64;
 
 /// What is to be done about the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Plan {
+    /// The soft limit suffices.
     Enough,
     /// The soft limit can be raised to what is needed.
     Raise {
+        /// The new soft limit.
         to: u64,
     },
-    /// Also the hard limit is too low: the soft limit goes there, and that many are missing.
+    /// The hard limit is too low as well.
     Short {
+        /// The new soft limit: the hard limit.
         to: u64,
+        /// How many files are missing then.
         missing: u64,
     },
 }
 
-/// What `max_connections` asks of the limits; None: there is no limit.
+/// What `max_connections` needs of the limits; `None` is no limit.
 pub fn plan(max_connections: usize, soft: Option<u64>, hard: Option<u64>) -> Plan {
     let needed = (max_connections as u64).saturating_add(RESERVE);
     match (soft, hard) {
@@ -34,8 +40,8 @@
     }
 }
 
-/// Raises this process's soft limit as far as the settings need it and the hard limit allows; the line to warn with
-/// when that is not enough.
+/// Raises this process's soft limit as far as `max_connections` needs it and the hard limit allows. Returns a
+/// warning for the log when that is not enough.
 pub fn secure(max_connections: usize) -> Option<String> {
     let now = getrlimit(Resource::Nofile);
     let (to, missing) = match plan(max_connections, now.current, now.maximum) {
--- a/src/worker_ledger/departed.rs
+++ b/src/worker_ledger/departed.rs
@@ -1,94 +1,111 @@
-//! What is remembered of machines that left the ledger, so that late copies of their reports, and what held
-//! commands lead to, are known for what they are.
+//! Memory of machines that left the ledger, so that late copies of their heartbeats, and what delayed commands
+//! lead to, are recognized.
 //!
-//! How long follows age, and how many the size of the fleet: nothing is dropped while messages of that machine can
-//! still arrive. The bound on memory is far above what a fleet loses in that time, and is told when it is reached.
+//! [`Departed`] drops nothing while messages of a machine can still arrive: it keeps each for [`REMEMBERED_FOR`],
+//! and a number of them that follows the size of the fleet at any age. Its bound is far above what a fleet loses in
+//! that time, and is logged when reached.
 
 use crate::clock::{Micros, SECOND};
 use crate::seeded_hash::HashMap;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Messages can arrive minutes late; nothing is forgotten before it is older than that.
+/// Messages can arrive minutes late; no machine is forgotten before this time.
 pub const REMEMBERED_FOR: Micros = 3600 * SECOND;
-/// So many are remembered at any age, and so many times the largest fleet seen.
+/// This many machines are remembered at any age, or as many as the largest fleet had.
 const REMEMBERED_MIN: usize = 4096;
-/// The bound on all that are remembered: that many, or so many times the largest fleet seen.
+/// The most machines remembered: this many, or [`REMEMBERED_FLEETS_MAX`] times the largest fleet.
 const REMEMBERED_MAX: usize = 1 << 16;
+/// See [`REMEMBERED_MAX`].
 const REMEMBERED_FLEETS_MAX: usize = 16;
-/// The bound is told at most that often.
+/// Least time between two log lines on the bound.
 const LOG_INTERVAL: Micros = 60 * SECOND;
 
-/// Names of machines that left, each with the last that is known of it.
+/// A machine that left.
+struct Departure<T> {
+    at: Micros,
+    last: T,
+}
+
+/// The machines that left, by name, each with the last that is known of it.
 pub struct Departed<T> {
-    what: &'static str,
-    known: HashMap<Arc<str>, (Micros, T)>,
-    /// When each left, the first first; one that left again stands there more than once.
+    /// What they are called in the log.
+    kind: &'static str,
+    known: HashMap<Arc<str>, Departure<T>>,
+    /// When each left, oldest first; a machine that left again is in it more than once.
     order: VecDeque<(Micros, Arc<str>)>,
     largest_fleet: usize,
-    told_at: Option<Micros>,
-    /// Dropped while messages of it may still have come.
+    last_logged_at: Option<Micros>,
+    /// How many were dropped while messages of theirs could still arrive.
     pub dropped_early: u64,
 }
 
 impl<T> Departed<T> {
-    /// `what` names them where the bound is told.
-    pub fn new(what: &'static str) -> Self {
+    /// An empty memory; `kind` is what its machines are called in the log.
+    pub fn new(kind: &'static str) -> Self {
         Self {
-            what,
+            kind,
             known: HashMap::default(),
             order: VecDeque::new(),
             largest_fleet: 0,
-            told_at: None,
+            last_logged_at: None,
             dropped_early: 0,
         }
     }
 
+    /// The last that is known of a machine.
     pub fn get(&self, id: &str) -> Option<&T> {
-        self.known.get(id).map(|k| &k.1)
+        self.known.get(id).map(|departure| &departure.last)
     }
 
+    /// Whether a machine of that name is remembered.
     pub fn contains(&self, id: &str) -> bool {
         self.known.contains_key(id)
     }
 
-    /// Remembers a machine that leaves a fleet of that size.
+    /// Remembers a machine that leaves a fleet of `fleet` machines.
     pub fn insert(&mut self, now: Micros, fleet: usize, id: Arc<str>, last: T) {
         self.largest_fleet = self.largest_fleet.max(fleet);
         self.order.push_back((now, id.clone()));
-        self.known.insert(id, (now, last));
+        self.known.insert(id, Departure { at: now, last });
         self.forget(now);
     }
 
     fn forget(&mut self, now: Micros) {
-        let at_any_age = REMEMBERED_MIN.max(self.largest_fleet);
+        let kept_at_any_age = REMEMBERED_MIN.max(self.largest_fleet);
         let bound = REMEMBERED_MAX.max(REMEMBERED_FLEETS_MAX * self.largest_fleet);
         while let Some((at, id)) = self.order.front() {
-            let newest = self.known.get(id).is_some_and(|k| k.0 == *at);
-            let old = now > *at + REMEMBERED_FOR;
-            let full = self.order.len() > bound;
-            if newest && !(full || old && self.known.len() > at_any_age) {
+            let is_latest = self
+                .known
+                .get(id)
+                .is_some_and(|departure| departure.at == *at);
+            let is_old = now > *at + REMEMBERED_FOR;
+            let is_full = self.order.len() > bound;
+            if is_latest && !(is_full || is_old && self.known.len() > kept_at_any_age) {
                 return;
             }
-            if newest {
+            if is_latest {
                 self.known.remove(id);
             }
             self.order.pop_front();
-            if newest && !old {
+            if is_latest && !is_old {
                 self.dropped_early += 1;
-                self.tell(now, bound);
+                self.log_early_drop(now, bound);
             }
         }
     }
 
-    fn tell(&mut self, now: Micros, bound: usize) {
-        if self.told_at.is_some_and(|at| now < at + LOG_INTERVAL) {
+    fn log_early_drop(&mut self, now: Micros, bound: usize) {
+        if self
+            .last_logged_at
+            .is_some_and(|at| now < at + LOG_INTERVAL)
+        {
             return;
         }
-        self.told_at = Some(now);
+        self.last_logged_at = Some(now);
         log::error!(
             "more than {bound} {} within {} min: the oldest are forgotten, {} so far",
-            self.what,
+            self.kind,
             REMEMBERED_FOR / (60 * SECOND),
             self.dropped_early
         );
