--- a/src/loop_timing.rs
+++ b/src/loop_timing.rs
@@ -67,7 +67,7 @@
         self.idle_turns += u64::from(idle);
     }
 
-    /// The log line on the time since the last one, once [`LOG_INTERVAL`] is over.
+    /// The log line on the time since the last one, ten seconds after it.
     pub fn take_log_line(&mut self, now: Micros) -> Option<String> {
         if now < self.last_logged_at + LOG_INTERVAL {
             return None;
