--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -8,11 +8,13 @@
 use super::api_error::ApiError;
 use super::peer_links::{PeerCallPurpose, PeerRequest};
 use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::http_call::HttpCall;
 use crate::load_shedding::ConnectionPressure;
 use crate::messages::{ConnId, Outcome, Output, Ticket};
 use crate::wire::{
-    KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_DELIVER_COMMANDS,
-    KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, KIND_PROGRESS,
+    COMMANDS_PATH, KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST,
+    KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER,
+    KIND_PROBE_WORKERS, KIND_PROGRESS,
 };
 use serde_json::json;
 use std::net::SocketAddr;
@@ -118,25 +120,16 @@
         let Ok(dest) = frame.addr.parse() else {
             return Some(Outcome::NotSent);
         };
-        self.tickets += 1;
-        let (conn, ticket) = (frame.conn, frame.ticket);
-        self.peer_links.register_call(
-            self.tickets,
-            PeerCallPurpose::CommandDelivery { conn, ticket },
-        );
         // Its sender must have the answer before its own patience ends.
         let timeout = frame
             .patience
             .saturating_sub(frame.patience / 4)
             .clamp(DELIVERY_TIMEOUT_MIN, DELIVERY_TIMEOUT_MAX);
-        self.outputs.push(Output::Call {
-            ticket: self.tickets,
-            dest,
-            method: "POST",
-            path: "/commands".to_owned(),
-            body: frame.body,
-            timeout,
-        });
+        let call = HttpCall::post(COMMANDS_PATH.to_owned(), frame.body, timeout);
+        let call_ticket = call.send(dest, &mut self.tickets, &mut self.outputs);
+        let (conn, ticket) = (frame.conn, frame.ticket);
+        let purpose = PeerCallPurpose::CommandDelivery { conn, ticket };
+        self.peer_links.register_call(call_ticket, purpose);
         None
     }
 
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -18,7 +18,7 @@
 use crate::state_client::{Reply, WatchEvent};
 use crate::task_id::TaskId;
 use crate::worker_ledger::{
-    LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WorkerLedger,
+    LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WITHDRAWN, WorkerLedger,
 };
 
 /// Pause of a job whose tasks fail everywhere, doubled with each further trial, and its limits.
@@ -328,7 +328,7 @@
                 event.machine
             );
         }
-        if why != "withdrawn" {
+        if why != WITHDRAWN {
             Self::note_ending(job, event, why, now);
         }
         job.mark_dirty(now.steady);
--- a/src/main.rs
+++ b/src/main.rs
@@ -35,7 +35,7 @@
     command: Option<Command>,
 }
 
-/// A process that is told to end lets the lead go first, for that long at most.
+/// A process that is told to end resigns first, for this long at most.
 const SHUTDOWN_TIMEOUT: Micros = SECOND;
 
 /// So many reports are taken before sockets are looked at again.
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -30,6 +30,8 @@
 
 /// The longest body of a request, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
+/// Path at a worker that takes commands.
+pub const COMMANDS_PATH: &str = "/commands";
 /// Path that worker agents send heartbeats to.
 pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Path that clients submit jobs to.
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -77,7 +77,7 @@
     /// The machines by name.
     pub machines: BTreeMap<Arc<str>, Machine>,
     tombstones: Departed<()>,
-    /// Session and count of the last report of machines that went without a word.
+    /// Agent epoch and sequence number of the last heartbeat of machines that vanished.
     last_observed: Departed<(u64, u64)>,
     calls: HashMap<Ticket, Arc<str>>,
     /// The other controllers.
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -13,12 +13,11 @@
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::messages::{Outcome, Output, Ticket};
 use crate::task_id::{JobDirectory, TaskId};
-use crate::wire::{Commands, Heartbeat, KIND_DELIVER_COMMANDS};
+use crate::wire::{COMMANDS_PATH, Commands, Heartbeat, KIND_DELIVER_COMMANDS};
 use std::net::SocketAddr;
 use std::ops::Bound;
 use std::sync::Arc;
 
-const COMMANDS_PATH: &str = "/commands";
 /// A leader whose inputs wait for longer than this starts nothing by direct calls: such a call, mostly over a new
 /// connection, costs it as much as a heartbeat, and the heartbeats that renew leases wait behind it.
 const DIRECT_START_LAG_MAX: Micros = 500 * MILLISECOND;
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -6,9 +6,12 @@
 //! a hint and no more: nothing rests on it, since a worker ignores a token that is not the highest it has seen.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
+use crate::http_call::HttpCall;
 use crate::messages::{Output, Ticket};
 use crate::seeded_hash::{HashMap, HashSet};
-use crate::wire::{Commands, ProbeRow, heartbeat_address, heartbeat_head, reports_no_tasks};
+use crate::wire::{
+    COMMANDS_PATH, Commands, ProbeRow, heartbeat_address, heartbeat_head, reports_no_tasks,
+};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -208,16 +211,9 @@
             let Ok(body) = serde_json::to_vec(&probe) else {
                 return;
             };
-            *tickets += 1;
-            self.in_flight.insert(*tickets);
-            outputs.push(Output::Call {
-                ticket: *tickets,
-                dest: target.address,
-                method: "POST",
-                path: "/commands".to_owned(),
-                body,
-                timeout: CALL_TIMEOUT,
-            });
+            let call = HttpCall::post(COMMANDS_PATH.to_owned(), body, CALL_TIMEOUT);
+            let ticket = call.send(target.address, tickets, outputs);
+            self.in_flight.insert(ticket);
         }
     }
 
