--- a/crates/drill/src/check.rs
+++ b/crates/drill/src/check.rs
@@ -4,8 +4,8 @@
 use crate::day::Day;
 use crate::users::{Job, Step, Users};
 use crate::world::{Micros, SECOND, micros};
-use dewramp::controller::BuiltFrom;
-use dewramp::maps::{HashMap, HashSet};
+use dewramp::controller::LoadSource;
+use dewramp::seeded_hash::{HashMap, HashSet};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -291,9 +291,12 @@
     }
 
     /// What a new leader was built from.
-    pub fn built(&mut self, now: Micros, built: BuiltFrom, adds_up: bool, fresh: bool) {
-        let BuiltFrom {
-            term, warm, epoch, ..
+    pub fn built(&mut self, now: Micros, built: LoadSource, adds_up: bool, fresh: bool) {
+        let LoadSource {
+            term,
+            warm,
+            revision: epoch,
+            ..
         } = built;
         self.takeovers.push(warm);
         if !adds_up || !fresh {
--- a/crates/drill/src/cloud.rs
+++ b/crates/drill/src/cloud.rs
@@ -6,7 +6,7 @@
 use crate::network::Host;
 use crate::state::Bucket;
 use crate::world::{Answer, Event, Micros, Request, SECOND, World, micros};
-use dewramp::maps::HashMap;
+use dewramp::seeded_hash::HashMap;
 use rand::Rng;
 use serde::Deserialize;
 use serde_json::json;
--- a/crates/drill/src/day.rs
+++ b/crates/drill/src/day.rs
@@ -18,7 +18,7 @@
     pub settle_s: f64,
     /// Jobs submitted before that don't count for the aims.
     pub warmup_s: f64,
-    /// A bug that is planted in the service, by its name in `dewramp::planted`.
+    /// A bug that is planted in the service, by its name in `dewramp::fault_injection`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub planted: Option<String>,
     pub fleet: Fleet,
@@ -655,9 +655,11 @@
         self.failures.iter().map(over).fold(0.0, f64::max)
     }
 
-    pub fn bug(&self) -> Option<dewramp::planted::Bug> {
+    pub fn bug(&self) -> Option<dewramp::fault_injection::InjectedFault> {
         let name = self.planted.as_ref()?;
-        let found = dewramp::planted::Bug::ALL.iter().find(|b| b.0 == name);
+        let found = dewramp::fault_injection::InjectedFault::ALL
+            .iter()
+            .find(|b| b.0 == name);
         found.map(|b| b.1)
     }
 
--- a/crates/drill/src/failures.rs
+++ b/crates/drill/src/failures.rs
@@ -107,7 +107,7 @@
             Kind::MirrorSpoiled => {
                 for n in self.chosen(&f) {
                     if let Some(node) = &mut self.controllers[n].node {
-                        node.spoil_mirror();
+                        node.corrupt_replica();
                     }
                 }
             }
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -3,7 +3,7 @@
 
 use crate::day::{Mode, Network as Speeds};
 use crate::world::Micros;
-use dewramp::maps::{HashMap, HashSet};
+use dewramp::seeded_hash::{HashMap, HashSet};
 use rand::Rng;
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1};
--- a/crates/drill/src/users.rs
+++ b/crates/drill/src/users.rs
@@ -4,7 +4,7 @@
 use crate::day::{Failure, Kind, Spread};
 use crate::network::Host;
 use crate::world::{Answer, Caller, Event, MILLI, Micros, SECOND, World, micros};
-use dewramp::maps::HashMap;
+use dewramp::seeded_hash::HashMap;
 use rand::rngs::SmallRng;
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
--- a/crates/drill/src/world.rs
+++ b/crates/drill/src/world.rs
@@ -4,7 +4,7 @@
 use crate::balancer::Balancer;
 use crate::check::Checker;
 use crate::cloud::Cloud;
-use crate::controller::Controller;
+use crate::controller::ControllerProcess;
 use crate::day::{Day, Kind};
 use crate::machine::Machine;
 use crate::network::{Host, Network, Transit};
@@ -12,8 +12,8 @@
 use crate::state::State;
 use crate::tamper::Tamper;
 use crate::users::{Step, Users};
-use dewramp::maps::HashMap;
 use dewramp::net::{Input, Outcome as Reply, Output, Ticket};
+use dewramp::seeded_hash::HashMap;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cmp::{Ordering, Reverse};
@@ -188,7 +188,7 @@
     pub network: Network,
     pub calls: HashMap<CallId, Call>,
     next_call: CallId,
-    pub controllers: Vec<Controller>,
+    pub controllers: Vec<ControllerProcess>,
     pub state: State<CallId>,
     pub state_wake: Micros,
     pub cloud: Cloud,
@@ -214,7 +214,7 @@
 
 impl World {
     pub fn new(day: Day) -> Self {
-        dewramp::planted::plant(day.bug());
+        dewramp::fault_injection::inject_fault(day.bug());
         let mut seeds = SmallRng::seed_from_u64(day.seed);
         let mut rng = || SmallRng::seed_from_u64(seeds.random());
         let mut w = World {
@@ -246,7 +246,8 @@
             day,
         };
         for n in 0..w.day.fleet.controllers {
-            w.controllers.push(Controller::new(n, &w.day, &mut w.rng));
+            w.controllers
+                .push(ControllerProcess::new(n, &w.day, &mut w.rng));
             let at = w.rng.random_range(0..200 * MILLI);
             w.at(at, Event::Start(n));
             w.at(500 * MILLI + at, Event::Probe(n));
@@ -277,7 +278,7 @@
         tell(self.end);
         self.now = self.end;
         let digest = self.digest.digest128();
-        dewramp::planted::plant(None);
+        dewramp::fault_injection::inject_fault(None);
         Outcome::of(self, digest)
     }
 
@@ -615,7 +616,7 @@
     fn sample(&mut self) {
         self.check.sweep(self.now, &self.users);
         self.judge_waiting();
-        let leader = self.controllers.iter().position(Controller::leads);
+        let leader = self.controllers.iter().position(ControllerProcess::leads);
         let sample = Sample::of(self, leader);
         let mut line = String::new();
         let _ = write!(line, "{sample:?}");
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -5,20 +5,20 @@
 /// Microseconds on the steady clock of this process.
 pub type Micros = u64;
 
-pub const MILLI: Micros = 1_000;
+pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
 /// Steady clocks of two machines may drift apart by this share, both directions together.
 const DRIFT_PER_MILLION: u64 = 1_000;
 
 /// The longest time by our clock that `span` on another machine's clock can take.
-pub fn surely_over(span: Micros) -> Micros {
-    span + span * DRIFT_PER_MILLION / 1_000_000 + 50 * MILLI
+pub fn drift_upper_bound(span: Micros) -> Micros {
+    span + span * DRIFT_PER_MILLION / 1_000_000 + 50 * MILLISECOND
 }
 
 /// The time we may rely on a promise of `span` that another machine counts.
-pub fn surely_within(span: Micros) -> Micros {
-    span - span * DRIFT_PER_MILLION / 1_000_000 - (span / 20).min(100 * MILLI)
+pub fn drift_lower_bound(span: Micros) -> Micros {
+    span - span * DRIFT_PER_MILLION / 1_000_000 - (span / 20).min(100 * MILLISECOND)
 }
 
 /// Seconds as they stand in the protocols, as microseconds.
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,165 +1,166 @@
 //! One controller node: routes requests, wires the actors, and, while it leads, drives jobs,
 //! workers and machines. No I/O here: inputs and the time go in, outputs come out.
 
-mod answers;
-mod capacity;
-mod chains;
-mod events;
-mod format;
-mod inspection;
-mod opening;
-mod reports;
-mod saving;
+mod admin;
+mod api;
+mod autoscaling;
+mod dependencies;
+mod failover;
+mod heartbeats;
+mod maintenance;
+mod persistence;
+mod schema_migration;
 mod standby;
+mod startup;
+mod state_replies;
 mod submission;
-mod takeover;
-mod upkeep;
-mod users;
+mod task_events;
 
-use crate::clock::{MILLI, Micros, Now, SECOND, from_secs};
-use crate::cloud::{Cloud, News, Offer};
-use crate::desk::Desk;
-use crate::hearing::Hearing;
-use crate::informed::{Informed, good_for};
+use crate::accounting::{StopReason, TaskOutcome, WorkloadAccounting};
+use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
+use crate::clock::{MILLISECOND, Micros, Now, SECOND, from_secs};
+use crate::cloud::{Cloud, CloudEvent, Offer};
+use crate::dependency_graph::{DependencyGraph, latest_start};
+use crate::election::{Election, ElectionStep, LEADER_KEY, LeadershipChange};
+use crate::fault_injection::{InjectedFault, fault_injected};
+use crate::heartbeat_batch::HeartbeatBatch;
 use crate::jobs::{
-    Ending, Final, FinalCache, Job, LIVE, Progress, Record, STOPPING, Table, final_body, live_body,
-    live_key, over_key, stopping_key,
+    FinalCache, FinalState, Job, JobRecord, JobTable, LIVE_PREFIX, Progress, STOPPING_PREFIX,
+    TaskEnding, final_body, finished_key, live_body, live_key, stopping_key,
 };
-use crate::layout::{
-    self, CONTROLLERS, FORMAT, FORMAT_KEY, Layout, PIECES, StoredFormat, Understood,
-    controller_key, piece_key, split_piece,
-};
-use crate::leadership::{Change, LEADER_KEY, Leadership, Step};
-use crate::load::{Load, Shed};
-use crate::maps::HashMap;
-use crate::mirror::{Mirror, Sum, Want};
+use crate::load_shedding::{LoadMonitor, ShedLevel};
 use crate::net::{ConnId, Input, Outcome, Output, Ticket};
-use crate::pipelines::{Pipelines, latest_start};
-use crate::planted::{Bug, planted};
-use crate::recovery::Recovery;
-use crate::roll::{Ask, Roll, Written};
-use crate::scheduler::{Scheduler, never_runs};
-use crate::service::{Fate, Service, Stop};
+use crate::reconciliation::Reconciliation;
+use crate::registry::{MachineRegistry, RegistryRequest, WriteResult};
+use crate::replica::{Checksum, Replica, ReplicaRead};
+use crate::request_starvation::RequestStarvation;
+use crate::scheduler::{Scheduler, impossible_reason};
+use crate::schema::{
+    self, CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema,
+    SchemaSupport, StoredSchemaVersion, chunk_key, controller_key, split_chunk_key,
+};
+use crate::seeded_hash::HashMap;
 use crate::settings::{Peer, Properties, Settings};
-use crate::store::{Item, Op, Rank, Reply, Store, Txn, raw};
-use crate::unanswered::Unanswered;
+use crate::state_client::{Item, Op, Reply, RequestPriority, StateClient, Transaction, raw};
 use crate::wire::{
-    JobSpec, KIND_ASK, KIND_CANCELLED, KIND_DELIVER, KIND_EPOCH, KIND_HEARD, KIND_INSPECT,
-    KIND_PROGRESS, KIND_REPORT, KIND_REPORTS, KIND_USER, Priority, ProgressRow, Report, valid_uid,
+    Heartbeat, JobSpec, KIND_ADMIN_QUERY, KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST,
+    KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER,
+    KIND_PROBE_WORKERS, KIND_PROGRESS, Priority, ProgressRow, valid_uid,
 };
-use crate::workers::{Event, State, TaskKey, What, Workers};
-use opening::Opening;
+use crate::worker_ledger::{TaskEvent, TaskEventKind, TaskId, TaskState, WorkerLedger};
+use crate::worker_probe::WorkerProbe;
+use api::fits_value_limit;
 use rangemap::RangeSet;
 use serde_json::{Value, json};
-pub use standby::BuiltFrom;
-use standby::{Following, Loading, Takeover};
+pub use standby::LoadSource;
+use standby::{Failover, LeaderLoad, Standby};
+use startup::Startup;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use submission::Submission;
-use users::fits;
 use zerocopy::IntoBytes;
 
 /// A user gets an answer at once, also when it is that we can't tell: little patience.
-const USER_PATIENCE: Micros = 200 * MILLI;
+const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
 /// Polls of a moment are asked together.
-const POLL_BATCH: Micros = 20 * MILLI;
+const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
 /// A poll waits this long for the budget; users give a poll 2 s.
-const POLL_PATIENCE: Micros = 1_200 * MILLI;
+const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
 /// The leader's word on how far jobs are, and for how long it is good: a shown state may be up
 /// to 3 s old.
-const TELL_EVERY: Micros = 900 * MILLI;
-const COUNTS_FRESH: Micros = 2_500 * MILLI;
+const PROGRESS_INTERVAL: Micros = 900 * MILLISECOND;
+const PROGRESS_FRESH_FOR: Micros = 2_500 * MILLISECOND;
 /// So many others must have said a moment ago that they can serve users for the leader not to.
 /// With two, both of which crashed at once, users had no node at all until the load balancer
 /// took the leader back.
-const SERVING_ENOUGH: usize = 3;
-const SERVING_FRESH: Micros = 3 * SECOND;
+const SERVING_PEERS_MIN: usize = 3;
+const SERVING_FRESH_FOR: Micros = 3 * SECOND;
 /// Without a leader's word for longer than that, what is stored is shown.
-const COUNTS_KEPT: Micros = 60 * SECOND;
-const LEADER_PATIENCE: Micros = SECOND;
+const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
+const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
 /// Without the state service and the other controllers for so long, this node can serve nobody.
-const CUT_OFF: Micros = 3 * SECOND;
+const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 /// Bits of a ticket that count within a life; above them stands the run, which has 52.
-const LIFE_TICKETS: u32 = 11;
+const TICKET_BITS_PER_INCARNATION: u32 = 11;
 /// From here on, connection numbers stand for requests that came through another controller.
-const VIA_PEER: ConnId = 1 << 63;
-const RELAY_TIME: Micros = 1_500 * MILLI;
+const FIRST_PROXIED_CONN_ID: ConnId = 1 << 63;
+const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
 /// Events of a few milliseconds are placed together.
-const BATCH: Micros = 3 * MILLI;
+const PLACEMENT_BATCH_DELAY: Micros = 3 * MILLISECOND;
 /// What a pass of the scheduler may cost is kept a small share of the time.
-const PLACE_PER_MACHINE: Micros = 30;
+const PLACEMENT_INTERVAL_PER_MACHINE: Micros = 30;
 /// After a pass this many times what it took goes to other things.
-const PASS_REST: Micros = 3;
-const PASS_REST_MAX: Micros = SECOND;
-const SAVE_PER_JOB: Micros = 30;
-const SAVE_SCAN: Micros = 100 * MILLI;
-const SAVE_AFTER: Micros = 1_500 * MILLI;
+const PASS_COST_MULTIPLE: Micros = 3;
+const PASS_INTERVAL_MAX: Micros = SECOND;
+const SAVE_INTERVAL_PER_JOB: Micros = 30;
+const SAVE_SCAN_INTERVAL: Micros = 100 * MILLISECOND;
+const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
 /// What only says how far a job is waits this long at most for changes to be left over.
-const SAVE_AT_LAST: Micros = 20 * SECOND;
-const SAVES_WAITING: usize = 2;
+const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
+const QUEUED_SAVES_MAX: usize = 2;
 /// A walk over all machines, for what only time makes due, is made again after so long for each of them.
-const WALK_PER_MACHINE: Micros = 600;
-const CAPACITY_EVERY: Micros = 400 * MILLI;
-const CAPACITY_PER_MACHINE: Micros = MILLI;
-const MAX_TXN_BYTES: usize = 56 * 1024;
-const CANCEL_TRIES: u32 = 8;
-const FINALS_KEPT: usize = 4096;
+const FLEET_SCAN_INTERVAL_PER_MACHINE: Micros = 600;
+const AUTOSCALING_INTERVAL_MIN: Micros = 400 * MILLISECOND;
+const AUTOSCALING_INTERVAL_PER_MACHINE: Micros = MILLISECOND;
+const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
+const CANCEL_RETRIES_MAX: u32 = 8;
+const FINAL_STATES_CACHED: usize = 4096;
 /// With no job at all, rented machines are returned after this long.
-const ALL_IDLE: Micros = 30 * SECOND;
+const IDLE_CLUSTER_RELEASE_DELAY: Micros = 30 * SECOND;
 /// A machine that answers nobody for this long is returned, if it can be replaced.
-const SILENT_RETURN: Micros = 8 * SECOND;
+const UNREACHABLE_RELEASE_DELAY: Micros = 8 * SECOND;
 /// `tick` is asked for four times a second; a gap this long is worth a line for those on call.
-const STALL: Micros = SECOND;
+const STALL_THRESHOLD: Micros = SECOND;
 /// A leader that hears no machine for this long, and two report periods, lets another lead; it
 /// then rests for a while, longer each time.
-const DEAF: Micros = 10 * SECOND;
-const REST_FIRST: Micros = 5 * SECOND;
-const REST_MAX: Micros = 60 * SECOND;
+const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
+const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
+const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
 
 #[derive(Clone, Debug)]
-struct SaveItem {
+struct PendingSave {
     number: u32,
-    over: bool,
+    finished: bool,
     done: RangeSet<u32>,
-    starts: Vec<(Arc<str>, TaskKey, u64)>,
+    starts: Vec<(Arc<str>, TaskId, u64)>,
     /// How many pieces belong to the head written.
-    pieces: usize,
+    chunks: usize,
     /// The time of day that a final state written gives.
-    ended: Micros,
+    finished_at: Micros,
 }
 
 /// Why something was asked of the state service.
-enum For {
-    Lead(Step),
+enum StateRequest {
+    Election(ElectionStep),
     /// To see whether the state service answers again.
-    Probe,
-    Accept {
+    AvailabilityProbe,
+    AcceptJob {
         conn: ConnId,
         uid: Arc<str>,
     },
-    Known {
+    ReadExistingJob {
         conn: ConnId,
         uid: Arc<str>,
         over: bool,
     },
-    Poll {
+    PollJob {
         conn: ConnId,
         uid: Arc<str>,
         over: bool,
     },
     /// Whether jobs that were asked about are still live.
-    Check {
+    CheckFinished {
         polls: Vec<(ConnId, Arc<str>, Micros)>,
     },
-    CancelRead {
+    ReadForCancel {
         conn: ConnId,
         uid: Arc<str>,
         over: bool,
         tries: u32,
     },
-    CancelWrite {
+    WriteCancel {
         conn: ConnId,
         uid: Arc<str>,
         tries: u32,
@@ -171,9 +172,9 @@
         over: bool,
     },
     /// For what this node follows, or builds its lead from.
-    Mirror {
+    ReadReplica {
         round: u64,
-        want: Want,
+        want: ReplicaRead,
     },
     WatchJobs {
         term: u64,
@@ -182,442 +183,446 @@
     CatchUp {
         term: u64,
     },
-    Save {
+    SaveJobs {
         term: u64,
-        items: Vec<SaveItem>,
+        items: Vec<PendingSave>,
     },
-    Reread {
+    RereadJob {
         term: u64,
         uid: Arc<str>,
         over: bool,
     },
-    Roll {
+    WriteRegistryPage {
         term: u64,
         key: String,
         written: Vec<(Arc<str>, Option<Micros>)>,
     },
-    RollRead {
+    ReadRegistryPage {
         term: u64,
         key: String,
     },
-    RollGone {
+    DeleteRegistryPage {
         term: u64,
         key: String,
     },
     /// What is stored as the format, and what this node has said that it understands.
-    Format,
+    ReadSchemaVersion,
     /// The machine types as stored, and that they were stored.
-    Types,
-    TypesStored,
-    Registered,
-    Register,
+    ReadMachineTypes,
+    StoreMachineTypes,
+    ReadOwnSchemaSupport,
+    WriteOwnSchemaSupport,
     /// What all controllers have said that they understand.
-    Understood {
+    ReadSchemaSupport {
         term: u64,
     },
-    Raise {
+    RaiseSchemaVersion {
         term: u64,
     },
     /// A job that a submission names.
-    Need {
+    ReadDependency {
         submission: u64,
         uid: Arc<str>,
         over: bool,
     },
-    AcceptAfter {
+    AcceptDependentJob {
         submission: u64,
         cancelled: bool,
     },
     /// Whether a submission to be refused is of a job that was accepted before.
-    Refuse {
+    ReadBeforeRejecting {
         conn: ConnId,
         uid: Arc<str>,
         over: bool,
         reason: String,
     },
     /// How a job ended that others wait for.
-    Look {
+    ReadDependencyOutcome {
         term: u64,
         uid: Arc<str>,
     },
     /// Jobs that end because one that they need was cancelled, with that one.
-    Cascade {
+    CancelDependents {
         term: u64,
         items: Vec<(Arc<str>, Arc<str>)>,
     },
     /// Pieces that may belong to nothing.
-    Leftovers {
+    ListChunks {
         term: u64,
     },
-    Sweep,
-    Forget {
+    DeleteOrphanChunk,
+    ForgetCancelledJob {
         term: u64,
         uid: Arc<str>,
     },
 }
 
-impl For {
-    fn rank(&self) -> Rank {
+impl StateRequest {
+    fn priority(&self) -> RequestPriority {
         match self {
             // Without its answer no worker gets a 200.
-            For::Lead(_) | For::CatchUp { .. } => Rank::Vital,
-            For::Accept { .. }
-            | For::Known { .. }
-            | For::Need { .. }
-            | For::AcceptAfter { .. }
-            | For::Refuse { .. }
-            | For::Look { .. }
-            | For::Cascade { .. }
-            | For::CancelRead { .. }
-            | For::Types
-            | For::CancelWrite { .. } => Rank::User,
-            For::Probe
-            | For::Format
-            | For::Registered
-            | For::Leftovers { .. }
-            | For::Poll { .. }
-            | For::Check { .. }
-            | For::InspectJob { .. } => Rank::Look,
-            _ => Rank::Leader,
+            StateRequest::Election(_) | StateRequest::CatchUp { .. } => RequestPriority::Vital,
+            StateRequest::AcceptJob { .. }
+            | StateRequest::ReadExistingJob { .. }
+            | StateRequest::ReadDependency { .. }
+            | StateRequest::AcceptDependentJob { .. }
+            | StateRequest::ReadBeforeRejecting { .. }
+            | StateRequest::ReadDependencyOutcome { .. }
+            | StateRequest::CancelDependents { .. }
+            | StateRequest::ReadForCancel { .. }
+            | StateRequest::ReadMachineTypes
+            | StateRequest::WriteCancel { .. } => RequestPriority::Client,
+            StateRequest::AvailabilityProbe
+            | StateRequest::ReadSchemaVersion
+            | StateRequest::ReadOwnSchemaSupport
+            | StateRequest::ListChunks { .. }
+            | StateRequest::PollJob { .. }
+            | StateRequest::CheckFinished { .. }
+            | StateRequest::InspectJob { .. } => RequestPriority::Background,
+            _ => RequestPriority::Leader,
         }
     }
 }
 
 /// What exists only while this node leads.
-struct Led {
+struct LeaderState {
     term: u64,
-    stamp: u64,
-    table: Table,
-    pipelines: Pipelines,
+    leader_key_revision: u64,
+    jobs: JobTable,
+    pipelines: DependencyGraph,
     /// Jobs that are to be ended since one that they need was cancelled, and that one.
-    doomed: VecDeque<(Arc<str>, Arc<str>)>,
-    workers: Workers,
+    cascading_cancellations: VecDeque<(Arc<str>, Arc<str>)>,
+    workers: WorkerLedger,
     scheduler: Scheduler,
-    roll: Roll,
+    registry: MachineRegistry,
     /// Stamp of the stored format number.
-    format_stamp: u64,
+    schema_key_revision: u64,
     /// What the controllers say that they understand, and when that is asked next.
-    understood: BTreeMap<String, Understood>,
-    understood_at: Micros,
-    sweep_at: Micros,
+    schema_support: BTreeMap<String, SchemaSupport>,
+    schema_support_check_at: Micros,
+    chunk_sweep_at: Micros,
     /// Something stored could not be read: until all that ran then is surely over, nothing is
     /// free to start.
-    held_until: Micros,
+    starts_held_until: Micros,
     /// What is still to be seen before anything is decided.
-    loading: Option<Loading>,
-    takeover: Takeover,
-    recovery: Recovery,
+    load: Option<LeaderLoad>,
+    failover: Failover,
+    reconciliation: Reconciliation,
     /// When the machines that have not spoken are shared out among the controllers.
-    share_at: Option<Micros>,
+    probe_sharing_at: Option<Micros>,
     /// The line on the recovery was told.
-    recovered: bool,
-    jobs_epoch: u64,
+    reconciliation_logged: bool,
+    jobs_revision: u64,
     /// How old what is known of cancellations is.
-    informed: Informed,
+    cancellation_freshness: CancellationFreshness,
     /// Stamps of the live jobs at that epoch, and the sum that is told of them.
-    stamps: HashMap<Arc<str>, u64>,
-    jobs_sum: Sum,
-    watching: bool,
-    watch_at: Micros,
-    place_at: Option<Micros>,
+    job_revisions: HashMap<Arc<str>, u64>,
+    jobs_checksum: Checksum,
+    watch_in_flight: bool,
+    next_watch_at: Micros,
+    placement_due_at: Option<Micros>,
     /// The next pass is not before this: passes cost more the more machines there are.
-    place_from: Micros,
-    save_at: Micros,
-    save_soon: bool,
-    capacity_at: Micros,
-    upkeep_at: Micros,
-    walk_at: Micros,
-    hired: BTreeSet<Arc<str>>,
+    placement_not_before: Micros,
+    next_save_at: Micros,
+    save_pending: bool,
+    autoscaling_at: Micros,
+    maintenance_at: Micros,
+    fleet_scan_at: Micros,
+    rented: BTreeSet<Arc<str>>,
     /// Cancellations that other controllers told of before the state service did.
-    hints: u64,
+    cancellation_hints: u64,
     /// What became of the work so far.
-    service: Service,
+    accounting: WorkloadAccounting,
     /// Machines that the waiting work would fill, by offer, the cheapest first.
-    wanted: Vec<(Offer, u32)>,
-    took_at: Micros,
+    wanted_machines: Vec<(Offer, u32)>,
+    elected_at: Micros,
     /// When there last was a job.
-    busy_at: Micros,
+    last_busy_at: Micros,
     /// Since when this node has been entitled to act without a break.
     valid_since: Micros,
-    tell_at: Micros,
+    next_progress_at: Micros,
 }
 
 /// A user's request, kept until it is answered: another controller may be able to answer it.
-struct Asked {
+struct ClientRequest {
     method: &'static str,
     path: String,
     body: Vec<u8>,
 }
 
-enum Relay {
-    User {
+enum PeerCallPurpose {
+    ClientRequest {
         conn: ConnId,
         peer: SocketAddr,
     },
-    Report {
+    Heartbeat {
         conn: ConnId,
     },
-    Delivery {
+    CommandDelivery {
         conn: ConnId,
         ticket: Ticket,
     },
-    Inspect {
+    AdminQuery {
         conn: ConnId,
     },
     /// What the leader knows of a job's pipeline, to be told beside what is stored.
-    Chain {
+    DependencyQuery {
         conn: ConnId,
         body: Value,
     },
     /// Whether that leader, by its run, takes many reports in a frame.
-    Frames {
+    BatchSupport {
         run: u64,
     },
     /// Workers that the peer is to ask.
-    Ask {
+    ProbeAssignment {
         hosts: Vec<Arc<str>>,
     },
     /// The leader's word on how far jobs are; a 200 says that the peer can serve users.
-    Told {
+    ProgressAnnouncement {
         peer: SocketAddr,
     },
     /// Whether any controller is to be reached.
-    Alive,
+    LivenessCheck,
 }
 
-pub struct Node {
+pub struct Controller {
     settings: Settings,
-    props: Properties,
-    seed: u64,
+    properties: Properties,
+    rng_seed: u64,
     now: Now,
     tickets: Ticket,
-    store: Store<For>,
-    lead: Leadership,
+    state: StateClient<StateRequest>,
+    election: Election,
     cloud: Cloud,
-    finals: FinalCache,
+    final_states: FinalCache,
     /// How far live jobs are, as the leader last told.
     progress: Progress,
     progress_at: Micros,
     /// What users asked about and got no answer.
-    unanswered: Unanswered,
+    starvation: RequestStarvation,
     /// Polls that wait to be asked together, and since when.
     polls: Vec<(ConnId, Arc<str>, Micros)>,
-    polls_at: Micros,
-    asked: HashMap<ConnId, Asked>,
+    poll_batch_due_at: Micros,
+    client_requests: HashMap<ConnId, ClientRequest>,
     /// Requests that came through another controller stand in the place of connections.
-    via_peer: HashMap<ConnId, (ConnId, Ticket)>,
-    next_via: ConnId,
+    proxied_requests: HashMap<ConnId, (ConnId, Ticket)>,
+    next_proxied_conn: ConnId,
     /// Controllers that could not answer for us a moment ago.
-    helpless_until: HashMap<SocketAddr, Micros>,
-    next_helper: usize,
+    unhelpful_until: HashMap<SocketAddr, Micros>,
+    next_peer: usize,
     /// The leader by its own word to us, for when the state service doesn't tell.
-    hint: Option<(String, Micros)>,
-    led: Option<Led>,
-    following: Following,
-    opening: Opening,
-    hearing: Hearing,
+    leader_hint: Option<(String, Micros)>,
+    leader_state: Option<LeaderState>,
+    standby: Standby,
+    startup: Startup,
+    worker_probe: WorkerProbe,
     /// The times that `tick` came far too late: the process was stopped, or short of processor.
     stalls: u64,
     last_stall: Micros,
     /// How long this node last left leading to the others.
-    rest: Micros,
+    resign_backoff: Micros,
     /// When another controller last said anything, and when one was last asked only to see that.
-    peers_heard_at: Micros,
-    peers_asked_at: Micros,
+    peer_seen_at: Micros,
+    peer_checked_at: Micros,
     /// When the load balancer last asked whether this node is up.
-    probed_at: Micros,
+    health_checked_at: Micros,
     /// When the other controllers last said that they can serve users.
-    serving: HashMap<SocketAddr, Micros>,
+    serving_peers: HashMap<SocketAddr, Micros>,
     /// When a worker that reports to this leader may next be handed to another controller.
-    hand_over_at: Micros,
-    relays: HashMap<Ticket, Relay>,
+    next_handover_at: Micros,
+    peer_calls: HashMap<Ticket, PeerCallPurpose>,
     /// Workers' reports on their way to the leader.
-    desk: Desk,
+    heartbeat_batch: HeartbeatBatch,
     /// The run of a leader that takes many reports in a frame, and when another was last asked.
-    frames_with: Option<u64>,
-    frames_asked: Micros,
-    link_bad_until: HashMap<SocketAddr, Micros>,
+    batching_leader: Option<u64>,
+    batch_support_asked_at: Micros,
+    link_avoided_until: HashMap<SocketAddr, Micros>,
     /// When a controller last refused a connection from here.
-    link_refused: HashMap<SocketAddr, Micros>,
+    link_refused_at: HashMap<SocketAddr, Micros>,
     /// Since when each link has failed; not there while it does not.
-    link_failed: HashMap<SocketAddr, Micros>,
+    link_failing_since: HashMap<SocketAddr, Micros>,
     /// Submissions that wait for what is known of the jobs that they name.
     submissions: HashMap<u64, Submission>,
     next_submission: u64,
     /// The stored format, as far as this node knows; 0 before it was read.
-    format: u32,
-    format_at: Micros,
-    registered: bool,
+    schema_version: u32,
+    schema_check_at: Micros,
+    schema_support_registered: bool,
     /// The state service has shown that the limits to come hold already.
-    small: bool,
-    slow: bool,
+    reduced_value_size: bool,
+    reduced_write_rate: bool,
     /// How far this node is behind.
-    load: Load,
+    load: LoadMonitor,
     /// What a pass of the scheduler lately took of this node's time.
-    pass_cost: Micros,
-    passed: bool,
-    fatal: Option<String>,
-    out: Vec<Output>,
+    placement_pass_cost: Micros,
+    placement_pass_ran: bool,
+    fatal_error: Option<String>,
+    outputs: Vec<Output>,
 }
 
-impl Node {
+impl Controller {
     /// `run` tells this run of the process from all others.
     pub fn new(settings: Settings, props: Properties, run: u64) -> Self {
-        let s = &settings.settings;
+        let s = &settings.deployment;
         Self {
-            store: Store::new(
-                settings.endpoints.state,
+            state: StateClient::new(
+                settings.services.state,
                 s.state.rps,
                 s.state.write_rps,
-                settings.others.len() + 1,
+                settings.peers.len() + 1,
             ),
-            lead: Leadership::new(
-                &settings.label,
+            election: Election::new(
+                &settings.name,
                 run,
                 (props.leader_ttl_min.min(props.leader_ttl), props.leader_ttl),
             ),
-            cloud: Cloud::new(settings.endpoints.cloud, &settings.label, run, s.cloud.rps),
-            finals: FinalCache::new(FINALS_KEPT),
+            cloud: Cloud::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
+            final_states: FinalCache::new(FINAL_STATES_CACHED),
             progress: Progress::default(),
             progress_at: 0,
-            unanswered: Unanswered::default(),
+            starvation: RequestStarvation::default(),
             polls: Vec::new(),
-            polls_at: Micros::MAX,
-            seed: if props.seed == 0 { run } else { props.seed },
-            asked: HashMap::default(),
-            via_peer: HashMap::default(),
-            next_via: VIA_PEER,
-            helpless_until: HashMap::default(),
-            next_helper: 0,
-            hint: None,
-            led: None,
-            following: Following::default(),
-            opening: Opening::default(),
-            hearing: Hearing::default(),
+            poll_batch_due_at: Micros::MAX,
+            rng_seed: if props.seed == 0 { run } else { props.seed },
+            client_requests: HashMap::default(),
+            proxied_requests: HashMap::default(),
+            next_proxied_conn: FIRST_PROXIED_CONN_ID,
+            unhelpful_until: HashMap::default(),
+            next_peer: 0,
+            leader_hint: None,
+            leader_state: None,
+            standby: Standby::default(),
+            startup: Startup::default(),
+            worker_probe: WorkerProbe::default(),
             stalls: 0,
             last_stall: 0,
-            rest: 0,
-            peers_heard_at: 0,
-            peers_asked_at: 0,
-            probed_at: 0,
-            serving: HashMap::default(),
-            hand_over_at: 0,
-            relays: HashMap::default(),
-            desk: Desk::default(),
-            frames_with: None,
-            frames_asked: 0,
-            link_bad_until: HashMap::default(),
-            link_refused: HashMap::default(),
-            link_failed: HashMap::default(),
+            resign_backoff: 0,
+            peer_seen_at: 0,
+            peer_checked_at: 0,
+            health_checked_at: 0,
+            serving_peers: HashMap::default(),
+            next_handover_at: 0,
+            peer_calls: HashMap::default(),
+            heartbeat_batch: HeartbeatBatch::default(),
+            batching_leader: None,
+            batch_support_asked_at: 0,
+            link_avoided_until: HashMap::default(),
+            link_refused_at: HashMap::default(),
+            link_failing_since: HashMap::default(),
             submissions: HashMap::default(),
             next_submission: 0,
-            format: 0,
-            format_at: 0,
-            registered: false,
-            small: false,
-            slow: false,
-            load: Load::default(),
-            pass_cost: 0,
-            passed: false,
-            fatal: None,
-            out: Vec::new(),
+            schema_version: 0,
+            schema_check_at: 0,
+            schema_support_registered: false,
+            reduced_value_size: false,
+            reduced_write_rate: false,
+            load: LoadMonitor::default(),
+            placement_pass_cost: 0,
+            placement_pass_ran: false,
+            fatal_error: None,
+            outputs: Vec::new(),
             now: Now::default(),
             // A process may be back before all that its former life asked is answered: no number of
             // one life is one of another.
-            tickets: if planted(Bug::TicketsReused) {
+            tickets: if fault_injected(InjectedFault::TicketsReused) {
                 0
             } else {
-                run << LIFE_TICKETS
+                run << TICKET_BITS_PER_INCARNATION
             },
             settings,
-            props,
+            properties: props,
         }
     }
 
     /// How far behind its inputs this node is.
-    pub fn set_load(&mut self, load: Load) {
-        if load.shed() != self.load.shed() {
-            let (lag, shed) = (load.lag() / MILLI, load.shed());
-            if shed > self.load.shed() {
+    pub fn set_loop_load(&mut self, load: LoadMonitor) {
+        if load.shed_level() != self.load.shed_level() {
+            let (lag, shed) = (load.lag() / MILLISECOND, load.shed_level());
+            if shed > self.load.shed_level() {
                 log::warn!("{lag} ms behind: refusing {shed:?}");
             } else {
                 log::info!("{lag} ms behind: refusing {shed:?}");
             }
         }
-        self.lead.note_stop(self.now.steady, load.lag());
+        self.election.note_pause(self.now.steady, load.lag());
         self.load = load;
     }
 
     /// What the last `tick` took of this node's time. Where processor time is short a pass costs
     /// many times what it would, and the next has to wait for as many times as long.
-    pub fn note_cost(&mut self, took: Micros) {
-        if std::mem::take(&mut self.passed) {
-            self.pass_cost = (3 * self.pass_cost + took) / 4;
+    pub fn note_tick_cost(&mut self, took: Micros) {
+        if std::mem::take(&mut self.placement_pass_ran) {
+            self.placement_pass_cost = (3 * self.placement_pass_cost + took) / 4;
         }
     }
 
     /// The earliest time at which `tick` has something to do.
     pub fn wake_at(&self) -> Micros {
         let now = self.now.steady;
-        let mut at = (now + 250 * MILLI).min(self.polls_at.max(now + MILLI));
-        at = at.min(self.lead.wake_at().max(now + MILLI));
-        at = at.min(self.cloud.wake_at(self.leads()).max(now + MILLI));
-        if let Some(t) = self.desk.due() {
-            at = at.min(t.max(now + MILLI));
+        let mut at = (now + 250 * MILLISECOND).min(self.poll_batch_due_at.max(now + MILLISECOND));
+        at = at.min(self.election.wake_at().max(now + MILLISECOND));
+        at = at.min(self.cloud.wake_at(self.is_leader()).max(now + MILLISECOND));
+        if let Some(t) = self.heartbeat_batch.due_at() {
+            at = at.min(t.max(now + MILLISECOND));
         }
-        if let Some(t) = self.hearing.wake_at() {
-            at = at.min(t.max(now + MILLI));
+        if let Some(t) = self.worker_probe.wake_at() {
+            at = at.min(t.max(now + MILLISECOND));
         }
-        if let Some(t) = self.store.wake_at() {
-            at = at.min(t.max(now + MILLI));
+        if let Some(t) = self.state.wake_at() {
+            at = at.min(t.max(now + MILLISECOND));
         }
-        if let Some(led) = &self.led {
-            if let Some(t) = led.place_at {
-                at = at.min(t.max(led.place_from).max(now + MILLI));
+        if let Some(leader_state) = &self.leader_state {
+            if let Some(t) = leader_state.placement_due_at {
+                at = at.min(
+                    t.max(leader_state.placement_not_before)
+                        .max(now + MILLISECOND),
+                );
             }
-            if led.save_soon {
-                at = at.min(led.save_at.max(now + MILLI));
+            if leader_state.save_pending {
+                at = at.min(leader_state.next_save_at.max(now + MILLISECOND));
             }
-            at = at.min(led.workers.wake_at(now).max(now + MILLI));
+            at = at.min(leader_state.workers.wake_at(now).max(now + MILLISECOND));
         }
         at
     }
 
     /// Whether this node may act as leader now.
-    pub fn leads(&self) -> bool {
+    pub fn is_leader(&self) -> bool {
         let t = self.now.steady;
-        self.led.as_ref().is_some_and(|l| {
-            l.loading.is_none()
-                && self.lead.valid(t)
-                && l.informed.holds(t, self.lead.unbroken_since())
+        self.leader_state.as_ref().is_some_and(|l| {
+            l.load.is_none()
+                && self.election.is_valid(t)
+                && l.cancellation_freshness
+                    .is_fresh(t, self.election.valid_since())
         })
     }
 
     /// Asks what was cancelled before that is too old; false while this node does not know it well enough
     /// to act as leader. One place for all that acts: who asks `leads` is told the same.
-    fn keep_informed(&mut self) -> bool {
+    fn refresh_cancellations(&mut self) -> bool {
         let t = self.now.steady;
-        let since = self.lead.unbroken_since();
-        let Some(led) = &mut self.led else {
+        let since = self.election.valid_since();
+        let Some(leader_state) = &mut self.leader_state else {
             return false;
         };
-        if !self.lead.valid(t) {
+        if !self.election.is_valid(t) {
             return false;
         }
-        let holds = led.informed.holds(t, since);
-        if let Some(line) = led.informed.note(t, holds) {
+        let holds = leader_state.cancellation_freshness.is_fresh(t, since);
+        if let Some(line) = leader_state.cancellation_freshness.note_state(t, holds) {
             log::warn!("{line}");
         }
-        if led.informed.ask(t, since) {
-            let (term, from) = (led.term, led.jobs_epoch);
+        if leader_state.cancellation_freshness.should_refresh(t, since) {
+            let (term, from) = (leader_state.term, leader_state.jobs_revision);
             let op = Op::Watch {
-                prefix: LIVE,
+                prefix: LIVE_PREFIX,
                 from,
                 block: 0,
             };
-            self.ask(For::CatchUp { term }, op, 0);
+            self.request_state(StateRequest::CatchUp { term }, op, 0);
         }
-        if self.resign_when_untold() {
+        if self.resign_if_cancellations_stale() {
             return false;
         }
         holds
@@ -625,10 +630,10 @@
 
     fn set_now(&mut self, now: Now) {
         let gap = now.steady.saturating_sub(self.now.steady);
-        if self.now.steady > 0 && gap > STALL {
+        if self.now.steady > 0 && gap > STALL_THRESHOLD {
             self.stalls += 1;
             self.last_stall = gap;
-            log::warn!("this node stood still for {} ms", gap / MILLI);
+            log::warn!("this node stood still for {} ms", gap / MILLISECOND);
         }
         self.now = now;
     }
@@ -641,7 +646,7 @@
                 method,
                 path,
                 body,
-            } => self.request(conn, &method, &path, body),
+            } => self.handle_request(conn, &method, &path, body),
             Input::PeerRequest {
                 conn,
                 ticket,
@@ -650,10 +655,10 @@
                 addr,
                 body,
             } => {
-                self.peers_heard_at = now.steady;
-                self.peer_request(conn, ticket, kind, patience, &addr, body);
+                self.peer_seen_at = now.steady;
+                self.handle_peer_request(conn, ticket, kind, patience, &addr, body);
             }
-            Input::Outcome { ticket, outcome } => self.outcome(ticket, &outcome),
+            Input::Outcome { ticket, outcome } => self.handle_outcome(ticket, &outcome),
         }
     }
 
@@ -661,56 +666,73 @@
     pub fn tick(&mut self, now: Now) -> Vec<Output> {
         self.set_now(now);
         let t = now.steady;
-        for (step, op) in self.lead.tick(t) {
-            self.store.ask(t, For::Lead(step), Rank::Vital, op, SECOND);
+        for (step, op) in self.election.tick(t) {
+            self.state.submit(
+                t,
+                StateRequest::Election(step),
+                RequestPriority::Vital,
+                op,
+                SECOND,
+            );
         }
-        if self.store.wants_probe(t) {
-            self.ask(For::Probe, Op::Get(LEADER_KEY.to_owned()), USER_PATIENCE);
+        if self.state.should_probe(t) {
+            self.request_state(
+                StateRequest::AvailabilityProbe,
+                Op::Get(LEADER_KEY.to_owned()),
+                CLIENT_REQUEST_TIMEOUT,
+            );
         }
-        if let (Some(led), Some(stamp)) = (&mut self.led, self.lead.stamp()) {
-            led.stamp = stamp;
+        if let (Some(leader_state), Some(mod_revision)) =
+            (&mut self.leader_state, self.election.leader_key_revision())
+        {
+            leader_state.leader_key_revision = mod_revision;
         }
-        self.tick_opening();
-        self.ask_for_peers();
-        self.follow();
-        self.ask_carried();
-        self.tick_format();
-        let leads = self.leads();
-        self.cloud.tick(t, leads, &mut self.tickets, &mut self.out);
-        self.drive();
-        self.send_reports();
-        self.check_polls();
+        self.tick_startup();
+        self.check_peer_liveness();
+        self.replicate();
+        self.probe_workers();
+        self.check_schema_version();
+        let leads = self.is_leader();
+        self.cloud
+            .tick(t, leads, &mut self.tickets, &mut self.outputs);
+        self.run_leader();
+        self.send_heartbeat_batches();
+        self.flush_polls();
         // Twice: what ran out of patience may lead to new questions.
         for _ in 0..2 {
-            for (purpose, reply) in self.store.pump(t, &mut self.tickets, &mut self.out) {
-                self.stored(purpose, reply, t);
+            for (purpose, reply) in self
+                .state
+                .send_queued(t, &mut self.tickets, &mut self.outputs)
+            {
+                self.handle_state_reply(purpose, reply, t);
             }
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outputs)
     }
 
-    fn ask(&mut self, purpose: For, op: Op, patience: Micros) {
-        let rank = purpose.rank();
-        self.store.ask(self.now.steady, purpose, rank, op, patience);
+    fn request_state(&mut self, purpose: StateRequest, op: Op, patience: Micros) {
+        let rank = purpose.priority();
+        self.state
+            .submit(self.now.steady, purpose, rank, op, patience);
     }
 
     fn respond(&mut self, conn: ConnId, status: u16, body: &Value) {
-        if let Some(asked) = self.asked.remove(&conn) {
-            self.note_opening(asked.method, status);
+        if let Some(asked) = self.client_requests.remove(&conn) {
+            self.note_startup_answer(asked.method, status);
         }
-        if let Some((conn, ticket)) = self.via_peer.remove(&conn) {
+        if let Some((conn, ticket)) = self.proxied_requests.remove(&conn) {
             let body = body.to_string().into_bytes();
-            return self.out.push(Output::PeerRespond {
+            return self.outputs.push(Output::PeerRespond {
                 conn,
                 ticket,
                 outcome: Outcome::Reply { status, body },
             });
         }
-        let retry_after = (status == 503).then(|| match self.load.shed() {
-            Shed::Nothing => 1,
+        let retry_after = (status == 503).then(|| match self.load.shed_level() {
+            ShedLevel::Nothing => 1,
             _ => self.load.retry_after(conn),
         });
-        self.out.push(Output::Respond {
+        self.outputs.push(Output::Respond {
             conn,
             status,
             body: body.to_string().into_bytes(),
@@ -718,9 +740,9 @@
         });
     }
 
-    fn error(&mut self, conn: ConnId, status: u16, reason: &str) {
+    fn respond_error(&mut self, conn: ConnId, status: u16, reason: &str) {
         if log::log_enabled!(log::Level::Debug) {
-            let what = self.asked.get(&conn).map_or("", |a| a.method);
+            let what = self.client_requests.get(&conn).map_or("", |a| a.method);
             log::debug!("answering {what} with {status}: {reason}");
         }
         self.respond(conn, status, &json!({"error": reason}));
@@ -729,15 +751,15 @@
     /// Asks another controller; what becomes of its answer is `relay`'s.
     fn call_peer(
         &mut self,
-        relay: Relay,
+        relay: PeerCallPurpose,
         dest: SocketAddr,
         (kind, addr): (u16, String),
         body: Vec<u8>,
         timeout: Micros,
     ) {
         self.tickets += 1;
-        self.relays.insert(self.tickets, relay);
-        self.out.push(Output::PeerCall {
+        self.peer_calls.insert(self.tickets, relay);
+        self.outputs.push(Output::PeerCall {
             ticket: self.tickets,
             dest,
             kind,
@@ -749,7 +771,7 @@
 
     /// Tells another controller that its word was taken.
     fn acknowledge(&mut self, conn: ConnId, ticket: Ticket) {
-        self.out.push(Output::PeerRespond {
+        self.outputs.push(Output::PeerRespond {
             conn,
             ticket,
             outcome: Outcome::Reply {
@@ -759,7 +781,7 @@
         });
     }
 
-    fn peer_request(
+    fn handle_peer_request(
         &mut self,
         conn: ConnId,
         ticket: Ticket,
@@ -769,37 +791,39 @@
         body: Vec<u8>,
     ) {
         match kind {
-            KIND_REPORT => {
-                let outcome = self.peer_report(addr, &body);
-                self.out.push(Output::PeerRespond {
+            KIND_HEARTBEAT => {
+                let outcome = self.take_forwarded_heartbeat(addr, &body);
+                self.outputs.push(Output::PeerRespond {
                     conn,
                     ticket,
                     outcome,
                 });
             }
-            KIND_REPORTS => {
-                let outcome = self.peer_reports(addr, &body);
-                self.out.push(Output::PeerRespond {
+            KIND_HEARTBEAT_BATCH => {
+                let outcome = self.take_heartbeat_batch(addr, &body);
+                self.outputs.push(Output::PeerRespond {
                     conn,
                     ticket,
                     outcome,
                 });
             }
-            KIND_DELIVER => {
+            KIND_DELIVER_COMMANDS => {
                 let Ok(dest) = addr.parse() else {
-                    return self.out.push(Output::PeerRespond {
+                    return self.outputs.push(Output::PeerRespond {
                         conn,
                         ticket,
                         outcome: Outcome::NotSent,
                     });
                 };
                 self.tickets += 1;
-                self.relays
-                    .insert(self.tickets, Relay::Delivery { conn, ticket });
+                self.peer_calls.insert(
+                    self.tickets,
+                    PeerCallPurpose::CommandDelivery { conn, ticket },
+                );
                 let timeout = patience
                     .saturating_sub(patience / 4)
-                    .clamp(100 * MILLI, 5 * SECOND);
-                self.out.push(Output::Call {
+                    .clamp(100 * MILLISECOND, 5 * SECOND);
+                self.outputs.push(Output::Call {
                     ticket: self.tickets,
                     dest,
                     method: "POST",
@@ -808,23 +832,23 @@
                     timeout,
                 });
             }
-            KIND_USER => {
-                self.next_via += 1;
-                let via = self.next_via;
-                self.via_peer.insert(via, (conn, ticket));
+            KIND_CLIENT_REQUEST => {
+                self.next_proxied_conn += 1;
+                let via = self.next_proxied_conn;
+                self.proxied_requests.insert(via, (conn, ticket));
                 let (method, path) = addr.split_once(' ').unwrap_or((addr, ""));
-                self.request(via, method, path, body);
+                self.handle_request(via, method, path, body);
             }
             KIND_PROGRESS => {
-                if !self.leads() {
-                    self.hint = Some((addr.to_owned(), self.now.steady));
+                if !self.is_leader() {
+                    self.leader_hint = Some((addr.to_owned(), self.now.steady));
                 }
                 self.progress.replace(&body);
                 self.progress_at = self.now.steady;
                 // Only what is probed gets users: a node may be cut off from the load balancer.
-                let probed = self.now.steady < self.probed_at + SERVING_FRESH;
-                let serves = probed && !self.cloud.types.is_empty() && !self.store.failing();
-                self.out.push(Output::PeerRespond {
+                let probed = self.now.steady < self.health_checked_at + SERVING_FRESH_FOR;
+                let serves = probed && !self.cloud.types.is_empty() && !self.state.is_failing();
+                self.outputs.push(Output::PeerRespond {
                     conn,
                     ticket,
                     outcome: Outcome::Reply {
@@ -833,37 +857,37 @@
                     },
                 });
             }
-            KIND_HEARD => {
-                self.heard_through(&body);
+            KIND_PROBE_ANSWER => {
+                self.take_probe_answer(&body);
                 self.acknowledge(conn, ticket);
             }
-            KIND_ASK => {
-                self.asked_to_ask(&body);
+            KIND_PROBE_WORKERS => {
+                self.accept_probe_assignment(&body);
                 self.acknowledge(conn, ticket);
             }
-            KIND_EPOCH => {
-                self.told_epoch(&body);
+            KIND_CHECKSUM => {
+                self.leader_checksum_received(&body);
                 self.acknowledge(conn, ticket);
             }
             KIND_CANCELLED => {
                 if let Ok(uid) = std::str::from_utf8(&body) {
-                    self.hinted(uid);
+                    self.cancellation_hinted(uid);
                 }
                 self.acknowledge(conn, ticket);
             }
-            KIND_INSPECT => {
-                let body = self.inspect_leader(&addr.split('/').collect::<Vec<_>>());
+            KIND_ADMIN_QUERY => {
+                let body = self.admin_report(&addr.split('/').collect::<Vec<_>>());
                 let outcome = Outcome::Reply {
                     status: 200,
                     body: body.to_string().into_bytes(),
                 };
-                self.out.push(Output::PeerRespond {
+                self.outputs.push(Output::PeerRespond {
                     conn,
                     ticket,
                     outcome,
                 });
             }
-            _ => self.out.push(Output::PeerRespond {
+            _ => self.outputs.push(Output::PeerRespond {
                 conn,
                 ticket,
                 outcome: Outcome::NotSent,
@@ -871,39 +895,43 @@
         }
     }
 
-    fn outcome(&mut self, ticket: Ticket, outcome: &Outcome) {
+    fn handle_outcome(&mut self, ticket: Ticket, outcome: &Outcome) {
         let now = self.now.steady;
-        if self.store.owns(ticket) {
-            if let Some((purpose, reply, sent)) = self.store.answer(now, ticket, outcome) {
-                self.stored(purpose, reply, sent);
+        if self.state.owns(ticket) {
+            if let Some((purpose, reply, sent)) = self.state.handle_outcome(now, ticket, outcome) {
+                self.handle_state_reply(purpose, reply, sent);
             }
         } else if self.cloud.owns(ticket) {
-            let news = self.cloud.outcome(now, ticket, outcome);
-            self.cloud_news(news);
-        } else if let Some(relay) = self.relays.remove(&ticket) {
-            self.relayed(relay, outcome);
-        } else if self.hearing.answered(ticket) {
-            self.heard_for_leader(outcome);
-        } else if self.desk.owns(ticket) {
-            self.desk_answered(ticket, outcome);
-        } else if let Some(led) = &mut self.led
-            && led.workers.owns(ticket)
+            let news = self.cloud.handle_outcome(now, ticket, outcome);
+            self.handle_cloud_events(news);
+        } else if let Some(relay) = self.peer_calls.remove(&ticket) {
+            self.handle_peer_reply(relay, outcome);
+        } else if self.worker_probe.answered(ticket) {
+            self.forward_probe_answer(outcome);
+        } else if self.heartbeat_batch.owns(ticket) {
+            self.heartbeat_batch_answered(ticket, outcome);
+        } else if let Some(leader_state) = &mut self.leader_state
+            && leader_state.workers.owns(ticket)
         {
-            led.workers.outcome(now, ticket, outcome, &mut led.table);
-            self.take_events();
+            leader_state
+                .workers
+                .handle_outcome(now, ticket, outcome, &mut leader_state.jobs);
+            self.apply_ledger_events();
         }
     }
 
-    fn relayed(&mut self, relay: Relay, outcome: &Outcome) {
+    fn handle_peer_reply(&mut self, relay: PeerCallPurpose, outcome: &Outcome) {
         // An order's answer is the worker's.
-        if matches!(outcome, Outcome::Reply { .. }) && !matches!(relay, Relay::Delivery { .. }) {
-            self.peers_heard_at = self.now.steady;
+        if matches!(outcome, Outcome::Reply { .. })
+            && !matches!(relay, PeerCallPurpose::CommandDelivery { .. })
+        {
+            self.peer_seen_at = self.now.steady;
         }
         match relay {
-            Relay::Alive => {}
-            Relay::User { conn, peer } => match outcome {
+            PeerCallPurpose::LivenessCheck => {}
+            PeerCallPurpose::ClientRequest { conn, peer } => match outcome {
                 Outcome::Reply { status, body } if *status != 503 => {
-                    self.out.push(Output::Respond {
+                    self.outputs.push(Output::Respond {
                         conn,
                         status: *status,
                         body: body.clone(),
@@ -912,35 +940,35 @@
                 }
                 _ => {
                     let until = self.now.steady + SECOND;
-                    self.helpless_until.insert(peer, until);
-                    self.error(conn, 503, "the state service does not answer");
+                    self.unhelpful_until.insert(peer, until);
+                    self.respond_error(conn, 503, "the state service does not answer");
                 }
             },
-            Relay::Delivery { conn, ticket } => {
-                self.out.push(Output::PeerRespond {
+            PeerCallPurpose::CommandDelivery { conn, ticket } => {
+                self.outputs.push(Output::PeerRespond {
                     conn,
                     ticket,
                     outcome: outcome.clone(),
                 });
             }
-            Relay::Told { peer } => {
+            PeerCallPurpose::ProgressAnnouncement { peer } => {
                 if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.serving.insert(peer, self.now.steady);
+                    self.serving_peers.insert(peer, self.now.steady);
                 }
             }
-            Relay::Ask { hosts } => {
+            PeerCallPurpose::ProbeAssignment { hosts } => {
                 if !matches!(outcome, Outcome::Reply { status: 200, .. })
-                    && let Some(led) = &mut self.led
+                    && let Some(leader_state) = &mut self.leader_state
                 {
-                    led.workers.take_back(&hosts);
+                    leader_state.workers.reclaim_probes(&hosts);
                 }
             }
-            Relay::Frames { run } => {
+            PeerCallPurpose::BatchSupport { run } => {
                 if matches!(outcome, Outcome::Reply { status: 200, .. }) {
-                    self.frames_with = Some(run);
+                    self.batching_leader = Some(run);
                 }
             }
-            Relay::Chain { conn, mut body } => {
+            PeerCallPurpose::DependencyQuery { conn, mut body } => {
                 let told = match outcome {
                     Outcome::Reply { status: 200, body } => serde_json::from_slice(body).ok(),
                     _ => None,
@@ -948,38 +976,42 @@
                 body["leader"] = told.unwrap_or_else(|| json!("the leader does not answer"));
                 self.respond(conn, 200, &body);
             }
-            Relay::Report { conn } | Relay::Inspect { conn } => match outcome {
-                Outcome::Reply { status, body } => {
-                    let retry_after = None;
-                    self.out.push(Output::Respond {
-                        conn,
-                        status: *status,
-                        body: body.clone(),
-                        retry_after,
-                    });
+            PeerCallPurpose::Heartbeat { conn } | PeerCallPurpose::AdminQuery { conn } => {
+                match outcome {
+                    Outcome::Reply { status, body } => {
+                        let retry_after = None;
+                        self.outputs.push(Output::Respond {
+                            conn,
+                            status: *status,
+                            body: body.clone(),
+                            retry_after,
+                        });
+                    }
+                    other => self.heartbeat_failed(conn, other),
                 }
-                other => self.report_failed(conn, other),
-            },
+            }
         }
     }
 
-    fn drive(&mut self) {
+    fn run_leader(&mut self) {
         let now = self.now;
         let t = now.steady;
-        if self.led.as_ref().is_none_or(|l| l.loading.is_some()) {
+        if self.leader_state.as_ref().is_none_or(|l| l.load.is_some()) {
             return;
         }
-        let valid = self.keep_informed();
-        let Some(led) = &mut self.led else { return };
-        if !led.watching && t >= led.watch_at {
-            led.watching = true;
-            let (term, from) = (led.term, led.jobs_epoch);
-            self.store.ask(
+        let valid = self.refresh_cancellations();
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if !leader_state.watch_in_flight && t >= leader_state.next_watch_at {
+            leader_state.watch_in_flight = true;
+            let (term, from) = (leader_state.term, leader_state.jobs_revision);
+            self.state.submit(
                 t,
-                For::WatchJobs { term },
-                Rank::Leader,
+                StateRequest::WatchJobs { term },
+                RequestPriority::Leader,
                 Op::Watch {
-                    prefix: LIVE,
+                    prefix: LIVE_PREFIX,
                     from,
                     block: 20 * SECOND,
                 },
@@ -987,79 +1019,99 @@
             );
         }
         if !valid {
-            led.valid_since = t;
+            leader_state.valid_since = t;
             return;
         }
-        if t >= led.upkeep_at {
-            led.upkeep_at = t + 250 * MILLI;
-            if self.resign_when_deaf() {
+        if t >= leader_state.maintenance_at {
+            leader_state.maintenance_at = t + 250 * MILLISECOND;
+            if self.resign_if_fleet_silent() {
                 return;
             }
-            self.upkeep();
+            self.run_maintenance();
         }
-        self.take_events();
-        self.ask_looks();
-        self.cascade();
-        let Some(led) = &mut self.led else { return };
-        if led.place_at.is_some_and(|p| p <= t)
-            && t >= led.place_from.max(led.held_until)
+        self.apply_ledger_events();
+        self.read_dependency_outcomes();
+        self.cancel_dependents();
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if leader_state.placement_due_at.is_some_and(|p| p <= t)
+            && t >= leader_state
+                .placement_not_before
+                .max(leader_state.starts_held_until)
             && !self.cloud.types.is_empty()
-            && self.load.may_start()
+            && self.load.may_start_work()
         {
-            led.place_at = None;
-            let rest = PLACE_PER_MACHINE * led.workers.machines.len() as Micros;
-            led.place_from = t + rest.max(PASS_REST * self.pass_cost).min(PASS_REST_MAX);
-            self.passed = true;
-            led.takeover.passed_at = led.takeover.passed_at.or(Some(t));
-            let may_stop = led.recovery.may_stop(t, led.scheduler.flow(t));
-            led.scheduler.may_stop = may_stop;
-            let placed = led.scheduler.place(
+            leader_state.placement_due_at = None;
+            let rest =
+                PLACEMENT_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
+            leader_state.placement_not_before = t + rest
+                .max(PASS_COST_MULTIPLE * self.placement_pass_cost)
+                .min(PASS_INTERVAL_MAX);
+            self.placement_pass_ran = true;
+            leader_state.failover.first_pass_at = leader_state.failover.first_pass_at.or(Some(t));
+            let may_stop = leader_state
+                .reconciliation
+                .take_preemption_allowance(t, leader_state.scheduler.completion_rate(t));
+            leader_state.scheduler.preemption_allowance = may_stop;
+            let placed = leader_state.scheduler.place_tasks(
                 t,
                 now.wall,
-                &mut led.table,
-                &mut led.workers,
+                &mut leader_state.jobs,
+                &mut leader_state.workers,
                 &self.cloud.types,
                 &self.settings,
             );
             if may_stop.is_finite() {
-                led.recovery.stopped(may_stop - led.scheduler.may_stop);
+                leader_state
+                    .reconciliation
+                    .note_preempted(may_stop - leader_state.scheduler.preemption_allowance);
             }
-            led.save_soon |= !placed.is_empty();
+            leader_state.save_pending |= !placed.is_empty();
             for p in &placed {
-                if let Some(j) = led.table.by_number.get(&p.key.job) {
+                if let Some(j) = leader_state.jobs.by_number.get(&p.key.job) {
                     log::debug!(
                         "{}/{} try {} goes to {}",
                         j.spec.uid,
-                        p.key.part,
+                        p.key.index,
                         p.attempt,
                         p.machine
                     );
                 }
             }
         }
-        self.take_events();
-        let Some(led) = &mut self.led else { return };
-        if t >= led.save_at && (led.save_soon || t >= led.save_at + SAVE_SCAN) {
-            led.save_soon = false;
-            led.save_at = t + SAVE_PER_JOB * led.table.by_number.len() as Micros;
-            self.flush_saves();
+        self.apply_ledger_events();
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if t >= leader_state.next_save_at
+            && (leader_state.save_pending || t >= leader_state.next_save_at + SAVE_SCAN_INTERVAL)
+        {
+            leader_state.save_pending = false;
+            leader_state.next_save_at =
+                t + SAVE_INTERVAL_PER_JOB * leader_state.jobs.by_number.len() as Micros;
+            self.save_jobs();
         }
-        let Some(led) = &mut self.led else { return };
-        led.workers.lag = self.load.lag();
-        led.workers.flush(t, &mut self.tickets, &mut self.out);
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state.workers.loop_lag = self.load.lag();
+        leader_state
+            .workers
+            .send_due(t, &mut self.tickets, &mut self.outputs);
     }
 
     /// How many machines were looked at so far: tests bound the work of an event by it.
-    pub fn effort(&self) -> u64 {
-        self.led
-            .as_ref()
-            .map_or(0, |l| l.workers.looked_at + l.scheduler.rooms.looked_at)
+    pub fn machines_examined(&self) -> u64 {
+        self.leader_state.as_ref().map_or(0, |l| {
+            l.workers.machines_examined + l.scheduler.capacity.machines_examined
+        })
     }
 
     /// The live job as the leader holds it; for tests and the operators.
     pub fn job(&self, uid: &str) -> Option<&Job> {
-        self.led.as_ref()?.table.get(uid)
+        self.leader_state.as_ref()?.jobs.get(uid)
     }
 }
 
-const OVER_PREFIX: &str = crate::jobs::OVER;
+const FINISHED_PREFIX: &str = crate::jobs::FINISHED_PREFIX;
--- /dev/null
+++ b/src/controller/api.rs
@@ -0,0 +1,556 @@
+//! Users' requests: submissions, polls and cancellations, by this node or through another.
+
+use super::*;
+use crate::state_client::Raw;
+
+/// That many reads for overdue polls may wait among the users' changes.
+const QUEUED_STARVED_READS_MAX: usize = 4;
+/// For so long nothing is started of a job that another controller said is cancelled.
+const CANCELLATION_HINT_HOLD: Micros = 5 * SECOND;
+
+impl Controller {
+    /// The state service does not answer us, but may answer another controller: a single node
+    /// can be refused or cut off from it while the others are served.
+    pub(super) fn state_unavailable(&mut self, conn: ConnId) {
+        let asked = self.client_requests.remove(&conn);
+        if let (Some(asked), Some(peer)) = (asked, self.pick_helper_peer()) {
+            self.forward_client_request(conn, peer, asked);
+        } else {
+            self.respond_error(conn, 503, "the state service does not answer");
+        }
+    }
+
+    /// A controller that may answer for us: the leader, or else by turns.
+    pub(super) fn pick_helper_peer(&mut self) -> Option<SocketAddr> {
+        let now = self.now.steady;
+        let leader = self.leader_name();
+        let able = |p: &&Peer| {
+            let well = |until: Option<&Micros>| until.is_none_or(|t| *t <= now);
+            well(self.link_avoided_until.get(&p.address))
+                && well(self.unhelpful_until.get(&p.address))
+        };
+        let peers: Vec<&Peer> = self.settings.peers.iter().filter(able).collect();
+        let first = peers.iter().find(|p| Some(&p.name) == leader.as_ref());
+        self.next_peer += 1;
+        let any = peers.get(self.next_peer % peers.len().max(1));
+        first.or(any).map(|p| p.address)
+    }
+
+    pub(super) fn forward_client_request(
+        &mut self,
+        conn: ConnId,
+        peer: SocketAddr,
+        asked: ClientRequest,
+    ) {
+        let about = (
+            KIND_CLIENT_REQUEST,
+            format!("{} {}", asked.method, asked.path),
+        );
+        self.call_peer(
+            PeerCallPurpose::ClientRequest { conn, peer },
+            peer,
+            about,
+            asked.body,
+            PEER_CALL_TIMEOUT,
+        );
+    }
+
+    /// Whether this node leads and enough of the others can serve the users. The leader has the
+    /// most to do, and when it stops, its users' requests stop with it; so they are better kept
+    /// apart. With few others, their end would leave nobody.
+    fn peers_serve_clients(&self) -> bool {
+        let others = self.settings.peers.iter();
+        let serving = others.filter(|p| self.peer_serves(p.address));
+        self.is_leader() && serving.count() >= SERVING_PEERS_MIN
+    }
+
+    /// Whether neither the state service nor another controller has answered this node for a while. What it
+    /// knows may be older than what its users were told elsewhere, and nobody can answer for it: it says so at
+    /// once, to the load balancer too, so that users and workers go where they can be served.
+    pub fn is_isolated(&self) -> bool {
+        let t = self.now.steady;
+        !self.settings.peers.is_empty()
+            && self.state.failing_for(t) >= ISOLATION_TIMEOUT
+            && t >= self.peer_seen_at + ISOLATION_TIMEOUT
+    }
+
+    /// Answers that nobody can be served here, if that is so.
+    pub(super) fn refused_as_isolated(&mut self, conn: ConnId) -> bool {
+        let cut_off = self.is_isolated();
+        if cut_off {
+            self.respond_error(conn, 503, "cut off from state service and controllers");
+        }
+        cut_off
+    }
+
+    /// While the state service fails: asks another controller, by turns, for no more than a sign of life. In
+    /// an outage for all nobody may have anything else to say.
+    pub(super) fn check_peer_liveness(&mut self) {
+        let t = self.now.steady;
+        let quiet = t >= self.peer_seen_at.max(self.peer_checked_at) + SECOND;
+        let peers = &self.settings.peers;
+        if peers.is_empty() || !quiet || self.state.failing_for(t) < SECOND {
+            return;
+        }
+        self.peer_checked_at = t;
+        self.next_peer += 1;
+        let dest = peers[self.next_peer % peers.len()].address;
+        // A word on no epoch at all, which every version takes and passes over.
+        let about = (KIND_CHECKSUM, self.settings.name.clone());
+        self.call_peer(
+            PeerCallPurpose::LivenessCheck,
+            dest,
+            about,
+            Vec::new(),
+            SECOND,
+        );
+    }
+
+    /// Whether that controller said a moment ago that it can serve users.
+    pub(super) fn peer_serves(&self, peer: SocketAddr) -> bool {
+        let told = self.serving_peers.get(&peer);
+        told.is_some_and(|at| self.now.steady < at + SERVING_FRESH_FOR)
+    }
+
+    /// Notes a user's request; true when another controller answers it, since the state service
+    /// has just failed us.
+    pub(super) fn forward_if_needed(
+        &mut self,
+        conn: ConnId,
+        method: &'static str,
+        path: String,
+        body: &[u8],
+    ) -> bool {
+        if conn >= FIRST_PROXIED_CONN_ID {
+            return false;
+        }
+        if self.refused_as_isolated(conn) {
+            return true;
+        }
+        let body = body.to_vec();
+        let asked = ClientRequest { method, path, body };
+        if self.state.is_failing()
+            && let Some(peer) = self.pick_helper_peer()
+        {
+            self.forward_client_request(conn, peer, asked);
+            return true;
+        }
+        self.client_requests.insert(conn, asked);
+        false
+    }
+
+    /// The node that leads, by the state service or by its own recent word.
+    pub(super) fn leader_name(&self) -> Option<String> {
+        let hint = self.leader_hint.as_ref();
+        let told = hint.filter(|h| self.now.steady < h.1 + PROGRESS_FRESH_FOR);
+        told.map(|h| h.0.clone())
+            .or_else(|| self.election.leader().map(|r| r.node.clone()))
+    }
+
+    pub(super) fn handle_request(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
+        let path = path.split('?').next().unwrap_or("");
+        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match (method, parts.as_slice()) {
+            ("GET", ["up"]) => {
+                self.health_checked_at = self.now.steady;
+                if self.cloud.types.is_empty() {
+                    return self.respond_error(
+                        conn,
+                        503,
+                        "starting: the machine types are not known yet",
+                    );
+                }
+                if self.refused_as_isolated(conn) {
+                    return;
+                }
+                if self.peers_serve_clients() {
+                    return self.respond_error(
+                        conn,
+                        503,
+                        "leading: the other controllers serve users",
+                    );
+                }
+                self.note_startup_answer("GET /up", 200);
+                self.respond(conn, 200, &json!({"up": true}));
+            }
+            ("POST", ["work"]) => self.submit(conn, &body),
+            ("GET", ["work", uid]) => self.poll_job(conn, uid),
+            ("POST", ["work", uid, "cancel"]) => self.cancel_job(conn, uid),
+            ("POST", ["checkin"]) => self.handle_heartbeat(conn, body),
+            ("GET", ["inspect", rest @ ..]) => self.handle_admin_request(conn, rest),
+            (
+                _,
+                ["up" | "work" | "checkin"] | ["work", _] | ["work", _, "cancel"] | ["inspect", ..],
+            ) => {
+                self.respond_error(conn, 405, "method not allowed");
+            }
+            _ => self.respond_error(conn, 404, "no such path"),
+        }
+    }
+
+    /// Answers at once for a job that this node knows to be over; ends never change.
+    pub(super) fn answer_from_final_state(&mut self, conn: ConnId, uid: &str) -> bool {
+        let Some(known) = self.final_states.get(uid).cloned() else {
+            return false;
+        };
+        self.respond(conn, 200, &known);
+        true
+    }
+
+    pub(super) fn poll_job(&mut self, conn: ConnId, uid: &str) {
+        if !valid_uid(uid) {
+            return self.respond_error(conn, 404, "no such job");
+        }
+        if self.answer_from_final_state(conn, uid) {
+            return;
+        }
+        if self.forward_if_needed(conn, "GET", format!("/work/{uid}"), &[]) {
+            return;
+        }
+        // Always the store, never memory: another node may just have told the user of a cancel.
+        // Whether a job is over can be asked for many at once, the rest is told by the leader.
+        if self.job_counts(uid).is_some() {
+            let t = self.now.steady;
+            self.polls.push((conn, uid.into(), t));
+            self.poll_batch_due_at = self.poll_batch_due_at.min(t + POLL_BATCH_DELAY);
+            return;
+        }
+        self.read_polled_job(conn, uid);
+    }
+
+    pub(super) fn read_polled_job(&mut self, conn: ConnId, uid: &str) {
+        self.read_for_poll(conn, uid.into(), false);
+    }
+
+    /// Reads a job for a poll; the questions of a job that had no answer for long go with the users' changes,
+    /// a few at a time: after an outage all are of that kind, and submissions wait too.
+    pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
+        let t = self.now.steady;
+        let few = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
+        let rank = if few && self.starvation.is_starved(t, &uid) {
+            RequestPriority::Client
+        } else {
+            RequestPriority::Background
+        };
+        let key = if over {
+            finished_key(&uid)
+        } else {
+            live_key(&uid)
+        };
+        let purpose = StateRequest::PollJob { conn, uid, over };
+        self.state
+            .submit(t, purpose, rank, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
+    }
+
+    /// No answer for a poll from here.
+    pub(super) fn poll_failed(&mut self, conn: ConnId, uid: &str) {
+        self.starvation.note_failure(self.now.steady, uid);
+        self.state_unavailable(conn);
+    }
+
+    /// Tasks done and placed of a live job, by the leader's last word. While no node leads
+    /// nothing newer is known to anybody, and the stored counts are older still.
+    pub(super) fn job_counts(&self, uid: &str) -> Option<(u64, u64)> {
+        if self.is_leader() {
+            let job = self.leader_state.as_ref()?.jobs.get(uid)?;
+            return Some((
+                job.spec.tasks - job.remaining_tasks(),
+                job.placements.len() as u64,
+            ));
+        }
+        let fresh = self.now.steady < self.progress_at + PROGRESS_KEPT_FOR;
+        self.progress.get(uid).filter(|_| fresh)
+    }
+
+    /// Asks for all jobs polled in the last moment whether they are over. When the budget is
+    /// short, more polls come together in each question instead of going without an answer.
+    pub(super) fn flush_polls(&mut self) {
+        let t = self.now.steady;
+        if self.polls.is_empty() || t < self.poll_batch_due_at {
+            return;
+        }
+        let overdue = |p: &(ConnId, Arc<str>, Micros)| self.starvation.is_starved(t, &p.1);
+        // Looks wait for one another and for all else; one question answers so many polls that it may go
+        // before them when some have gone without an answer for long.
+        let hurry = self.polls.iter().any(overdue);
+        if !hurry && !self.state.has_background_budget(t) {
+            self.poll_batch_due_at = t + POLL_BATCH_DELAY;
+            let waiting = std::mem::take(&mut self.polls);
+            for (conn, uid, asked_at) in waiting {
+                if t < asked_at + POLL_TIMEOUT {
+                    self.polls.push((conn, uid, asked_at));
+                } else {
+                    self.poll_failed(conn, &uid);
+                }
+            }
+            return;
+        }
+        if hurry {
+            let unanswered = &self.starvation;
+            self.polls
+                .sort_by_key(|p| Reverse(unanswered.waited(t, &p.1)));
+        }
+        let most = self.schema().txn_ops.max(1) * 4;
+        let chunk: Vec<_> = self.polls.drain(..most.min(self.polls.len())).collect();
+        self.poll_batch_due_at = if self.polls.is_empty() {
+            Micros::MAX
+        } else {
+            t + MILLISECOND
+        };
+        let mut txn = Transaction::default();
+        let keys: BTreeSet<&str> = chunk.iter().map(|p| &*p.1).collect();
+        for uid in keys {
+            txn = txn.require_revision(finished_key(uid), 0);
+        }
+        let rank = if hurry {
+            RequestPriority::Client
+        } else {
+            RequestPriority::Background
+        };
+        let purpose = StateRequest::CheckFinished { polls: chunk };
+        self.state.submit(
+            t,
+            purpose,
+            rank,
+            Op::Transaction(txn),
+            CLIENT_REQUEST_TIMEOUT,
+        );
+    }
+
+    pub(super) fn polls_checked(&mut self, polls: Vec<(ConnId, Arc<str>, Micros)>, reply: &Reply) {
+        let ended: Vec<&str> = match reply {
+            Reply::Applied { .. } => Vec::new(),
+            Reply::Conflict { failed } => failed
+                .iter()
+                .filter_map(|f| f.strip_prefix(FINISHED_PREFIX))
+                .collect(),
+            _ => {
+                // Other questions took this node's share, as at a takeover: they are asked again, for
+                // as long as they may wait.
+                let t = self.now.steady;
+                let short = matches!(reply, Reply::Unavailable) && !self.state.is_failing();
+                for (conn, uid, asked_at) in polls {
+                    if short && t < asked_at + POLL_TIMEOUT {
+                        self.polls.push((conn, uid, asked_at));
+                        self.poll_batch_due_at = self.poll_batch_due_at.min(t + POLL_BATCH_DELAY);
+                    } else {
+                        self.poll_failed(conn, &uid);
+                    }
+                }
+                return;
+            }
+        };
+        for (conn, uid, _) in polls {
+            if ended.contains(&&*uid) {
+                self.read_for_poll(conn, uid, true);
+                continue;
+            }
+            if let Some((done, running)) = self.job_counts(&uid) {
+                self.starvation.note_answer(&uid);
+                self.respond(conn, 200, &live_body(&uid, done, running));
+            } else {
+                self.read_polled_job(conn, &uid);
+            }
+        }
+    }
+
+    /// Tells the other controllers how far the live jobs are, so that polls need not read them.
+    pub(super) fn announce_progress(&mut self) {
+        let t = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if t < leader_state.next_progress_at {
+            return;
+        }
+        leader_state.next_progress_at = t + PROGRESS_INTERVAL;
+        let jobs = leader_state
+            .jobs
+            .by_number
+            .values()
+            .filter(|j| !j.cancelled);
+        let rows = jobs.filter_map(|j| {
+            let done = j.spec.tasks - j.remaining_tasks();
+            ProgressRow::new(&j.spec.uid, done as u32, j.placements.len() as u32)
+        });
+        let body = rows.collect::<Vec<_>>().as_bytes().to_vec();
+        let peers: Vec<SocketAddr> = self.settings.peers.iter().map(|p| p.address).collect();
+        for peer in peers {
+            let about = (KIND_PROGRESS, self.settings.name.clone());
+            self.call_peer(
+                PeerCallPurpose::ProgressAnnouncement { peer },
+                peer,
+                about,
+                body.clone(),
+                SECOND,
+            );
+        }
+        self.announce_checksum();
+    }
+
+    pub(super) fn cancel_job(&mut self, conn: ConnId, uid: &str) {
+        if !valid_uid(uid) {
+            return self.respond_error(conn, 404, "no such job");
+        }
+        if self.answer_from_final_state(conn, uid) {
+            return;
+        }
+        if self.forward_if_needed(conn, "POST", format!("/work/{uid}/cancel"), &[]) {
+            return;
+        }
+        self.request_state(
+            StateRequest::ReadForCancel {
+                conn,
+                uid: uid.into(),
+                over: false,
+                tries: 0,
+            },
+            Op::Get(live_key(uid)),
+            CLIENT_REQUEST_TIMEOUT,
+        );
+    }
+
+    /// Tells the leader of a cancellation that this node has just confirmed, for when the state service does not.
+    pub(super) fn announce_cancellation(&mut self, uid: &str) {
+        let Some(dest) = self.leader_peer().map(|p| p.address) else {
+            return;
+        };
+        let about = (KIND_CANCELLED, self.settings.name.clone());
+        self.call_peer(
+            PeerCallPurpose::LivenessCheck,
+            dest,
+            about,
+            uid.as_bytes().to_vec(),
+            SECOND,
+        );
+    }
+
+    /// Another controller says that the job was cancelled. What is stored decides, and is told by the watch; until
+    /// then its tasks are stopped and none is started, which a word that was wrong costs some work at most.
+    pub(super) fn cancellation_hinted(&mut self, uid: &str) {
+        let now = self.now.steady;
+        let Some(leader_state) = self.leader_state.as_mut().filter(|l| l.load.is_none()) else {
+            return;
+        };
+        let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
+            return;
+        };
+        job.not_before = job.not_before.max(now + CANCELLATION_HINT_HOLD);
+        Self::stop_all_tasks(&mut leader_state.workers, job);
+        leader_state.cancellation_hints += 1;
+        self.apply_ledger_events();
+    }
+
+    pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
+        if over {
+            match serde_json::from_str::<FinalState>(item.value.get()) {
+                Ok(f) => {
+                    let body = final_body(uid, &f);
+                    self.final_states.put(uid, body.clone());
+                    self.respond(conn, 200, &body);
+                }
+                Err(_) => self.respond_error(conn, 503, "the stored job can't be read"),
+            }
+        } else {
+            match schema::decode_job(&item.value) {
+                Ok((r, _)) => self.respond(conn, 200, &r.status_body()),
+                Err(_) => self.respond_error(conn, 503, "the stored job can't be read"),
+            }
+        }
+    }
+
+    pub(super) fn cancel_job_read(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        over: bool,
+        tries: u32,
+        reply: Reply,
+    ) {
+        match reply {
+            Reply::Item(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
+                if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
+                    end.status = "cancelled".to_owned();
+                    let body = final_body(&uid, &end);
+                    let txn = Transaction::default().set(finished_key(&uid), &end);
+                    let write = StateRequest::WriteCancel {
+                        conn,
+                        uid,
+                        tries,
+                        body,
+                    };
+                    self.request_state(write, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
+                }
+            }
+            Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
+            Reply::Item(item) => {
+                let mod_revision = item.mod_revision;
+                let (record, pieces) = match schema::decode_job(&item.value) {
+                    Ok(read) => read,
+                    Err(e) => {
+                        log::error!("{} can't be read: {e}", item.path);
+                        return self.respond_error(conn, 503, "the stored job can't be read");
+                    }
+                };
+                let layout = self.schema();
+                let end = record.finish("cancelled", self.now.wall);
+                let end = end.fit(layout.usable_bytes());
+                let body = final_body(&uid, &end);
+                let mut txn = Transaction::default()
+                    .require_revision(live_key(&uid), mod_revision)
+                    .require_revision(finished_key(&uid), 0)
+                    .delete(live_key(&uid))
+                    .set(finished_key(&uid), &end);
+                // Its tasks may be on machines: the leader, also a later one, stops them and
+                // counts them until they are gone.
+                if pieces > 0
+                    || (!record.placed.is_empty() && fits_value_limit(&item.value, &layout))
+                {
+                    // Its pieces stay where they are.
+                    txn = txn.set_raw(stopping_key(&uid), item.value);
+                } else if !record.placed.is_empty() {
+                    // Stored under larger limits: laid out anew.
+                    let values = layout.encode_job(&record);
+                    let Some(values) = values.filter(|v| v.chunks.len() + 3 <= layout.txn_ops)
+                    else {
+                        return self.respond_error(
+                            conn,
+                            503,
+                            "the job is too wide to be stopped at once",
+                        );
+                    };
+                    txn = txn.set_raw(stopping_key(&uid), values.header);
+                    for (n, value) in values.chunks.into_iter().enumerate() {
+                        txn = txn.set_raw(chunk_key(&uid, n), value);
+                    }
+                }
+                self.request_state(
+                    StateRequest::WriteCancel {
+                        conn,
+                        uid,
+                        tries,
+                        body,
+                    },
+                    Op::Transaction(txn),
+                    CLIENT_REQUEST_TIMEOUT,
+                );
+            }
+            Reply::Absent if !over => {
+                let again = StateRequest::ReadForCancel {
+                    conn,
+                    uid: uid.clone(),
+                    over: true,
+                    tries,
+                };
+                self.request_state(again, Op::Get(finished_key(&uid)), CLIENT_REQUEST_TIMEOUT);
+            }
+            Reply::Absent => self.respond_error(conn, 404, "no such job"),
+            _ => self.state_unavailable(conn),
+        }
+    }
+}
+
+/// Whether a stored value may be written again as it is.
+pub(super) fn fits_value_limit(value: &Raw, layout: &Schema) -> bool {
+    value.get().len() <= layout.value_bytes
+}
--- /dev/null
+++ b/src/controller/dependencies.rs
@@ -0,0 +1,237 @@
+//! Jobs that wait for others, on the leader: what frees them, and what ends them.
+
+use super::*;
+
+/// The largest part of the queue of users' rank that cascades take.
+const QUEUED_CASCADES_MAX: usize = 3;
+
+impl Controller {
+    /// Takes a job that waits for others into the graph.
+    pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
+        let Some(job) = leader_state
+            .jobs
+            .get(uid)
+            .filter(|j| j.waits_for_dependencies() && !j.cancelled)
+        else {
+            return;
+        };
+        let (spec, accepted) = (job.spec.clone(), job.accepted_at);
+        let table = &leader_state.jobs;
+        leader_state.pipelines.add(&spec, accepted, |need| {
+            table.get(need).is_some_and(|j| !j.cancelled)
+        });
+        let scheduler = &leader_state.scheduler;
+        leader_state
+            .pipelines
+            .propagate_back(&mut leader_state.jobs, uid, |spec| {
+                expected_step_time(scheduler, cloud, spec)
+            });
+    }
+
+    /// Asks how needed jobs ended that are not live any more.
+    pub(super) fn read_dependency_outcomes(&mut self) {
+        let t = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if !leader_state.pipelines.has_outcomes_to_read() {
+            return;
+        }
+        let term = leader_state.term;
+        for uid in leader_state.pipelines.take_outcomes_to_read(t) {
+            let key = finished_key(&uid);
+            self.request_state(
+                StateRequest::ReadDependencyOutcome { term, uid },
+                Op::Get(key),
+                LEADER_REQUEST_TIMEOUT,
+            );
+        }
+    }
+
+    pub(super) fn dependency_outcome_read(&mut self, uid: &Arc<str>, reply: Reply) {
+        let now = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state.pipelines.outcome_answered(uid);
+        match reply {
+            Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
+                Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
+                Err(e) => {
+                    // It proves nothing: those that need it go on waiting.
+                    log::error!("{} can't be read: {e}", item.path);
+                    leader_state.pipelines.retry_outcome(now, uid);
+                }
+            },
+            // Live after all: its end will be told.
+            Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
+            _ => leader_state.pipelines.retry_outcome(now, uid),
+        }
+    }
+
+    /// A job that others may wait for is stored as over.
+    pub(super) fn dependency_finished(
+        leader_state: &mut LeaderState,
+        now: Micros,
+        uid: &Arc<str>,
+        end: &FinalState,
+    ) {
+        leader_state.pipelines.forget(uid);
+        if end.is_done() {
+            return Self::dependency_done(leader_state, now, uid, end.finished_at);
+        }
+        let root: Arc<str> = end
+            .cancelled_with
+            .as_deref()
+            .map_or(uid.clone(), Into::into);
+        for dependent in leader_state.pipelines.dependency_cancelled(uid) {
+            leader_state
+                .cascading_cancellations
+                .push_back((dependent, root.clone()));
+        }
+    }
+
+    /// The end of a job is stored: what needs nothing more is placed now, not at the round.
+    pub(super) fn dependency_done(
+        leader_state: &mut LeaderState,
+        now: Micros,
+        uid: &Arc<str>,
+        at: Micros,
+    ) {
+        for (dependent, ready) in leader_state.pipelines.dependency_done(uid, at) {
+            if let Some(job) = leader_state.jobs.get_mut(&dependent) {
+                log::info!("job {dependent} waits for no other job any more");
+                job.ready_at = Some(ready.max(job.accepted_at));
+                leader_state.placement_due_at = Some(now);
+            }
+        }
+    }
+
+    /// Ends the jobs that need a cancelled one, in the rank of the user who cancelled it.
+    pub(super) fn cancel_dependents(&mut self) {
+        let wall = self.now.wall;
+        let layout = self.schema();
+        if self.state.queued(RequestPriority::Client) >= QUEUED_CASCADES_MAX {
+            return;
+        }
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if leader_state.cascading_cancellations.is_empty() {
+            return;
+        }
+        let (term, mod_revision) = (leader_state.term, leader_state.leader_key_revision);
+        let mut later = VecDeque::new();
+        let mut txn = Transaction::default().require_revision(LEADER_KEY, mod_revision);
+        let mut items = Vec::new();
+        while let Some((uid, root)) = leader_state.cascading_cancellations.pop_front() {
+            let Some(job) = leader_state.jobs.get_mut(&uid).filter(|j| !j.cancelled) else {
+                continue;
+            };
+            if txn.changes.len() + 2 > layout.txn_ops || job.save_in_flight || job.reread_pending {
+                later.push_back((uid, root));
+                continue;
+            }
+            if !job.waits_for_dependencies() {
+                // It was let go on: then all that it needs were done, and their ends don't change.
+                log::error!("job {uid} runs, though {root}, which it needs, was cancelled");
+                continue;
+            }
+            job.save_in_flight = true;
+            let mut end = job.record().finish("cancelled", wall);
+            end.cancelled_with = Some(root.to_string());
+            txn = txn
+                .require_revision(live_key(&uid), job.mod_revision)
+                .require_revision(finished_key(&uid), 0)
+                .delete(live_key(&uid))
+                .set(finished_key(&uid), &end.fit(layout.usable_bytes()));
+            items.push((uid, root));
+        }
+        leader_state.cascading_cancellations = later;
+        if !items.is_empty() {
+            self.request_state(
+                StateRequest::CancelDependents { term, items },
+                Op::Transaction(txn),
+                LEADER_REQUEST_TIMEOUT,
+            );
+        }
+    }
+
+    pub(super) fn dependents_cancelled(&mut self, items: Vec<(Arc<str>, Arc<str>)>, reply: &Reply) {
+        let mut reread = Vec::new();
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        for (uid, root) in items {
+            if let Some(job) = leader_state.jobs.get_mut(&uid) {
+                job.save_in_flight = false;
+            }
+            match reply {
+                Reply::Applied { .. } => {
+                    log::info!("job {uid} is cancelled with {root}, which it needs");
+                    leader_state.pipelines.forget(&uid);
+                    for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
+                        leader_state
+                            .cascading_cancellations
+                            .push_back((dependent, root.clone()));
+                    }
+                    leader_state.jobs.remove(&uid);
+                }
+                Reply::Unavailable => leader_state.cascading_cancellations.push_back((uid, root)),
+                Reply::Conflict { failed } => {
+                    if failed.contains(&live_key(&uid)) || failed.contains(&finished_key(&uid)) {
+                        reread.push(uid.clone());
+                    }
+                    leader_state.cascading_cancellations.push_back((uid, root));
+                }
+                // It may have been applied.
+                _ => {
+                    reread.push(uid.clone());
+                    leader_state.cascading_cancellations.push_back((uid, root));
+                }
+            }
+        }
+        for uid in reread {
+            self.reread_job(uid, false);
+        }
+    }
+
+    /// What the leader knows of a job's pipeline.
+    pub(super) fn inspect_dependencies(&self, uid: &str) -> Value {
+        let Some((leader_state, job)) = self
+            .leader_state
+            .as_ref()
+            .and_then(|leader_state| Some((leader_state, leader_state.jobs.get(uid)?)))
+        else {
+            return Value::Null;
+        };
+        let unmet = leader_state.pipelines.unmet_dependencies(uid);
+        let state = |need: &Arc<str>| match leader_state.jobs.get(need) {
+            _ if !unmet.contains(need) => "done",
+            Some(j) if j.cancelled => "cancelled",
+            Some(j) if j.waits_for_dependencies() => "waits for other jobs",
+            Some(j) if j.placements.is_empty() => "pending",
+            Some(_) => "running",
+            None => "not known yet",
+        };
+        let needs: BTreeMap<&str, &str> = job
+            .spec
+            .waits_on
+            .iter()
+            .map(|need| (&**need, state(need)))
+            .collect();
+        let run = expected_step_time(&leader_state.scheduler, &self.cloud, &job.spec);
+        json!({"waits_on": needs, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
+               "priority": job.priority(), "latest_start": latest_start(job, run),
+               "ready": job.ready_at, "now": self.now.wall, "waits_because": self.wait_reason(leader_state, job)})
+    }
+}
+
+/// What a step of a pipeline takes from its release to its end: fetch, and the slowest of its
+/// tasks, which run longer than one does on the whole.
+fn expected_step_time(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
+    let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
+    let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
+    let run = scheduler.expected_run(spec);
+    run + run / 2 + from_secs(spec.image_gb / rate)
+}
--- /dev/null
+++ b/src/controller/heartbeats.rs
@@ -0,0 +1,562 @@
+//! Workers' reports: taken by the leader, passed on to it by the others.
+
+use super::*;
+use crate::reconciliation::ReconciliationPhase;
+use crate::wire::{
+    AnswerRow, Commands, HeartbeatRow, HeartbeatSummary, ProbeRow, SEND_FULL_HEARTBEAT,
+};
+use crate::worker_ledger::{RepeatOutcome, first_fencing_token};
+use zerocopy::FromBytes;
+
+/// A link over which a call failed is not used for that long.
+const LINK_AVOIDED_FOR: Micros = 4 * SECOND;
+
+/// The same while it is in doubt whether there is a leader at its other end.
+const DOUBTFUL_LINK_AVOIDED_FOR: Micros = 400 * MILLISECOND;
+/// Of so many workers that can't be served by way of here, all but one are sent straight to a leader
+/// that refuses us.
+const DIRECT_REDIRECT_PERIOD: usize = 4;
+/// A leader hands one worker at a time to another controller, and only where so many can take them.
+const HANDOVER_INTERVAL: Micros = 50 * MILLISECOND;
+const HANDOVER_PEERS_MIN: usize = 2;
+/// So many workers to be asked go in a frame.
+const PROBE_ROWS_PER_FRAME: usize = 512;
+/// How often a leader is asked whether it takes many reports in a frame.
+const BATCH_SUPPORT_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
+
+/// The answer to a report.
+enum HeartbeatOutcome {
+    Commands(Commands),
+    /// No 200 for this worker.
+    Refused,
+    Malformed(String),
+    Unknown,
+}
+
+impl Controller {
+    pub(super) fn handle_heartbeat(&mut self, conn: ConnId, body: Vec<u8>) {
+        if self.refused_as_isolated(conn) {
+            return;
+        }
+        self.worker_probe.note_heartbeat(self.now.steady, &body);
+        if self.is_leader() {
+            if let Some(label) = self.handover_target() {
+                return self.respond(conn, 421, &json!({"boss": label}));
+            }
+            return match self.take_heartbeat(&body, None) {
+                HeartbeatOutcome::Commands(orders) => self.outputs.push(Output::Respond {
+                    conn,
+                    status: 200,
+                    body: encode_commands(&orders),
+                    retry_after: None,
+                }),
+                HeartbeatOutcome::Malformed(e) => {
+                    self.respond_error(conn, 400, &format!("report: {e}"))
+                }
+                HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
+                    self.respond_error(conn, 503, "this machine has been returned");
+                }
+            };
+        }
+        let Some(peer) = self.leader_peer() else {
+            if self
+                .heartbeat_batch
+                .push(self.now.steady, conn, body)
+                .is_err()
+            {
+                self.respond_error(conn, 503, "no leader at the moment");
+            }
+            return;
+        };
+        let (label, endpoint) = (peer.name.clone(), peer.address);
+        if self.is_link_avoided(endpoint) {
+            if !self.is_leader_in_doubt(endpoint)
+                || self
+                    .heartbeat_batch
+                    .push(self.now.steady, conn, body)
+                    .is_err()
+            {
+                self.redirect_worker(conn, &label);
+            }
+            return;
+        }
+        let body = if self.leader_takes_batches(&label, endpoint) {
+            match self.heartbeat_batch.push(self.now.steady, conn, body) {
+                Ok(()) => return,
+                Err(body) => body,
+            }
+        } else {
+            body
+        };
+        self.forward_heartbeat(conn, endpoint, body);
+    }
+
+    /// Whom a worker that reports here is handed to, now and then. A report through another controller costs
+    /// the leader a row in a frame instead of a request of its own, and the others have time to spare while
+    /// the leader has the least. Not while the fleet is not heard, nor to one controller alone, which all
+    /// workers would lose together; a worker is out of an answer for half a second by it.
+    fn handover_target(&mut self) -> Option<String> {
+        let t = self.now.steady;
+        let leader_state = self.leader_state.as_ref()?;
+        if t < self.next_handover_at
+            || leader_state.reconciliation.phase(t) != ReconciliationPhase::Complete
+        {
+            return None;
+        }
+        let well = |p: &&Peer| self.peer_serves(p.address) && !self.is_link_avoided(p.address);
+        let others: Vec<&Peer> = self.settings.peers.iter().filter(well).collect();
+        if others.len() < HANDOVER_PEERS_MIN {
+            return None;
+        }
+        let label = others.get(self.next_peer % others.len())?.name.clone();
+        self.next_peer += 1;
+        self.next_handover_at = t + HANDOVER_INTERVAL;
+        Some(label)
+    }
+
+    /// After a change of leader: asks the workers whose reports come here, for whoever leads now.
+    pub(super) fn probe_workers(&mut self) {
+        let t = self.now.steady;
+        if let Some(record) = self.election.leader() {
+            let since = t.saturating_sub(2 * self.settings.report_period());
+            let term = record.term;
+            self.worker_probe
+                .begin_term(t, term, first_fencing_token(term), since);
+        }
+        let lag = self.load.lag();
+        self.worker_probe
+            .tick(t, lag, &mut self.tickets, &mut self.outputs);
+    }
+
+    /// A new leader has the workers that have not spoken asked by all controllers at once, each its part.
+    pub(super) fn share_probes(&mut self) {
+        let t = self.now.steady;
+        let Some(leader_state) = self
+            .leader_state
+            .as_mut()
+            .filter(|l| l.probe_sharing_at.is_some_and(|at| at <= t))
+        else {
+            return;
+        };
+        leader_state.probe_sharing_at = None;
+        for (dest, rows) in leader_state.workers.share_unconfirmed(t) {
+            for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
+                let hosts = rows.iter().map(|r| r.machine().into()).collect();
+                let about = (KIND_PROBE_WORKERS, self.settings.name.clone());
+                self.call_peer(
+                    PeerCallPurpose::ProbeAssignment { hosts },
+                    dest,
+                    about,
+                    rows.as_bytes().to_vec(),
+                    PEER_CALL_TIMEOUT,
+                );
+            }
+        }
+    }
+
+    /// The leader wants workers to be asked from here.
+    pub(super) fn accept_probe_assignment(&mut self, body: &[u8]) {
+        if let Ok(rows) = <[ProbeRow]>::ref_from_bytes(body) {
+            self.worker_probe.assign(self.now.steady, rows);
+        }
+    }
+
+    /// Its answer is as good as a report: a worker that has seen a new token reports at once, but not
+    /// twice in half a lease.
+    pub(super) fn forward_probe_answer(&mut self, outcome: &Outcome) {
+        let Outcome::Reply {
+            status: 200 | 409,
+            body,
+        } = outcome
+        else {
+            return;
+        };
+        if self.is_leader() {
+            return self.take_probe_answer(body);
+        }
+        let Some(dest) = self.leader_peer().map(|p| p.address) else {
+            return;
+        };
+        if self.is_link_avoided(dest) {
+            return;
+        }
+        self.tickets += 1;
+        self.outputs.push(Output::PeerCall {
+            ticket: self.tickets,
+            dest,
+            kind: KIND_PROBE_ANSWER,
+            addr: self.settings.name.clone(),
+            body: body.clone(),
+            timeout: PEER_CALL_TIMEOUT,
+        });
+    }
+
+    /// What a worker answered to a controller that asked it for the leader.
+    pub(super) fn take_probe_answer(&mut self, body: &[u8]) {
+        let now = self.now.steady;
+        if !self.is_leader() {
+            return;
+        }
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if let Ok(report) = serde_json::from_slice::<Heartbeat>(body) {
+            leader_state
+                .workers
+                .take_probe_answer(now, &report, &mut leader_state.jobs);
+            self.apply_ledger_events();
+        }
+    }
+
+    /// Passes a report on by itself.
+    fn forward_heartbeat(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
+        let about = (KIND_HEARTBEAT, self.settings.name.clone());
+        self.call_peer(
+            PeerCallPurpose::Heartbeat { conn },
+            dest,
+            about,
+            body,
+            PEER_CALL_TIMEOUT,
+        );
+    }
+
+    /// Whether the leader takes many reports in a frame; if that is not known, it is asked.
+    fn leader_takes_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
+        let now = self.now.steady;
+        let record = self.election.leader().filter(|r| r.node == leader);
+        let Some(run) = record.map(|r| r.incarnation) else {
+            return false;
+        };
+        if self.batching_leader == Some(run) {
+            return true;
+        }
+        if now >= self.batch_support_asked_at + BATCH_SUPPORT_RETRY_INTERVAL {
+            self.batch_support_asked_at = now;
+            let about = (KIND_HEARTBEAT_BATCH, self.settings.name.clone());
+            self.call_peer(
+                PeerCallPurpose::BatchSupport { run },
+                dest,
+                about,
+                Vec::new(),
+                PEER_CALL_TIMEOUT,
+            );
+        }
+        false
+    }
+
+    pub(super) fn leader_peer(&self) -> Option<&Peer> {
+        let leader = self.leader_name()?;
+        self.settings.peers.iter().find(|p| p.name == leader)
+    }
+
+    /// Sends the reports whose time has come to the leader.
+    pub(super) fn send_heartbeat_batches(&mut self) {
+        let now = self.now.steady;
+        if self.heartbeat_batch.due_at().is_none_or(|d| d > now) {
+            return;
+        }
+        if self.is_leader() {
+            // They came while nobody led.
+            for (conn, body) in self.heartbeat_batch.drain() {
+                self.handle_heartbeat(conn, body);
+            }
+            return;
+        }
+        let Some(peer) = self.leader_peer() else {
+            for conn in self.heartbeat_batch.hold_for_leader(now) {
+                self.respond_error(conn, 503, "no leader at the moment");
+            }
+            return;
+        };
+        let (label, dest) = (peer.name.clone(), peer.address);
+        if self.is_link_avoided(dest) {
+            let over = if self.is_leader_in_doubt(dest) {
+                self.heartbeat_batch.hold_for_leader(now)
+            } else {
+                self.heartbeat_batch
+                    .drain()
+                    .into_iter()
+                    .map(|w| w.0)
+                    .collect()
+            };
+            for conn in over {
+                self.redirect_worker(conn, &label);
+            }
+            return;
+        }
+        if !self.leader_takes_batches(&label, dest) {
+            for (conn, body) in self.heartbeat_batch.drain() {
+                self.forward_heartbeat(conn, dest, body);
+            }
+            return;
+        }
+        while self.heartbeat_batch.due_at().is_some_and(|d| d <= now) {
+            self.tickets += 1;
+            let Some(body) = self.heartbeat_batch.next_frame(now, self.tickets) else {
+                return;
+            };
+            self.outputs.push(Output::PeerCall {
+                ticket: self.tickets,
+                dest,
+                kind: KIND_HEARTBEAT_BATCH,
+                addr: self.settings.name.clone(),
+                body,
+                timeout: PEER_CALL_TIMEOUT,
+            });
+        }
+    }
+
+    pub(super) fn heartbeat_batch_answered(&mut self, ticket: Ticket, outcome: &Outcome) {
+        use crate::heartbeat_batch::HeartbeatAnswer;
+        let leader = self.leader_peer().map(|p| p.address);
+        let mut doubtful = false;
+        if let Some(dest) = leader {
+            if matches!(outcome, Outcome::Reply { .. }) {
+                self.peer_seen_at = self.now.steady;
+                self.link_failing_since.remove(&dest);
+                self.link_refused_at.remove(&dest);
+            } else {
+                self.note_link_failure(dest, outcome);
+                doubtful = self.is_leader_in_doubt(dest);
+            }
+        }
+        let now = self.now.steady;
+        for (conn, answer) in self
+            .heartbeat_batch
+            .handle_outcome(now, ticket, outcome, doubtful)
+        {
+            let (status, body) = match answer {
+                HeartbeatAnswer::NoCommands(token) => (200, empty_commands(token)),
+                HeartbeatAnswer::Body { status, body } => (status, body),
+                HeartbeatAnswer::NoLeader => {
+                    self.respond_error(conn, 503, "no leader at the moment");
+                    continue;
+                }
+                HeartbeatAnswer::Failed => {
+                    self.heartbeat_failed(conn, outcome);
+                    continue;
+                }
+            };
+            self.outputs.push(Output::Respond {
+                conn,
+                status,
+                body,
+                retry_after: None,
+            });
+        }
+    }
+
+    /// The leader did not answer: the worker goes to another node.
+    pub(super) fn heartbeat_failed(&mut self, conn: ConnId, outcome: &Outcome) {
+        let Some(leader) = self.leader_name() else {
+            return self.respond_error(conn, 503, "no leader at the moment");
+        };
+        if let Some(dest) = self.leader_peer().map(|p| p.address) {
+            self.note_link_failure(dest, outcome);
+        }
+        self.redirect_worker(conn, &leader);
+    }
+
+    /// A call over this link failed: it rests.
+    fn note_link_failure(&mut self, dest: SocketAddr, outcome: &Outcome) {
+        let now = self.now.steady;
+        if *outcome == Outcome::Refused {
+            self.link_refused_at.insert(dest, now);
+        }
+        self.link_failing_since.entry(dest).or_insert(now);
+        let rest = if self.is_leader_in_doubt(dest) {
+            DOUBTFUL_LINK_AVOIDED_FOR
+        } else {
+            LINK_AVOIDED_FOR
+        };
+        self.link_avoided_until.insert(dest, now + rest);
+    }
+
+    fn is_link_avoided(&self, dest: SocketAddr) -> bool {
+        let until = self.link_avoided_until.get(&dest);
+        until.is_some_and(|t| *t > self.now.steady)
+    }
+
+    /// A leader whose link has failed for less than a grant's length may be no more: whom to send
+    /// reports to will be known in a moment. After that the link is at fault, and another
+    /// controller may reach the leader.
+    fn is_leader_in_doubt(&self, dest: SocketAddr) -> bool {
+        let since = self.link_failing_since.get(&dest);
+        since.is_some_and(|t| self.now.steady < t + self.properties.leader_ttl + SECOND / 2)
+    }
+
+    /// We can't reach the leader; another node may, so the worker is sent there. Where the leader's own
+    /// host refuses us, it is there, and workers reach it by another way than we do: they go straight to
+    /// it. Sent around among nodes that are all refused, as the version before did, they came to each
+    /// over a new connection, and a filter that stood for longer than a lease cost every task.
+    fn redirect_worker(&mut self, conn: ConnId, leader: &str) {
+        let now = self.now.steady;
+        let endpoint = self.peer_address(leader);
+        let refused = endpoint.and_then(|e| self.link_refused_at.get(&e));
+        let refuses = refused.is_some_and(|at| now < at + 2 * LINK_AVOIDED_FOR);
+        // Now and then another way is tried all the same.
+        if refuses && (self.next_peer + 1) % DIRECT_REDIRECT_PERIOD != 0 {
+            self.next_peer += 1;
+            return self.respond(conn, 421, &json!({"boss": leader}));
+        }
+        let able = |p: &&Peer| p.name != leader && !self.is_link_avoided(p.address);
+        let others: Vec<&Peer> = self.settings.peers.iter().filter(able).collect();
+        // By turns, so that not all workers crowd at one.
+        self.next_peer += 1;
+        let third = others.get(self.next_peer % others.len().max(1));
+        let body = match third {
+            Some(p) => json!({"boss": p.name}),
+            None => json!({}),
+        };
+        self.respond(conn, 421, &body);
+    }
+
+    fn peer_address(&self, label: &str) -> Option<SocketAddr> {
+        let peer = self.settings.peers.iter().find(|p| p.name == label);
+        peer.map(|p| p.address)
+    }
+
+    /// One report that another controller passes on.
+    pub(super) fn take_forwarded_heartbeat(&mut self, from: &str, body: &[u8]) -> Outcome {
+        if !self.is_leader() {
+            return not_leading_reply();
+        }
+        let via = self.peer_address(from);
+        let (status, body) = match self.take_heartbeat(body, via) {
+            HeartbeatOutcome::Commands(orders) => (200, encode_commands(&orders)),
+            HeartbeatOutcome::Malformed(_) => (400, br#"{"error":"report"}"#.to_vec()),
+            HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
+                (503, br#"{"error":"returned"}"#.to_vec())
+            }
+        };
+        Outcome::Reply { status, body }
+    }
+
+    /// Many of them; each row is answered by a row.
+    pub(super) fn take_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
+        if !self.is_leader() {
+            return not_leading_reply();
+        }
+        let via = self.peer_address(from);
+        let mut rest = body;
+        let mut told = Vec::new();
+        while let Ok((row, after)) = HeartbeatRow::read_from_prefix(rest) {
+            let Some((text, after)) = after.split_at_checked(row.len.get() as usize) else {
+                break;
+            };
+            rest = after;
+            let answer = if text.is_empty() {
+                self.take_repeated_heartbeat(&row, via)
+            } else {
+                self.take_full_heartbeat(text, Some(row.digest.get()), via)
+            };
+            let mut text = Vec::new();
+            let (status, token) = match answer {
+                HeartbeatOutcome::Commands(orders) => {
+                    if !orders.commands.is_empty() {
+                        text = encode_commands(&orders);
+                    }
+                    (200, orders.fencing_token)
+                }
+                HeartbeatOutcome::Malformed(e) => {
+                    text = json!({"error": format!("report: {e}")}).to_string().into();
+                    (400, 0)
+                }
+                HeartbeatOutcome::Refused => {
+                    text = br#"{"error":"returned"}"#.to_vec();
+                    (503, 0)
+                }
+                HeartbeatOutcome::Unknown => (SEND_FULL_HEARTBEAT, 0),
+            };
+            let row = AnswerRow {
+                fencing_token: token.into(),
+                slot: row.slot,
+                status: status.into(),
+                unused: 0.into(),
+                len: (text.len() as u32).into(),
+                unused2: 0.into(),
+            };
+            told.extend_from_slice(row.as_bytes());
+            told.extend_from_slice(&text);
+        }
+        Outcome::Reply {
+            status: 200,
+            body: told,
+        }
+    }
+
+    /// A report as its worker sent it. Like the last one, it is not read.
+    fn take_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
+        let row = HeartbeatSummary::of(body).and_then(|g| g.row());
+        if let Some(row) = &row {
+            match self.take_repeated_heartbeat(row, via) {
+                HeartbeatOutcome::Unknown => {}
+                told => return told,
+            }
+        }
+        self.take_full_heartbeat(body, row.map(|r| r.digest.get()), via)
+    }
+
+    fn take_full_heartbeat(
+        &mut self,
+        body: &[u8],
+        digest: Option<u128>,
+        via: Option<SocketAddr>,
+    ) -> HeartbeatOutcome {
+        let report = match serde_json::from_slice::<Heartbeat>(body) {
+            Ok(report) => report,
+            Err(e) => return HeartbeatOutcome::Malformed(e.to_string()),
+        };
+        let now = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return HeartbeatOutcome::Refused;
+        };
+        self.cloud.booting.remove(&report.machine);
+        let orders =
+            leader_state
+                .workers
+                .take_heartbeat(now, report, digest, via, &mut leader_state.jobs);
+        self.apply_ledger_events();
+        orders.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
+    }
+
+    fn take_repeated_heartbeat(
+        &mut self,
+        row: &HeartbeatRow,
+        via: Option<SocketAddr>,
+    ) -> HeartbeatOutcome {
+        let now = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return HeartbeatOutcome::Refused;
+        };
+        let repeat =
+            leader_state
+                .workers
+                .take_repeated_heartbeat(now, row, via, &mut leader_state.jobs);
+        self.apply_ledger_events();
+        match repeat {
+            RepeatOutcome::Unknown => HeartbeatOutcome::Unknown,
+            RepeatOutcome::Refused => HeartbeatOutcome::Refused,
+            RepeatOutcome::Answer(orders) => HeartbeatOutcome::Commands(orders),
+        }
+    }
+}
+
+fn not_leading_reply() -> Outcome {
+    Outcome::Reply {
+        status: 503,
+        body: br#"{"error":"not leading"}"#.to_vec(),
+    }
+}
+
+fn encode_commands(orders: &Commands) -> Vec<u8> {
+    if orders.commands.is_empty() {
+        return empty_commands(orders.fencing_token);
+    }
+    serde_json::to_vec(orders).unwrap_or_default()
+}
+
+/// The answer that nearly all reports get.
+fn empty_commands(token: u64) -> Vec<u8> {
+    format!(r#"{{"baton":{token},"orders":[]}}"#).into_bytes()
+}
--- /dev/null
+++ b/src/controller/maintenance.rs
@@ -0,0 +1,234 @@
+//! What the leader does a few times a second, whatever happens.
+
+use super::*;
+
+impl Controller {
+    /// What is due a few times a second.
+    pub(super) fn run_maintenance(&mut self) {
+        let t = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        // Both walk over all machines, and neither is a matter of less than a second.
+        if t >= leader_state.fleet_scan_at {
+            leader_state.fleet_scan_at =
+                t + FLEET_SCAN_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros;
+            leader_state.workers.expire_leases(t);
+            leader_state
+                .workers
+                .mark_silent_machines(self.now, leader_state.valid_since);
+        }
+        if leader_state.scheduler.tick(t, &self.cloud.types) {
+            Self::log_cluster_usage(leader_state, &self.cloud, t);
+            let used: BTreeSet<u32> = leader_state
+                .workers
+                .machines
+                .values()
+                .flat_map(|m| m.tasks.keys().map(|k| k.0.job))
+                .collect();
+            leader_state.jobs.prune(|n| used.contains(&n));
+        }
+        for job in leader_state.jobs.by_number.values().filter(|j| j.cancelled) {
+            Self::stop_all_tasks(&mut leader_state.workers, job);
+            Self::acknowledge_all_ends(&mut leader_state.workers, job);
+        }
+        self.apply_ledger_events();
+        self.watch_failover();
+        self.share_probes();
+        self.forget_cancelled_jobs();
+        self.announce_progress();
+        self.drain_noticed_machines();
+        self.write_registry();
+        self.watch_schema_support();
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if t >= leader_state.autoscaling_at {
+            leader_state.autoscaling_at = t + AUTOSCALING_INTERVAL_MIN.max(
+                AUTOSCALING_INTERVAL_PER_MACHINE * leader_state.workers.machines.len() as Micros,
+            );
+            self.autoscale();
+        } else {
+            self.rent_next();
+        }
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state.placement_due_at = leader_state
+            .placement_due_at
+            .or(Some(t + PLACEMENT_BATCH_DELAY));
+    }
+
+    /// One line a round on where the cores are: the first look when work waits.
+    pub(super) fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, t: Micros) {
+        if !log::log_enabled!(log::Level::Info) {
+            return;
+        }
+        let (mut all, mut out, mut running, mut fetching, mut stopping, mut unsure) =
+            (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
+        for m in leader_state.workers.machines.values() {
+            let cores = cloud
+                .machine_type_named(&m.machine_type)
+                .map_or(0.0, |s| s.cores);
+            all += cores;
+            if !m.is_usable(t, 10 * SECOND) {
+                out += cores;
+            }
+            for (_, e) in m.held_tasks() {
+                let c = e.spec.as_ref().map_or(0.0, |s| s.cores);
+                match e.state {
+                    _ if e.is_stopping() => stopping += c,
+                    TaskState::Running => running += c,
+                    TaskState::Unconfirmed | TaskState::Sent => unsure += c,
+                    _ => fetching += c,
+                }
+            }
+        }
+        let mut waiting: BTreeMap<&str, u64> = BTreeMap::new();
+        let jobs = leader_state.jobs.by_number.values();
+        for j in jobs.filter(|j| !j.cancelled && !j.waits_for_dependencies()) {
+            *waiting.entry(&j.spec.class).or_default() += j.pending_count;
+        }
+        log::info!(
+            "cores: {all} in all, {out} out of use, {running} running, {fetching} fetching, \
+             {stopping} stopping, {unsure} unsure; {} booting; {} jobs wait for others; tasks \
+             waiting: {waiting:?}",
+            cloud.booting.len(),
+            leader_state.pipelines.len()
+        );
+        log::info!("work: {}", leader_state.accounting.summary());
+    }
+
+    /// Cancelled jobs of which nothing can be on any machine any more.
+    pub(super) fn forget_cancelled_jobs(&mut self) {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let (term, mod_revision) = (leader_state.term, leader_state.leader_key_revision);
+        let gone: Vec<(Arc<str>, usize)> = leader_state
+            .jobs
+            .by_number
+            .values_mut()
+            .filter(|j| j.cancelled && !j.save_in_flight && j.placements.is_empty())
+            .map(|j| {
+                j.save_in_flight = true;
+                (j.spec.uid.clone(), j.chunks)
+            })
+            .collect();
+        let most = self.settings.deployment.state.tightest().txn_ops;
+        for (uid, pieces) in gone {
+            let mut txn = Transaction::default()
+                .require_revision(LEADER_KEY, mod_revision)
+                .delete(stopping_key(&uid));
+            // What doesn't fit is swept up later.
+            for n in 0..pieces.min(most - 1) {
+                txn = txn.delete(chunk_key(&uid, n));
+            }
+            self.request_state(
+                StateRequest::ForgetCancelledJob { term, uid },
+                Op::Transaction(txn),
+                LEADER_REQUEST_TIMEOUT,
+            );
+        }
+    }
+
+    /// Machines about to be taken: what can save does so in time, what can't finish moves now.
+    pub(super) fn drain_noticed_machines(&mut self) {
+        let t = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let mut halts = Vec::new();
+        for m in leader_state.workers.noticed_machines() {
+            // A copy of an old report may be the first word of it; what runs is not stopped for that.
+            let Some(until) = m.reclaim_at.filter(|_| m.term_confirmed) else {
+                continue;
+            };
+            let left = until.saturating_sub(t);
+            for ((key, attempt), e) in m.held_tasks() {
+                let Some(spec) = &e.spec else { continue };
+                if e.is_stopping() {
+                    continue;
+                }
+                if spec.saves() {
+                    if left < from_secs(spec.save_s) + 5 * SECOND {
+                        halts.push((m.id.clone(), *key, *attempt, spec.save_s.max(0.1)));
+                    }
+                } else {
+                    let ran = e.running_since.map_or(0, |s| t.saturating_sub(s));
+                    let need = leader_state
+                        .scheduler
+                        .expected_run(spec)
+                        .saturating_sub(ran);
+                    if need > left {
+                        halts.push((m.id.clone(), *key, *attempt, 0.0));
+                    }
+                }
+            }
+        }
+        for (machine, key, attempt, grace) in halts {
+            leader_state
+                .workers
+                .stop_task(&machine, key, attempt, grace, StopReason::SpotNotice);
+        }
+        self.apply_ledger_events();
+    }
+
+    /// Before its first start a machine stands in the stored roll.
+    pub(super) fn write_registry(&mut self) {
+        let now = self.now;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
+        for ask in
+            leader_state
+                .registry
+                .take_due(now, &mut leader_state.workers, &leader_state.rented)
+        {
+            // A few changes stand for hundreds of machines that wait for them: they go with the users'.
+            let rank = match ask {
+                RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
+                _ => RequestPriority::Leader,
+            };
+            let (purpose, op) = match ask {
+                RegistryRequest::Read(key) => (
+                    StateRequest::ReadRegistryPage {
+                        term,
+                        key: key.clone(),
+                    },
+                    Op::Get(key),
+                ),
+                RegistryRequest::Write {
+                    key,
+                    mod_revision,
+                    value,
+                    written,
+                    ..
+                } => {
+                    let txn = Transaction::default()
+                        .require_revision(LEADER_KEY, leader)
+                        .require_revision(key.clone(), mod_revision)
+                        .set_raw(key.clone(), value);
+                    (
+                        StateRequest::WriteRegistryPage { term, key, written },
+                        Op::Transaction(txn),
+                    )
+                }
+                RegistryRequest::Delete { key, mod_revision } => {
+                    let txn = Transaction::default()
+                        .require_revision(LEADER_KEY, leader)
+                        .require_revision(key.clone(), mod_revision)
+                        .delete(key.clone());
+                    (
+                        StateRequest::DeleteRegistryPage { term, key },
+                        Op::Transaction(txn),
+                    )
+                }
+            };
+            let t = now.steady;
+            self.state
+                .submit(t, purpose, rank, op, LEADER_REQUEST_TIMEOUT);
+        }
+    }
+}
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,271 +1,288 @@
 //! Following the leader, and the steps from its end to the first decision of the next.
 
 use super::*;
-use crate::mirror::{Mirror, Sum, Want};
-use crate::recovery::Phase;
+use crate::reconciliation::ReconciliationPhase;
+use crate::replica::{Checksum, Replica, ReplicaRead};
 use crate::standby::{
-    AGAIN, Cold, ENDED_WAITS, FILL_EVERY, FOLLOW_EVERY, OVERDUE, Told, followers, wait,
+    ColdReason, LEADER_OVERDUE_AFTER, LeaderChecksum, PAGE_INTERVAL, REBUILD_DELAY,
+    REPLICATION_INTERVAL, RESTARTED_LEADER_DELAY, candidacy_delay, choose_standbys,
 };
-use crate::wire::{EpochRow, KIND_EPOCH};
+use crate::wire::{ChecksumRow, KIND_CHECKSUM};
 use zerocopy::FromBytes;
 
 /// A process that is to end does not ask for the lead again.
-const LEAVING: Micros = 3600 * SECOND;
+const SHUTDOWN_BACKOFF: Micros = 3600 * SECOND;
 
 /// Until a takeover is told in the log, if not enough machines are heard before.
-const TELL_AT_LAST: Micros = 20 * SECOND;
+const FAILOVER_LOG_DELAY_MAX: Micros = 20 * SECOND;
 
 /// What this node follows, and what it knows of its copy.
 #[derive(Default)]
-pub(super) struct Following {
-    pub(super) mirror: Mirror,
+pub(super) struct Standby {
+    pub(super) replica: Replica,
     /// Counts the mirrors: answers for one that was thrown away are not taken.
-    round: u64,
+    generation: u64,
     /// Questions under way.
-    open: usize,
-    next_at: Micros,
-    asked_at: Micros,
+    reads_in_flight: usize,
+    next_read_at: Micros,
+    last_read_at: Micros,
     /// The leader's sum that the mirror has not come up to yet.
-    told: Option<Told>,
+    leader_checksum: Option<LeaderChecksum>,
     /// The epoch of the last sum that agreed.
-    checked: Option<u64>,
+    verified_revision: Option<u64>,
     /// The node that led last, also when its key is gone.
     leader: Option<String>,
     rank: Option<usize>,
     /// Why the last mirror was thrown away, and how many were.
-    thrown_for: Option<Cold>,
-    thrown: u64,
+    discard_reason: Option<ColdReason>,
+    discarded: u64,
     /// The state service does not tell all changes: only reading anew is left.
-    untold: bool,
+    changes_unavailable: bool,
 }
 
 /// What a new leader has still to see before it decides.
-pub(super) struct Loading {
+pub(super) struct LeaderLoad {
     /// The epoch of its own take: nothing older will do.
-    need: u64,
+    required_revision: u64,
     /// Why it does not start from what it followed.
-    cold: Option<Cold>,
+    cold_reason: Option<ColdReason>,
 }
 
 /// A takeover in times, for the log and for operators.
-pub(super) struct Takeover {
-    cold: Option<Cold>,
+pub(super) struct Failover {
+    cold_reason: Option<ColdReason>,
     /// Since the leader before was last heard of, as far as this node can tell.
-    silent: Micros,
-    led_at: Micros,
-    checked_at: Option<Micros>,
-    pub(super) passed_at: Option<Micros>,
-    half_at: Option<Micros>,
-    most_at: Option<Micros>,
-    held: usize,
+    leader_silence: Micros,
+    elected_at: Micros,
+    loaded_at: Option<Micros>,
+    pub(super) first_pass_at: Option<Micros>,
+    half_confirmed_at: Option<Micros>,
+    most_confirmed_at: Option<Micros>,
+    unconfirmed_placements: usize,
     machines: usize,
-    told: bool,
-    epoch: u64,
-    sum: Sum,
+    logged: bool,
+    revision: u64,
+    checksum: Checksum,
 }
 
 /// What a new leader was built from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BuiltFrom {
+pub struct LoadSource {
     pub term: u64,
     /// From what it had followed; otherwise read anew.
     pub warm: bool,
-    pub epoch: u64,
+    pub revision: u64,
     /// Over the keys and stamps.
-    pub sum: Sum,
+    pub checksum: Checksum,
 }
 
-impl Node {
+impl Controller {
     /// Follows the leader, if this node is one of those that do.
-    pub(super) fn follow(&mut self) {
+    pub(super) fn replicate(&mut self) {
         let t = self.now.steady;
         // Its own take may be told by the watch before its answer comes: what it followed is needed then.
-        let known = self.following.leader.as_ref();
-        let record = self.lead.leader();
-        let other = record.filter(|r| r.node != self.settings.label && Some(&r.node) != known);
+        let known = self.standby.leader.as_ref();
+        let record = self.election.leader();
+        let other = record.filter(|r| r.node != self.settings.name && Some(&r.node) != known);
         if let Some(leader) = other.map(|r| r.node.clone()) {
-            self.following.leader = Some(leader);
-            self.following.rank = self.standby_rank();
+            self.standby.leader = Some(leader);
+            self.standby.rank = self.standby_rank();
             // What the leader before told is of no use against what this one tells.
-            (self.following.told, self.following.checked) = (None, None);
+            (self.standby.leader_checksum, self.standby.verified_revision) = (None, None);
         }
-        let f = &mut self.following;
-        let warm = f.mirror.whole() && f.checked.is_some();
-        let yields = self.lead.ended_leading() && !self.settings.others.is_empty();
-        let more = if yields { ENDED_WAITS } else { 0 };
-        self.lead.set_wait(wait(f.rank, warm) + more);
-        if self.led.is_some() {
+        let f = &mut self.standby;
+        let warm = f.replica.is_complete() && f.verified_revision.is_some();
+        let yields = self.election.led_before_restart() && !self.settings.peers.is_empty();
+        let more = if yields { RESTARTED_LEADER_DELAY } else { 0 };
+        self.election
+            .set_candidacy_delay(candidacy_delay(f.rank, warm) + more);
+        if self.leader_state.is_some() {
             return;
         }
-        if !self.props.follow || f.rank.is_none() || f.untold {
-            if f.mirror.keys() > 0 {
-                self.forget_mirror();
+        if !self.properties.follow || f.rank.is_none() || f.changes_unavailable {
+            if f.replica.key_count() > 0 {
+                self.reset_replica();
             }
             return;
         }
         // Its word is overdue: once, ahead of time.
         let word = self.progress_at;
-        let overdue = word > 0 && t >= word + OVERDUE && f.asked_at < word + OVERDUE;
-        let due = t >= f.next_at || (overdue && f.mirror.whole());
-        if f.open > 0 || !due || self.store.failing() || !self.store.can_look(t) {
+        let overdue = word > 0
+            && t >= word + LEADER_OVERDUE_AFTER
+            && f.last_read_at < word + LEADER_OVERDUE_AFTER;
+        let due = t >= f.next_read_at || (overdue && f.replica.is_complete());
+        if f.reads_in_flight > 0
+            || !due
+            || self.state.is_failing()
+            || !self.state.has_background_budget(t)
+        {
             return;
         }
-        let Some(want) = f.mirror.wants().into_iter().next() else {
+        let Some(want) = f.replica.next_reads().into_iter().next() else {
             return;
         };
         let pause = match want {
-            Want::Page { .. } => FILL_EVERY,
-            Want::Changes { .. } => FOLLOW_EVERY,
+            ReplicaRead::Page { .. } => PAGE_INTERVAL,
+            ReplicaRead::Changes { .. } => REPLICATION_INTERVAL,
         };
-        (f.next_at, f.asked_at) = (t + pause, t);
-        self.ask_mirror(want);
+        (f.next_read_at, f.last_read_at) = (t + pause, t);
+        self.read_replica(want);
     }
 
     fn followers_of(&self, leader: &str) -> Vec<&str> {
         let s = &self.settings;
-        let peers = s.others.iter().map(|p| (&*p.label, &*p.domain));
-        let nodes: Vec<_> = peers.chain([(&*s.label, &*s.domain)]).collect();
-        followers(leader, &nodes)
+        let peers = s.peers.iter().map(|p| (&*p.name, &*p.zone));
+        let nodes: Vec<_> = peers.chain([(&*s.name, &*s.zone)]).collect();
+        choose_standbys(leader, &nodes)
     }
 
     /// This node's place among those that follow the leader.
     fn standby_rank(&self) -> Option<usize> {
-        let leader = self.following.leader.as_ref()?;
+        let leader = self.standby.leader.as_ref()?;
         let chosen = self.followers_of(leader);
-        chosen.iter().position(|n| *n == self.settings.label)
+        chosen.iter().position(|n| *n == self.settings.name)
     }
 
-    fn ask_mirror(&mut self, want: Want) {
-        let round = self.following.round;
-        self.following.open += 1;
+    fn read_replica(&mut self, want: ReplicaRead) {
+        let round = self.standby.generation;
+        self.standby.reads_in_flight += 1;
         let op = match &want {
-            Want::Page { prefix, after } => {
-                self.following.mirror.asked(prefix);
+            ReplicaRead::Page { prefix, after } => {
+                self.standby.replica.note_page_requested(prefix);
                 Op::List {
                     prefix,
                     after: after.clone(),
                     limit: 500,
                 }
             }
-            Want::Changes { from } => Op::Watch {
+            ReplicaRead::Changes { from } => Op::Watch {
                 prefix: "",
                 from: *from,
                 block: 0,
             },
         };
-        let rank = if self.led.is_some() {
-            Rank::Leader
+        let rank = if self.leader_state.is_some() {
+            RequestPriority::Leader
         } else {
-            Rank::Look
+            RequestPriority::Background
         };
-        let purpose = For::Mirror { round, want };
-        self.store.ask(self.now.steady, purpose, rank, op, SECOND);
+        let purpose = StateRequest::ReadReplica { round, want };
+        self.state
+            .submit(self.now.steady, purpose, rank, op, SECOND);
     }
 
-    pub(super) fn mirror_answered(&mut self, round: u64, want: Want, reply: Reply) {
-        let f = &mut self.following;
-        if round != f.round {
+    pub(super) fn replica_answered(&mut self, round: u64, want: ReplicaRead, reply: Reply) {
+        let f = &mut self.standby;
+        if round != f.generation {
             return;
         }
-        f.open = f.open.saturating_sub(1);
+        f.reads_in_flight = f.reads_in_flight.saturating_sub(1);
         match (want, reply) {
             (
-                Want::Page { prefix, .. },
+                ReplicaRead::Page { prefix, .. },
                 Reply::Items {
                     items,
                     truncated,
-                    epoch,
+                    revision,
                 },
             ) => {
-                f.mirror.page(prefix, items, truncated, epoch);
-                if f.untold {
-                    f.mirror.settle_for_pages();
+                f.replica.apply_page(prefix, items, truncated, revision);
+                if f.changes_unavailable {
+                    f.replica.accept_pages_as_complete();
                 }
             }
-            (Want::Page { prefix, after }, _) => f.mirror.unanswered(prefix, after),
-            (Want::Changes { .. }, Reply::Events { events, epoch }) => {
-                f.mirror.apply(events, epoch);
+            (ReplicaRead::Page { prefix, after }, _) => {
+                f.replica.note_page_unanswered(prefix, after)
             }
-            (Want::Changes { .. }, Reply::TooOld) => self.throw_mirror(Cold::Gap),
-            (Want::Changes { .. }, Reply::Refused(reason)) => {
+            (ReplicaRead::Changes { .. }, Reply::Events { events, revision }) => {
+                f.replica.apply_changes(events, revision);
+            }
+            (ReplicaRead::Changes { .. }, Reply::TooOld) => {
+                self.discard_replica(ColdReason::ChangesMissing)
+            }
+            (ReplicaRead::Changes { .. }, Reply::Refused(reason)) => {
                 log::error!("the state service refuses to tell all changes: {reason}");
-                f.untold = true;
-                self.throw_mirror(Cold::NotTold);
+                f.changes_unavailable = true;
+                self.discard_replica(ColdReason::ChangesUnavailable);
             }
-            (Want::Changes { .. }, _) => {}
+            (ReplicaRead::Changes { .. }, _) => {}
         }
-        self.compare_sums();
-        self.load_on();
+        self.compare_checksums();
+        self.continue_load();
     }
 
-    fn forget_mirror(&mut self) {
-        let f = &mut self.following;
-        f.mirror = Mirror::default();
-        f.round += 1;
-        (f.open, f.told, f.checked) = (0, None, None);
+    fn reset_replica(&mut self) {
+        let f = &mut self.standby;
+        f.replica = Replica::default();
+        f.generation += 1;
+        (f.reads_in_flight, f.leader_checksum, f.verified_revision) = (0, None, None);
     }
 
     /// A mirror that was ever wrong is not mended: it is read anew.
-    fn throw_mirror(&mut self, cold: Cold) {
-        log::warn!("the mirror is thrown away: {}", cold.why());
-        self.forget_mirror();
-        self.following.thrown += 1;
-        self.following.thrown_for = Some(cold);
-        self.following.next_at = self.now.steady + AGAIN;
-        if let Some(loading) = self.led.as_mut().and_then(|l| l.loading.as_mut()) {
-            loading.cold = Some(cold);
+    fn discard_replica(&mut self, cold: ColdReason) {
+        log::warn!("the mirror is thrown away: {}", cold.as_str());
+        self.reset_replica();
+        self.standby.discarded += 1;
+        self.standby.discard_reason = Some(cold);
+        self.standby.next_read_at = self.now.steady + REBUILD_DELAY;
+        if let Some(loading) = self.leader_state.as_mut().and_then(|l| l.load.as_mut()) {
+            loading.cold_reason = Some(cold);
         }
     }
 
     /// The leader's word on the live jobs, from a frame.
-    pub(super) fn told_epoch(&mut self, body: &[u8]) {
-        let Ok(row) = EpochRow::read_from_bytes(body) else {
+    pub(super) fn leader_checksum_received(&mut self, body: &[u8]) {
+        let Ok(row) = ChecksumRow::read_from_bytes(body) else {
             return;
         };
-        let leader = self.lead.leader();
-        if self.led.is_some() || leader.is_none_or(|r| r.term != row.term.get()) {
+        let leader = self.election.leader();
+        if self.leader_state.is_some() || leader.is_none_or(|r| r.term != row.term.get()) {
             return;
         }
-        self.following.told = Some(Told {
-            epoch: row.epoch.get(),
-            sum: Sum(row.sum.get()),
+        self.standby.leader_checksum = Some(LeaderChecksum {
+            revision: row.revision.get(),
+            checksum: Checksum(row.checksum.get()),
         });
-        self.compare_sums();
+        self.compare_checksums();
     }
 
-    fn compare_sums(&mut self) {
-        let f = &mut self.following;
-        let Some(told) = f.told else { return };
-        let Some(mine) = f.mirror.jobs_at(told.epoch) else {
+    fn compare_checksums(&mut self) {
+        let f = &mut self.standby;
+        let Some(told) = f.leader_checksum else {
             return;
         };
-        f.told = None;
-        if mine == told.sum || planted(Bug::MirrorUnchecked) {
-            f.checked = Some(told.epoch);
+        let Some(mine) = f.replica.jobs_checksum_at(told.revision) else {
+            return;
+        };
+        f.leader_checksum = None;
+        if mine == told.checksum || fault_injected(InjectedFault::MirrorUnchecked) {
+            f.verified_revision = Some(told.revision);
         } else {
-            self.throw_mirror(Cold::Differs);
+            self.discard_replica(ColdReason::ChecksumDiffers);
         }
     }
 
     /// Tells those that follow what this leader knows of the live jobs.
-    pub(super) fn tell_epoch(&mut self) {
-        let Some(led) = &self.led else { return };
-        let row = EpochRow {
-            term: led.term.into(),
-            epoch: led.jobs_epoch.into(),
-            sum: led.jobs_sum.0.into(),
+    pub(super) fn announce_checksum(&mut self) {
+        let Some(leader_state) = &self.leader_state else {
+            return;
         };
-        let chosen = self.followers_of(&self.settings.label);
-        let follows = |p: &&Peer| chosen.contains(&&*p.label);
-        let peers = self.settings.others.iter().filter(follows);
-        let dests: Vec<SocketAddr> = peers.map(|p| p.endpoint).collect();
+        let row = ChecksumRow {
+            term: leader_state.term.into(),
+            revision: leader_state.jobs_revision.into(),
+            checksum: leader_state.jobs_checksum.0.into(),
+        };
+        let chosen = self.followers_of(&self.settings.name);
+        let follows = |p: &&Peer| chosen.contains(&&*p.name);
+        let peers = self.settings.peers.iter().filter(follows);
+        let dests: Vec<SocketAddr> = peers.map(|p| p.address).collect();
         for dest in dests {
             self.tickets += 1;
-            self.out.push(Output::PeerCall {
+            self.outputs.push(Output::PeerCall {
                 ticket: self.tickets,
                 dest,
-                kind: KIND_EPOCH,
-                addr: self.settings.label.clone(),
+                kind: KIND_CHECKSUM,
+                addr: self.settings.name.clone(),
                 body: row.as_bytes().to_vec(),
                 timeout: SECOND,
             });
@@ -273,184 +290,204 @@
     }
 
     /// The first step of a takeover: whether what was followed will do.
-    pub(super) fn begin_load(&mut self, stamp: u64) -> (Loading, Takeover) {
+    pub(super) fn begin_load(&mut self, mod_revision: u64) -> (LeaderLoad, Failover) {
         let t = self.now.steady;
-        let f = &self.following;
-        let cold = if f.mirror.keys() == 0 {
-            Some(f.thrown_for.unwrap_or(Cold::NotFollowing))
-        } else if !f.mirror.whole() {
-            Some(Cold::Filling)
-        } else if f.checked.is_none() {
-            Some(Cold::Unchecked)
+        let f = &self.standby;
+        let cold = if f.replica.key_count() == 0 {
+            Some(f.discard_reason.unwrap_or(ColdReason::NotReplicating))
+        } else if !f.replica.is_complete() {
+            Some(ColdReason::Incomplete)
+        } else if f.verified_revision.is_none() {
+            Some(ColdReason::Unverified)
         } else {
             None
         };
         if cold.is_some() {
-            self.forget_mirror();
+            self.reset_replica();
         }
-        let word = self.progress_at.max(self.hint.as_ref().map_or(0, |h| h.1));
-        let takeover = Takeover {
-            cold,
-            silent: if word > 0 { t - word } else { 0 },
-            led_at: t,
-            checked_at: None,
-            passed_at: None,
-            half_at: None,
-            most_at: None,
-            held: 0,
+        let word = self
+            .progress_at
+            .max(self.leader_hint.as_ref().map_or(0, |h| h.1));
+        let takeover = Failover {
+            cold_reason: cold,
+            leader_silence: if word > 0 { t - word } else { 0 },
+            elected_at: t,
+            loaded_at: None,
+            first_pass_at: None,
+            half_confirmed_at: None,
+            most_confirmed_at: None,
+            unconfirmed_placements: 0,
             machines: 0,
-            told: false,
-            epoch: 0,
-            sum: Sum::default(),
+            logged: false,
+            revision: 0,
+            checksum: Checksum::default(),
         };
-        (Loading { need: stamp, cold }, takeover)
+        (
+            LeaderLoad {
+                required_revision: mod_revision,
+                cold_reason: cold,
+            },
+            takeover,
+        )
     }
 
     /// Asks what is still missing, or, when nothing is, builds the leader.
-    pub(super) fn load_on(&mut self) {
-        let Some(loading) = self.led.as_ref().and_then(|l| l.loading.as_ref()) else {
+    pub(super) fn continue_load(&mut self) {
+        let Some(loading) = self.leader_state.as_ref().and_then(|l| l.load.as_ref()) else {
             return;
         };
-        let mirror = &self.following.mirror;
-        let stale = mirror.epoch() < loading.need && !planted(Bug::CatchUpSkipped);
-        if mirror.whole() && !stale {
-            let (epoch, sum) = (mirror.epoch(), mirror.sum());
-            let cold = loading.cold;
-            let mirror = std::mem::take(&mut self.following.mirror);
-            self.forget_mirror();
-            self.following.thrown_for = None;
+        let mirror = &self.standby.replica;
+        let stale = mirror.revision() < loading.required_revision
+            && !fault_injected(InjectedFault::CatchUpSkipped);
+        if mirror.is_complete() && !stale {
+            let (revision, sum) = (mirror.revision(), mirror.checksum());
+            let cold = loading.cold_reason;
+            let mirror = std::mem::take(&mut self.standby.replica);
+            self.reset_replica();
+            self.standby.discard_reason = None;
             let held = self.finish_load(mirror);
             let t = self.now.steady;
-            if let Some(led) = &mut self.led {
-                let taken = &mut led.takeover;
-                (taken.cold, taken.checked_at) = (cold, Some(t));
-                (taken.held, taken.machines) = (held, led.workers.machines.len());
-                (taken.epoch, taken.sum) = (epoch, sum);
+            if let Some(leader_state) = &mut self.leader_state {
+                let taken = &mut leader_state.failover;
+                (taken.cold_reason, taken.loaded_at) = (cold, Some(t));
+                (taken.unconfirmed_placements, taken.machines) =
+                    (held, leader_state.workers.machines.len());
+                (taken.revision, taken.checksum) = (revision, sum);
             }
             return;
         }
-        for want in mirror.wants() {
+        for want in mirror.next_reads() {
             // One question for changes at a time; pages are asked once each.
-            if matches!(want, Want::Page { .. }) || self.following.open == 0 {
-                self.ask_mirror(want);
+            if matches!(want, ReplicaRead::Page { .. }) || self.standby.reads_in_flight == 0 {
+                self.read_replica(want);
             }
         }
     }
 
     /// How many machines have shown the new term, and the line about the takeover.
-    pub(super) fn watch_takeover(&mut self) {
+    pub(super) fn watch_failover(&mut self) {
         let t = self.now.steady;
-        let Some(led) = &mut self.led else { return };
-        let taken = &mut led.takeover;
-        if taken.told && led.recovered {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let taken = &mut leader_state.failover;
+        if taken.logged && leader_state.reconciliation_logged {
             return;
         }
-        let here = led.workers.machines.values().filter(|m| m.in_roll);
-        let heard = here.filter(|m| m.heard).count();
-        led.recovery.look(t, heard, led.workers.orders);
-        if led.recovery.phase(t) == Phase::Over && !led.recovered {
-            led.recovered = true;
-            let s = led.workers.squared;
+        let here = leader_state
+            .workers
+            .machines
+            .values()
+            .filter(|m| m.registered);
+        let heard = here.filter(|m| m.term_confirmed).count();
+        leader_state
+            .reconciliation
+            .observe(t, heard, leader_state.workers.commands_sent);
+        if leader_state.reconciliation.phase(t) == ReconciliationPhase::Complete
+            && !leader_state.reconciliation_logged
+        {
+            leader_state.reconciliation_logged = true;
+            let s = leader_state.workers.reconciled;
             log::info!(
                 "recovered term={} stored={} heard={} of={} agreed={} ended_meanwhile={} missing={} strange={} \
                  leftover={} orders={} most_orders_in_1s={} ms={}",
-                led.term,
-                taken.held,
-                led.recovery.heard(),
+                leader_state.term,
+                taken.unconfirmed_placements,
+                leader_state.reconciliation.confirmed(),
                 taken.machines,
                 s.agreed,
-                s.ended_meanwhile,
+                s.finished_meanwhile,
                 s.missing,
-                s.strange,
-                s.leftover,
-                led.workers.orders,
-                led.recovery.most_orders(),
-                led.recovery.ms(t)
+                s.unknown,
+                s.stale,
+                leader_state.workers.commands_sent,
+                leader_state.reconciliation.commands_per_second_max(),
+                leader_state.reconciliation.elapsed_ms(t)
             );
         }
-        if taken.told {
+        if taken.logged {
             return;
         }
         if 2 * heard >= taken.machines {
-            taken.half_at = taken.half_at.or(Some(t));
+            taken.half_confirmed_at = taken.half_confirmed_at.or(Some(t));
         }
         if 20 * heard >= 19 * taken.machines {
-            taken.most_at = taken.most_at.or(Some(t));
+            taken.most_confirmed_at = taken.most_confirmed_at.or(Some(t));
         }
-        let started = led.workers.first_start;
-        let over = t >= taken.led_at + TELL_AT_LAST;
-        if !over && (taken.most_at.is_none() || started.is_none()) {
+        let started = leader_state.workers.first_start_at;
+        let over = t >= taken.elected_at + FAILOVER_LOG_DELAY_MAX;
+        if !over && (taken.most_confirmed_at.is_none() || started.is_none()) {
             return;
         }
-        taken.told = true;
+        taken.logged = true;
         let ms = |at: Option<Micros>| {
             at.map_or("none".to_owned(), |at| {
-                (at.saturating_sub(taken.led_at) / MILLI).to_string()
+                (at.saturating_sub(taken.elected_at) / MILLISECOND).to_string()
             })
         };
-        let warm = taken.cold.map_or("yes", Cold::why);
+        let warm = taken.cold_reason.map_or("yes", ColdReason::as_str);
         log::info!(
             "takeover term={} warm={warm} silent_ms={} check_ms={} first_decision_ms={} first_start_ms={} \
              heard_half_ms={} heard_95_ms={} machines={} held={} epoch={}",
-            led.term,
-            taken.silent / MILLI,
-            ms(taken.checked_at),
-            ms(taken.passed_at),
+            leader_state.term,
+            taken.leader_silence / MILLISECOND,
+            ms(taken.loaded_at),
+            ms(taken.first_pass_at),
             ms(started),
-            ms(taken.half_at),
-            ms(taken.most_at),
+            ms(taken.half_confirmed_at),
+            ms(taken.most_confirmed_at),
             taken.machines,
-            taken.held,
-            taken.epoch
+            taken.unconfirmed_placements,
+            taken.revision
         );
     }
 
     /// This process is to end: a leader tells the standbys its last epoch and lets the lead go, so that
     /// nobody waits for the end of its grant.
-    pub fn leave(&mut self, now: Now) {
+    pub fn shut_down(&mut self, now: Now) {
         self.set_now(now);
-        if self.leads() {
+        if self.is_leader() {
             log::info!("leaving the lead, since this process is to end");
-            self.tell_epoch();
+            self.announce_checksum();
         }
-        self.resign(LEAVING);
+        self.resign(SHUTDOWN_BACKOFF);
     }
 
     /// Whether nothing holds this process any more.
-    pub fn has_left(&self) -> bool {
-        self.lead.idle()
+    pub fn has_shut_down(&self) -> bool {
+        self.election.is_idle()
     }
 
     /// What the present leader was built from; for tests.
-    pub fn built_from(&self) -> Option<BuiltFrom> {
-        let led = self.led.as_ref().filter(|l| l.loading.is_none())?;
-        Some(BuiltFrom {
-            term: led.term,
-            warm: led.takeover.cold.is_none(),
-            epoch: led.takeover.epoch,
-            sum: led.takeover.sum,
+    pub fn load_source(&self) -> Option<LoadSource> {
+        let leader_state = self.leader_state.as_ref().filter(|l| l.load.is_none())?;
+        Some(LoadSource {
+            term: leader_state.term,
+            warm: leader_state.failover.cold_reason.is_none(),
+            revision: leader_state.failover.revision,
+            checksum: leader_state.failover.checksum,
         })
     }
 
     /// Makes what this node follows wrong in one stamp; for tests of what finds that.
-    pub fn spoil_mirror(&mut self) -> bool {
-        self.following.mirror.spoil()
+    pub fn corrupt_replica(&mut self) -> bool {
+        self.standby.replica.corrupt()
     }
 
     /// What this node follows, for operators.
-    pub(super) fn inspect_following(&self) -> Value {
-        let f = &self.following;
-        let why = if self.led.is_some() {
+    pub(super) fn inspect_standby(&self) -> Value {
+        let f = &self.standby;
+        let why = if self.leader_state.is_some() {
             Some("leading")
-        } else if !self.props.follow {
+        } else if !self.properties.follow {
             Some("standby.follow=0")
         } else if f.rank.is_none() {
             Some("others follow")
-        } else if f.mirror.keys() == 0 {
-            Some(f.thrown_for.map_or("not asked yet", Cold::why))
-        } else if !f.mirror.whole() {
+        } else if f.replica.key_count() == 0 {
+            Some(f.discard_reason.map_or("not asked yet", ColdReason::as_str))
+        } else if !f.replica.is_complete() {
             Some("filling")
-        } else if f.checked.is_none() {
+        } else if f.verified_revision.is_none() {
             Some("unchecked")
         } else {
             None
@@ -460,11 +497,11 @@
             "rank": f.rank,
             "warm": why.is_none(),
             "why_not": why,
-            "epoch": f.mirror.epoch(),
-            "keys": f.mirror.keys(),
-            "behind_ms": (f.asked_at > 0).then(|| self.now.steady.saturating_sub(f.asked_at) / MILLI),
-            "checked_epoch": f.checked,
-            "thrown_away": f.thrown,
+            "epoch": f.replica.revision(),
+            "keys": f.replica.key_count(),
+            "behind_ms": (f.last_read_at > 0).then(|| self.now.steady.saturating_sub(f.last_read_at) / MILLISECOND),
+            "checked_epoch": f.verified_revision,
+            "thrown_away": f.discarded,
         })
     }
 }
