--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,7 +8,7 @@
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout};
 
 pub const MAX_BODY: usize = 64 * 1024;
-const MAX_PARTS: u64 = 100_000;
+const TASKS_PER_JOB_MAX: u64 = 100_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -21,11 +21,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Shape {
+pub enum JobKind {
     Array,
     /// Tasks that run to completion side by side, all or none.
-    Group,
-    Daemon,
+    #[serde(rename = "group")]
+    Gang,
+    #[serde(rename = "daemon")]
+    Service,
 }
 
 /// A job as its user submits it.
@@ -36,7 +38,8 @@
     pub class: Arc<str>,
     #[serde(rename = "owner")]
     pub team: Arc<str>,
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     #[serde(rename = "urgency")]
     pub priority: Priority,
     #[serde(rename = "parts")]
@@ -107,8 +110,8 @@
         if !valid_uid(&self.uid) {
             return Err("uid: expected the form wk-000412".to_owned());
         }
-        if !(1..=MAX_PARTS).contains(&self.tasks) {
-            return Err(format!("parts: expected 1 to {MAX_PARTS}"));
+        if !(1..=TASKS_PER_JOB_MAX).contains(&self.tasks) {
+            return Err(format!("parts: expected 1 to {TASKS_PER_JOB_MAX}"));
         }
         let amounts = [
             ("cores", self.cores),
@@ -147,22 +150,25 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum PartStatus {
+pub enum TaskStatus {
     Fetching,
     /// Has its image and waits for the other tasks of a group.
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForGang,
     Running,
-    Saving,
+    #[serde(rename = "saving")]
+    Checkpointing,
     Ended,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ReportedPart {
+pub struct ReportedTask {
     /// Names and causes are short: they are kept in place, without an allocation for each.
-    pub part: CompactString,
+    #[serde(rename = "part")]
+    pub task: CompactString,
     #[serde(rename = "try")]
     pub attempt: u64,
-    pub status: PartStatus,
+    pub status: TaskStatus,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<CompactString>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -171,29 +177,37 @@
 
 /// What a worker says of itself and of its tasks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Report {
-    pub host: Arc<str>,
-    pub addr: CompactString,
-    pub build: CompactString,
-    pub paddock: CompactString,
+pub struct Heartbeat {
+    #[serde(rename = "host")]
+    pub machine: Arc<str>,
+    #[serde(rename = "addr")]
+    pub address: CompactString,
+    #[serde(rename = "build")]
+    pub machine_type: CompactString,
+    #[serde(rename = "paddock")]
+    pub zone: CompactString,
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     #[serde(rename = "stint")]
-    pub session: u64,
+    pub agent_epoch: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<f64>,
     #[serde(default)]
-    pub parts: Vec<ReportedPart>,
+    #[serde(rename = "parts")]
+    pub tasks: Vec<ReportedTask>,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Order {
-    pub verb: Verb,
-    pub part: String,
+pub struct Command {
+    #[serde(rename = "verb")]
+    pub kind: CommandKind,
+    #[serde(rename = "part")]
+    pub task: String,
     #[serde(rename = "try")]
     pub attempt: u64,
     #[serde(rename = "windDownS", skip_serializing_if = "Option::is_none")]
@@ -202,30 +216,34 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Verb {
+pub enum CommandKind {
     Start,
-    Halt,
-    Reap,
+    #[serde(rename = "halt")]
+    Stop,
+    #[serde(rename = "reap")]
+    Acknowledge,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Orders {
+pub struct Commands {
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     #[serde(rename = "stint", skip_serializing_if = "Option::is_none")]
-    pub session: Option<u64>,
-    pub orders: Vec<Order>,
+    pub agent_epoch: Option<u64>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// `wk-000412/3` as job and task number.
-pub fn split_part(part: &str) -> Option<(&str, u32)> {
+pub fn split_task_name(part: &str) -> Option<(&str, u32)> {
     let (uid, n) = part.rsplit_once('/')?;
     Some((uid, n.parse().ok()?))
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MachineType {
-    pub sku: String,
+    #[serde(rename = "sku")]
+    pub name: String,
     pub cores: f64,
     #[serde(default)]
     pub accelerators: f64,
@@ -242,31 +260,39 @@
     #[serde(rename = "readyS", default)]
     pub boot_s: f64,
     #[serde(default)]
-    pub paddocks: Vec<String>,
+    #[serde(rename = "paddocks")]
+    pub zones: Vec<String>,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
-    pub builds: Vec<MachineType>,
+    #[serde(rename = "builds")]
+    pub types: Vec<MachineType>,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct ListedHost {
-    pub uid: Arc<str>,
+pub struct ListedMachine {
+    #[serde(rename = "uid")]
+    pub id: Arc<str>,
     #[serde(default)]
-    pub addr: String,
-    pub build: String,
-    pub paddock: String,
+    #[serde(rename = "addr")]
+    pub address: String,
+    #[serde(rename = "build")]
+    pub machine_type: String,
+    #[serde(rename = "paddock")]
+    pub zone: String,
     #[serde(default)]
-    pub loaners: bool,
+    #[serde(rename = "loaners")]
+    pub spot: bool,
     pub status: String,
     #[serde(rename = "ageS", default)]
     pub age_s: f64,
 }
 
 #[derive(Clone, Debug, Deserialize)]
-pub struct HostList {
-    pub hosts: Vec<ListedHost>,
+pub struct MachineList {
+    #[serde(rename = "hosts")]
+    pub machines: Vec<ListedMachine>,
     #[serde(default)]
     pub truncated: bool,
 }
@@ -292,19 +318,19 @@
 pub const FRAME_MAX: usize = 1 << 20;
 
 /// Where workers report.
-pub const REPORT_PATH: &str = "/checkin";
+pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Where users submit.
 pub const SUBMIT_PATH: &str = "/work";
 /// Where the load balancer asks whether a node takes users.
-pub const UP_PATH: &str = "/up";
+pub const HEALTH_PATH: &str = "/up";
 
 /// A worker's report on its way to the leader.
-pub const KIND_REPORT: u16 = 1;
+pub const KIND_HEARTBEAT: u16 = 1;
 /// Orders on their way to a worker that the leader can't reach by itself.
-pub const KIND_DELIVER: u16 = 2;
+pub const KIND_DELIVER_COMMANDS: u16 = 2;
 pub const KIND_ANSWER: u16 = 3;
 /// An operator's question on its way to the leader.
-pub const KIND_INSPECT: u16 = 4;
+pub const KIND_ADMIN_QUERY: u16 = 4;
 
 /// Outcomes of a delivery that carry no HTTP status.
 pub const FRAME_NOT_SENT: u16 = 1;
@@ -314,23 +340,23 @@
 pub const KIND_PROGRESS: u16 = 5;
 
 /// A user's request that its node can't answer; the address is method and path.
-pub const KIND_USER: u16 = 6;
+pub const KIND_CLIENT_REQUEST: u16 = 6;
 
 /// Workers' reports on their way to the leader, many in a frame: `ReportRow`s, each followed by
 /// its report where the leader may not have it. Sent only to a leader that has answered one without
 /// rows: the version before does not know them.
-pub const KIND_REPORTS: u16 = 7;
+pub const KIND_HEARTBEAT_BATCH: u16 = 7;
 
 /// A worker's answer to a controller that asked it for the leader: taken like a report, but without an
 /// answer, since none would reach the worker.
-pub const KIND_HEARD: u16 = 9;
+pub const KIND_PROBE_ANSWER: u16 = 9;
 
 /// The sum over the live jobs that the leader knows, to those that follow it. Controllers of the version
 /// before answer that they do not know it.
-pub const KIND_EPOCH: u16 = 8;
+pub const KIND_CHECKSUM: u16 = 8;
 /// From a new leader: these workers have not spoken, and this node is to ask them. Body: rows. The version
 /// before knows it not; the leader then asks them itself.
-pub const KIND_ASK: u16 = 10;
+pub const KIND_PROBE_WORKERS: u16 = 10;
 /// To the leader: a job that its sender has just confirmed as cancelled. Body: its id. A hint; the version before
 /// knows it not, and nothing rests on it.
 pub const KIND_CANCELLED: u16 = 11;
@@ -338,16 +364,16 @@
 /// One worker that is to be asked under a token.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
-pub struct AskRow {
-    pub token: U64,
+pub struct ProbeRow {
+    pub fencing_token: U64,
     /// Padded with zeros.
-    pub host: [u8; 24],
+    pub machine: [u8; 24],
     pub ip: [u8; 4],
     pub port: U16,
     pub unused: U16,
 }
 
-impl AskRow {
+impl ProbeRow {
     /// None for a name or an address that does not fit a row.
     pub fn new(token: u64, host: &str, addr: std::net::SocketAddr) -> Option<Self> {
         let std::net::SocketAddr::V4(addr) = addr else {
@@ -356,20 +382,20 @@
         let mut name = [0; 24];
         name.get_mut(..host.len())?.copy_from_slice(host.as_bytes());
         Some(Self {
-            token: token.into(),
-            host: name,
+            fencing_token: token.into(),
+            machine: name,
             ip: addr.ip().octets(),
             port: addr.port().into(),
             unused: 0.into(),
         })
     }
 
-    pub fn host(&self) -> &str {
-        let text = std::str::from_utf8(&self.host).unwrap_or("");
+    pub fn machine(&self) -> &str {
+        let text = std::str::from_utf8(&self.machine).unwrap_or("");
         text.trim_end_matches('\0')
     }
 
-    pub fn addr(&self) -> std::net::SocketAddr {
+    pub fn address(&self) -> std::net::SocketAddr {
         (self.ip, self.port.get()).into()
     }
 }
@@ -377,22 +403,22 @@
 /// The body of `KIND_EPOCH`.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
-pub struct EpochRow {
+pub struct ChecksumRow {
     pub term: U64,
-    pub epoch: U64,
-    pub sum: U64,
+    pub revision: U64,
+    pub checksum: U64,
 }
 
 /// One report in a frame of many.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
-pub struct ReportRow {
+pub struct HeartbeatRow {
     /// Of the report without its `tally`.
     pub digest: U128,
-    pub session: U64,
-    pub seq: U64,
+    pub agent_epoch: U64,
+    pub sequence: U64,
     /// Padded with zeros.
-    pub host: [u8; 24],
+    pub machine: [u8; 24],
     /// The sender's number of it, given back with the answer.
     pub slot: U32,
     /// Length of the report that follows; 0: it says what the last one said.
@@ -403,7 +429,7 @@
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
 pub struct AnswerRow {
-    pub token: U64,
+    pub fencing_token: U64,
     pub slot: U32,
     /// An HTTP status, or `SEND_WHOLE`.
     pub status: U16,
@@ -414,74 +440,74 @@
 }
 
 /// The leader does not have that report: send it whole.
-pub const SEND_WHOLE: u16 = 3;
+pub const SEND_FULL_HEARTBEAT: u16 = 3;
 
 /// What can be told of a report without reading all of it: who sent it, and whether it differs
 /// from another one in more than its count.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Glance<'a> {
-    pub host: &'a str,
-    pub session: u64,
-    pub seq: u64,
+pub struct HeartbeatSummary<'a> {
+    pub machine: &'a str,
+    pub agent_epoch: u64,
+    pub sequence: u64,
     /// Of all but the `tally`.
     pub digest: u128,
 }
 
-impl<'a> Glance<'a> {
+impl<'a> HeartbeatSummary<'a> {
     /// None: it has to be read whole.
-    pub fn at(body: &'a [u8]) -> Option<Self> {
-        let (host, session) = report_head(body)?;
+    pub fn of(body: &'a [u8]) -> Option<Self> {
+        let (host, agent_epoch) = heartbeat_head(body)?;
         let (count, at) = after_name(body, b"\"tally\"")?;
-        let (seq, digits) = leading_number(count)?;
+        let (sequence, digits) = leading_number(count)?;
         let mut hash = xxhash_rust::xxh3::Xxh3::new();
         hash.update(&body[..at]);
         hash.update(&body[at + digits..]);
         Some(Self {
-            host,
-            session,
-            seq,
+            machine: host,
+            agent_epoch,
+            sequence,
             digest: hash.digest128(),
         })
     }
 
     /// As it stands in a frame; None when the name is too long for it.
-    pub fn row(&self) -> Option<ReportRow> {
+    pub fn row(&self) -> Option<HeartbeatRow> {
         let mut host = [0; 24];
-        host.get_mut(..self.host.len())?
-            .copy_from_slice(self.host.as_bytes());
-        Some(ReportRow {
+        host.get_mut(..self.machine.len())?
+            .copy_from_slice(self.machine.as_bytes());
+        Some(HeartbeatRow {
             digest: self.digest.into(),
-            session: self.session.into(),
-            seq: self.seq.into(),
-            host,
+            agent_epoch: self.agent_epoch.into(),
+            sequence: self.sequence.into(),
+            machine: host,
             slot: 0.into(),
             len: 0.into(),
         })
     }
 }
 
-impl ReportRow {
-    pub fn host(&self) -> &str {
-        let end = self.host.iter().position(|b| *b == 0);
-        std::str::from_utf8(&self.host[..end.unwrap_or(self.host.len())]).unwrap_or("")
+impl HeartbeatRow {
+    pub fn machine(&self) -> &str {
+        let end = self.machine.iter().position(|b| *b == 0);
+        std::str::from_utf8(&self.machine[..end.unwrap_or(self.machine.len())]).unwrap_or("")
     }
 }
 
 /// Who sent a report, and in which session.
-pub fn report_head(body: &[u8]) -> Option<(&str, u64)> {
+pub fn heartbeat_head(body: &[u8]) -> Option<(&str, u64)> {
     let (host, _) = after_name(body, b"\"host\"")?;
     let host = host.strip_prefix(b"\"")?;
     let end = memchr::memchr2(b'"', b'\\', host)?;
     if host[end] != b'"' {
         return None;
     }
-    let (session, _) = after_name(body, b"\"stint\"")?;
+    let (agent_epoch, _) = after_name(body, b"\"stint\"")?;
     let host = std::str::from_utf8(&host[..end]).ok()?;
-    Some((host, leading_number(session)?.0))
+    Some((host, leading_number(agent_epoch)?.0))
 }
 
 /// Where the worker that sent a report can be reached.
-pub fn report_addr(body: &[u8]) -> Option<std::net::SocketAddr> {
+pub fn heartbeat_address(body: &[u8]) -> Option<std::net::SocketAddr> {
     let (addr, _) = after_name(body, b"\"addr\"")?;
     let addr = addr.strip_prefix(b"\"")?;
     let end = memchr::memchr(b'"', addr)?;
@@ -489,7 +515,7 @@
 }
 
 /// Whether a report lists no task.
-pub fn reports_nothing(body: &[u8]) -> bool {
+pub fn reports_no_tasks(body: &[u8]) -> bool {
     after_name(body, b"\"parts\"").is_some_and(|p| p.0.starts_with(b"[]"))
 }
 
--- a/src/workers/machine.rs
+++ b/src/worker_ledger/machine.rs
@@ -6,10 +6,10 @@
 const QUARANTINE: Micros = 45 * SECOND;
 /// And the longest: what only that machine fits waits no longer than 90 s for it once it is sound again. It comes
 /// last among those that fit until something has ended well there.
-const QUARANTINE_MOST: Micros = 75 * SECOND;
+const QUARANTINE_MAX: Micros = 75 * SECOND;
 
 /// After a takeover the controllers that carry workers' reports ask those; the leader asks the rest.
-pub const CARRIED_FIRST: Micros = SECOND;
+pub const PROXY_PROBE_HEAD_START: Micros = SECOND;
 
 /// How the start reached, or may yet reach, the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -19,27 +19,27 @@
     /// minutes later, as long as the worker has seen no higher token and keeps its session.
     Direct {
         token: u64,
-        session: u64,
+        agent_epoch: u64,
         open: bool,
     },
     /// In the answer to report `seq`: executed or dropped before the worker's next report.
-    Answer {
-        session: u64,
-        seq: u64,
+    Piggybacked {
+        agent_epoch: u64,
+        sequence: u64,
     },
     /// The worker has shown it, or the start was surely handled.
     Settled,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Halt {
+pub(super) struct StopRequest {
     pub(super) grace_s: f64,
-    pub(super) sent: Option<Micros>,
-    pub(super) why: Stop,
+    pub(super) sent_at: Option<Micros>,
+    pub(super) reason: StopReason,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum TaskState {
     /// Decided, but the placement is not stored yet; nothing has been sent.
     Planned,
     /// Stored; the start is to be sent.
@@ -47,100 +47,101 @@
     /// Sent, and not seen in a report so far.
     Sent,
     /// From a stored placement of an earlier leader; may be there or not.
-    Ghost,
+    Unconfirmed,
     Fetching,
     Running,
-    Saving,
+    Checkpointing,
     Ended,
 }
 
 #[derive(Debug)]
-pub struct Entry {
+pub struct TaskEntry {
     pub attempt: u64,
-    pub state: State,
+    pub state: TaskState,
     pub spec: Option<Arc<JobSpec>>,
     pub uid: Arc<str>,
     pub(super) delivery: Delivery,
-    pub(super) halt: Option<Halt>,
+    pub(super) stop: Option<StopRequest>,
     pub cause: Option<CompactString>,
-    pub(super) reap_ok: bool,
-    pub(super) reap_sent: Option<Micros>,
-    pub since: Micros,
+    pub(super) acknowledge_allowed: bool,
+    pub(super) acknowledge_sent_at: Option<Micros>,
+    pub added_at: Micros,
     pub running_since: Option<Micros>,
     /// Started by this leader, so that its run time is known.
-    pub(super) timed: bool,
+    pub(super) started_here: bool,
 }
 
-impl Entry {
+impl TaskEntry {
     /// Whether this leader started it, so that its run time is known.
-    pub fn timed(&self) -> bool {
-        self.timed
+    pub fn started_here(&self) -> bool {
+        self.started_here
     }
 
-    pub fn halting(&self) -> bool {
-        self.halt.is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.stop.is_some()
     }
 
     /// A start or a first stop waits to be sent.
-    pub(super) fn to_send(&self) -> bool {
-        self.state == State::Ready || (self.holds() && self.halt.is_some_and(|h| h.sent.is_none()))
+    pub(super) fn has_unsent_command(&self) -> bool {
+        self.state == TaskState::Ready
+            || (self.occupies() && self.stop.is_some_and(|h| h.sent_at.is_none()))
     }
 
     /// True while it takes room on its machine.
-    pub fn holds(&self) -> bool {
-        self.state != State::Ended
+    pub fn occupies(&self) -> bool {
+        self.state != TaskState::Ended
     }
 }
 
-pub(super) struct OpenCall {
+pub(super) struct InFlightCall {
     pub(super) ticket: Ticket,
-    pub(super) starts: Vec<(TaskKey, u64)>,
-    pub(super) token: u64,
-    pub(super) relayed: bool,
+    pub(super) starts: Vec<(TaskId, u64)>,
+    pub(super) fencing_token: u64,
+    pub(super) proxied: bool,
 }
 
 pub struct Machine {
     pub id: Arc<str>,
-    pub addr: Option<SocketAddr>,
-    pub build: String,
+    pub address: Option<SocketAddr>,
+    pub machine_type: String,
     pub zone: String,
     pub spot: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token_seen: u64,
+    pub agent_epoch: u64,
+    pub sequence: u64,
+    pub fencing_token_seen: u64,
     /// Has shown this term's token: no older leader's order can start anything any more.
-    pub heard: bool,
-    pub heard_at: Micros,
+    pub term_confirmed: bool,
+    pub last_seen_at: Micros,
     /// When its last report came, by whichever way; before the first, when this leader came to know it. Direct
     /// answers prove what they show, but renew no lease: a machine that reaches no controller loses its tasks.
-    pub(super) reported_at: Micros,
-    pub(super) answered_at: Micros,
-    pub in_roll: bool,
+    pub(super) last_heartbeat_at: Micros,
+    pub(super) last_answered_at: Micros,
+    pub registered: bool,
     /// The stored entry is to be written again; for the images alone that can wait.
-    pub roll_stale: bool,
+    pub registry_stale: bool,
     pub images_stale: bool,
     /// Time of day of the last contact, once it is silent: stored, so that a later leader can
     /// count the lease from there and not from its takeover.
-    pub quiet: Option<Micros>,
+    pub silent_since: Option<Micros>,
     /// The mark may be stored: until its removal is, there is no 200 and no start.
-    pub quiet_stored: bool,
+    pub silence_stored: bool,
     /// By an earlier leader's mark, when its lease is surely over.
-    pub(super) quiet_end: Option<Micros>,
+    pub(super) silence_lease_end: Option<Micros>,
     /// The time by which the cloud takes it away.
-    pub notice: Option<Micros>,
-    pub tasks: BTreeMap<(TaskKey, u64), Entry>,
-    pub(super) fence: u64,
-    pub(super) call: Option<OpenCall>,
-    pub(super) call_at: Micros,
+    pub reclaim_at: Option<Micros>,
+    pub tasks: BTreeMap<(TaskId, u64), TaskEntry>,
+    pub(super) fence_counter: u64,
+    pub(super) in_flight: Option<InFlightCall>,
+    pub(super) last_call_at: Micros,
     /// Calls in a row that failed, and whether the next goes through another controller.
     pub(super) direct_failures: u32,
-    pub(super) relayed: bool,
-    pub(super) relayed_at: Micros,
+    pub(super) use_proxy: bool,
+    pub(super) proxied_at: Micros,
     /// The peer that its last report came through.
-    pub via: Option<SocketAddr>,
+    pub heartbeat_proxy: Option<SocketAddr>,
     pub(super) in_doubt: bool,
     /// Another controller asks it; until then it is not probed from here.
-    pub(super) asked_until: Micros,
+    pub(super) probed_elsewhere_until: Micros,
     pub images: BTreeMap<Arc<str>, (Micros, f64)>,
     /// Failures since a task last ended well here, and the jobs they were of.
     pub error_streak: u32,
@@ -149,49 +150,59 @@
     pub quarantines: u32,
     pub slowness: f64,
     /// Logarithms of run times here against those of the same jobs elsewhere: sum and count.
-    pub pace: (f64, f64),
+    pub run_time_bias: (f64, f64),
     pub idle_since: Micros,
     pub first_seen: Micros,
-    pub returning: bool,
+    pub releasing: bool,
     /// The last report that came with a digest, so that another like it need not be read.
-    pub(super) last: Option<(u128, Box<Report>)>,
+    pub(super) last_heartbeat: Option<(u128, Box<Heartbeat>)>,
     /// Its digest, while nothing else has been taken from the machine since.
-    pub(super) shown: Option<u128>,
+    pub(super) settled_digest: Option<u128>,
 }
 
 impl Machine {
     /// It is to be asked how it is: not heard yet, or not for long.
-    pub(super) fn to_probe(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
-        let since = self.heard_at.max(if self.heard { 0 } else { took_over });
+    pub(super) fn needs_probe(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
+        let since = self
+            .last_seen_at
+            .max(if self.term_confirmed { 0 } else { took_over });
         let silent = now.saturating_sub(since);
         // Most are asked by the controllers that carry their reports; were the leader to ask them too,
         // those that nobody carries would have to wait.
-        let unheard = !self.heard && now >= self.asked_until.max(took_over + CARRIED_FIRST);
-        (unheard || self.in_doubt || silent > period * 7 / 5) && now >= self.call_at + SECOND
+        let unheard = !self.term_confirmed
+            && now
+                >= self
+                    .probed_elsewhere_until
+                    .max(took_over + PROXY_PROBE_HEAD_START);
+        (unheard || self.in_doubt || silent > period * 7 / 5) && now >= self.last_call_at + SECOND
     }
 
     /// Whether something may have to be sent to it now.
-    pub(super) fn due(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
-        let open = |e: &Entry| e.state == State::Ready || (e.halt.is_some() && e.holds());
-        self.call.is_none()
-            && !self.returning
-            && (self.to_probe(now, took_over, period) || self.tasks.values().any(open))
+    pub(super) fn has_due_command(&self, now: Micros, took_over: Micros, period: Micros) -> bool {
+        let open =
+            |e: &TaskEntry| e.state == TaskState::Ready || (e.stop.is_some() && e.occupies());
+        self.in_flight.is_none()
+            && !self.releasing
+            && (self.needs_probe(now, took_over, period) || self.tasks.values().any(open))
     }
 
     /// Nothing is due to it and nothing about it is open: a report like the last one says only
     /// that it lives.
-    pub(super) fn at_rest(&self) -> bool {
-        let settled = |e: &Entry| {
+    pub(super) fn is_settled(&self) -> bool {
+        let settled = |e: &TaskEntry| {
             e.delivery == Delivery::Settled
-                && e.halt.is_none()
-                && !matches!(e.state, State::Planned | State::Ready | State::Ghost)
-                && !(e.state == State::Ended && e.reap_ok)
+                && e.stop.is_none()
+                && !matches!(
+                    e.state,
+                    TaskState::Planned | TaskState::Ready | TaskState::Unconfirmed
+                )
+                && !(e.state == TaskState::Ended && e.acknowledge_allowed)
         };
-        self.heard
+        self.term_confirmed
             && !self.in_doubt
-            && !self.quiet_stored
-            && self.quiet.is_none()
-            && self.notice.is_none()
+            && !self.silence_stored
+            && self.silent_since.is_none()
+            && self.reclaim_at.is_none()
             && self.direct_failures == 0
             && self.tasks.values().all(settled)
     }
@@ -204,34 +215,33 @@
 
     /// How much longer than elsewhere tasks run here, in steps of 4 %, shrunk towards none
     /// while little is known.
-    pub fn pace_step(&self) -> i32 {
-        (self.pace.0 / (self.pace.1 + 3.0) / 0.04).round() as i32
+    pub fn run_time_bias_step(&self) -> i32 {
+        (self.run_time_bias.0 / (self.run_time_bias.1 + 3.0) / 0.04).round() as i32
     }
 
     /// What takes room here, each task once: a stored placement stands for its task until the machine has shown
     /// this term's token, beside the attempt that an earlier word of it told.
-    pub fn holding(&self) -> impl Iterator<Item = (&(TaskKey, u64), &Entry)> {
-        let held = |(_, e): &(&(TaskKey, u64), &Entry)| e.holds();
-        self.tasks
-            .iter()
-            .filter(held)
-            .filter(|((key, _), e)| e.state != State::Ghost || !self.shows(*key))
+    pub fn held_tasks(&self) -> impl Iterator<Item = (&(TaskId, u64), &TaskEntry)> {
+        let held = |(_, e): &(&(TaskId, u64), &TaskEntry)| e.occupies();
+        self.tasks.iter().filter(held).filter(|((key, _), e)| {
+            e.state != TaskState::Unconfirmed || !self.has_known_attempt(*key)
+        })
     }
 
     /// Whether an attempt of the task is known to take room here.
-    fn shows(&self, key: TaskKey) -> bool {
-        self.attempts(key).any(Entry::holds)
+    fn has_known_attempt(&self, key: TaskId) -> bool {
+        self.attempts(key).any(TaskEntry::occupies)
     }
 
     /// The attempts of the task that were told here, beside what stands for a stored placement.
-    pub(super) fn attempts(&self, key: TaskKey) -> impl Iterator<Item = &Entry> {
+    pub(super) fn attempts(&self, key: TaskId) -> impl Iterator<Item = &TaskEntry> {
         let range = (key, 1)..=(key, u64::MAX);
         self.tasks.range(range).map(|(_, e)| e)
     }
 
     /// A task failed here. Two jobs failing in a row, or two tasks of a job that does well
     /// elsewhere, put the machine aside, longer each time; tells whether it was put aside now.
-    pub fn blame(&mut self, job: u32, does_well: bool, now: Micros) -> bool {
+    pub fn record_failure(&mut self, job: u32, does_well: bool, now: Micros) -> bool {
         self.error_streak += 1;
         self.failed_jobs.insert(job);
         let proven = self.failed_jobs.len() >= 2 || (does_well && self.error_streak >= 2);
@@ -241,13 +251,13 @@
         }
         self.quarantines += 1;
         self.quarantined_until =
-            now + (QUARANTINE << (self.quarantines - 1).min(4)).min(QUARANTINE_MOST);
+            now + (QUARANTINE << (self.quarantines - 1).min(4)).min(QUARANTINE_MAX);
         true
     }
 
     /// The job turned out to fail everywhere. Without this, each job submitted with a mistake
     /// took machines out of use for minutes.
-    pub fn forgive(&mut self, job: u32, now: Micros) {
+    pub fn forgive_failure(&mut self, job: u32, now: Micros) {
         if !self.failed_jobs.remove(&job) {
             return;
         }
@@ -261,34 +271,34 @@
     }
 
     /// May take new tasks now.
-    pub fn usable(&self, now: Micros, silence: Micros) -> bool {
-        self.held_for(now, silence).is_none()
+    pub fn is_usable(&self, now: Micros, silence: Micros) -> bool {
+        self.unavailable_reason(now, silence).is_none()
     }
 
     /// Why it may take no new tasks now, in a word for operators; None when it may. How each of these ends stands in
     /// `docs/meetings.md`.
-    pub fn held_for(&self, now: Micros, silence: Micros) -> Option<&'static str> {
-        if !self.heard {
+    pub fn unavailable_reason(&self, now: Micros, silence: Micros) -> Option<&'static str> {
+        if !self.term_confirmed {
             Some("unheard")
-        } else if self.quiet_stored {
+        } else if self.silence_stored {
             Some("silence_stored")
-        } else if !self.in_roll {
+        } else if !self.registered {
             Some("not_registered")
-        } else if self.returning {
+        } else if self.releasing {
             Some("returning")
         } else if self.in_doubt {
             Some("in_doubt")
-        } else if self.notice.is_some() {
+        } else if self.reclaim_at.is_some() {
             Some("notice")
         } else if self.quarantined_until > now {
             Some("put_aside")
-        } else if self.addr.is_none() || !can_name(&self.id) {
+        } else if self.address.is_none() || !is_storable_name(&self.id) {
             Some("no_address")
-        } else if now >= self.heard_at + silence {
+        } else if now >= self.last_seen_at + silence {
             Some("silent")
-        } else if now >= self.reported_at + silence {
+        } else if now >= self.last_heartbeat_at + silence {
             Some("mute")
-        } else if self.out_of_reach() {
+        } else if self.is_unreachable() {
             Some("out_of_reach")
         } else {
             None
@@ -297,12 +307,12 @@
 
     /// Two calls in a row did not get through, by either way, and nothing has come from it since.
     /// First fit would send it the same tasks again and again.
-    pub(super) fn out_of_reach(&self) -> bool {
-        self.direct_failures >= 2 && self.heard_at <= self.call_at
+    pub(super) fn is_unreachable(&self) -> bool {
+        self.direct_failures >= 2 && self.last_seen_at <= self.last_call_at
     }
 }
 
-impl Workers {
+impl WorkerLedger {
     pub(super) fn machine(
         id: &Arc<str>,
         build: &str,
@@ -312,70 +322,70 @@
     ) -> Machine {
         Machine {
             id: id.clone(),
-            addr: None,
-            build: build.to_owned(),
+            address: None,
+            machine_type: build.to_owned(),
             zone: zone.to_owned(),
             spot,
-            session: 0,
-            seq: 0,
-            token_seen: 0,
-            heard: false,
-            heard_at: 0,
-            reported_at: now,
-            answered_at: 0,
-            in_roll: false,
-            roll_stale: false,
+            agent_epoch: 0,
+            sequence: 0,
+            fencing_token_seen: 0,
+            term_confirmed: false,
+            last_seen_at: 0,
+            last_heartbeat_at: now,
+            last_answered_at: 0,
+            registered: false,
+            registry_stale: false,
             images_stale: false,
-            quiet: None,
-            quiet_stored: false,
-            quiet_end: None,
-            notice: None,
+            silent_since: None,
+            silence_stored: false,
+            silence_lease_end: None,
+            reclaim_at: None,
             tasks: BTreeMap::new(),
-            fence: 0,
-            call: None,
-            call_at: 0,
+            fence_counter: 0,
+            in_flight: None,
+            last_call_at: 0,
             direct_failures: 0,
-            relayed: false,
-            relayed_at: 0,
-            via: None,
+            use_proxy: false,
+            proxied_at: 0,
+            heartbeat_proxy: None,
             in_doubt: false,
-            asked_until: 0,
+            probed_elsewhere_until: 0,
             images: BTreeMap::new(),
             error_streak: 0,
             failed_jobs: BTreeSet::new(),
             quarantined_until: 0,
             quarantines: 0,
             slowness: 1.0,
-            pace: (0.0, 0.0),
+            run_time_bias: (0.0, 0.0),
             idle_since: now,
             first_seen: now,
-            returning: false,
-            last: None,
-            shown: None,
+            releasing: false,
+            last_heartbeat: None,
+            settled_digest: None,
         }
     }
 
     pub(super) fn entry(
-        state: State,
+        state: TaskState,
         attempt: u64,
         uid: Arc<str>,
         spec: Option<Arc<JobSpec>>,
         delivery: Delivery,
         now: Micros,
-    ) -> Entry {
-        Entry {
+    ) -> TaskEntry {
+        TaskEntry {
             attempt,
             state,
             spec,
             uid,
             delivery,
-            halt: None,
+            stop: None,
             cause: None,
-            reap_ok: false,
-            reap_sent: None,
-            since: now,
+            acknowledge_allowed: false,
+            acknowledge_sent_at: None,
+            added_at: now,
             running_since: None,
-            timed: state == State::Planned,
+            started_here: state == TaskState::Planned,
         }
     }
 }
