--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,34 +1,24 @@
 //! What operators may look at.
 
+use super::api_error::ApiError;
+use super::leader::LeaderState;
 use super::peer_links::PeerRequest;
 use super::schema_migration::PROGRAM_VERSION;
-use super::{CLIENT_REQUEST_TIMEOUT, Controller, LeaderState, PeerCallPurpose, StateRequest};
+use super::{Controller, PeerCallPurpose};
 use crate::clock::MILLISECOND;
-use crate::job_record::live_key;
 use crate::jobs::Job;
 use crate::messages::ConnId;
 use crate::scheduler::silence_limit;
 use crate::schema::SCHEMA_VERSION;
-use crate::state_client::Op;
 use crate::wire::KIND_ADMIN_QUERY;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
-use std::sync::Arc;
 
 impl Controller {
     pub(super) fn handle_admin_request(&mut self, conn: ConnId, rest: &[&str]) {
         match rest {
             ["job", uid] => {
-                let uid: Arc<str> = (*uid).into();
-                self.request_state(
-                    StateRequest::InspectJob {
-                        conn,
-                        uid: uid.clone(),
-                        over: false,
-                    },
-                    Op::Get(live_key(&uid)),
-                    CLIENT_REQUEST_TIMEOUT,
-                );
+                self.read_inspected_job(conn, (*uid).into(), false);
             }
             ["status" | "workers" | "jobs"] | ["workers" | "jobs", _] => {
                 if self.leader_state.is_some() || rest == ["status"] {
@@ -38,7 +28,7 @@
                 let leader = self.election.leader().map(|r| r.node.clone());
                 let peer = leader.and_then(|name| self.peer_links.peer_named(&name));
                 let Some(peer) = peer else {
-                    return self.respond_error(conn, 503, "no leader at the moment");
+                    return self.respond_error(conn, &ApiError::NoLeader);
                 };
                 let dest = peer.address;
                 self.call_peer(
@@ -47,11 +37,7 @@
                     PeerRequest::new(KIND_ADMIN_QUERY, rest.join("/"), Vec::new()),
                 );
             }
-            _ => self.respond_error(
-                conn,
-                404,
-                "ask for /inspect/status, /inspect/job/UID, /inspect/jobs or /inspect/workers",
-            ),
+            _ => self.respond_error(conn, &ApiError::NoSuchInspection),
         }
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,8 +1,11 @@
 //! Users' requests: submissions, polls and cancellations, by this node or through another.
 
+use super::api_error::ApiError;
 use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
 use super::peer_links::PeerRequest;
-use super::{CLIENT_REQUEST_TIMEOUT, Controller, PeerCallPurpose, StateRequest};
+use super::state_replies::job_key;
+use super::state_request::StateRequest;
+use super::{CLIENT_REQUEST_TIMEOUT, Controller, PeerCallPurpose};
 use crate::clock::{Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{
@@ -38,7 +41,7 @@
         if let (Some(asked), Some(peer)) = (asked, self.pick_helper_peer()) {
             self.forward_client_request(conn, peer, asked);
         } else {
-            self.respond_error(conn, 503, "the state service does not answer");
+            self.respond_error(conn, &ApiError::StateUnavailable);
         }
     }
 
@@ -82,7 +85,7 @@
     pub(super) fn refused_as_isolated(&mut self, conn: ConnId) -> bool {
         let cut_off = self.is_isolated();
         if cut_off {
-            self.respond_error(conn, 503, "cut off from state service and controllers");
+            self.respond_error(conn, &ApiError::Isolated);
         }
         cut_off
     }
@@ -146,21 +149,13 @@
             ("GET", ["up"]) => {
                 self.client_requests.note_health_check(self.now.steady);
                 if self.cloud.types.is_empty() {
-                    return self.respond_error(
-                        conn,
-                        503,
-                        "starting: the machine types are not known yet",
-                    );
+                    return self.respond_error(conn, &ApiError::Starting);
                 }
                 if self.refused_as_isolated(conn) {
                     return;
                 }
                 if self.peers_serve_clients() {
-                    return self.respond_error(
-                        conn,
-                        503,
-                        "leading: the other controllers serve users",
-                    );
+                    return self.respond_error(conn, &ApiError::LeaderServesNoClients);
                 }
                 self.note_startup_answer("GET /up", 200);
                 self.respond(conn, 200, &json!({"up": true}));
@@ -174,9 +169,9 @@
                 _,
                 ["up" | "work" | "checkin"] | ["work", _] | ["work", _, "cancel"] | ["inspect", ..],
             ) => {
-                self.respond_error(conn, 405, "method not allowed");
+                self.respond_error(conn, &ApiError::MethodNotAllowed);
             }
-            _ => self.respond_error(conn, 404, "no such path"),
+            _ => self.respond_error(conn, &ApiError::NoSuchPath),
         }
     }
 
@@ -191,7 +186,7 @@
 
     pub(super) fn poll_job(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
-            return self.respond_error(conn, 404, "no such job");
+            return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
             return;
@@ -228,11 +223,7 @@
         } else {
             RequestPriority::Background
         };
-        let key = if over {
-            finished_key(&uid)
-        } else {
-            live_key(&uid)
-        };
+        let key = job_key(&uid, over);
         let purpose = StateRequest::PollJob { conn, uid, over };
         self.state
             .submit(t, purpose, rank, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
@@ -366,7 +357,7 @@
 
     pub(super) fn cancel_job(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
-            return self.respond_error(conn, 404, "no such job");
+            return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
             return;
@@ -374,16 +365,19 @@
         if self.forward_if_needed(conn, "POST", format!("/work/{uid}/cancel"), &[]) {
             return;
         }
-        self.request_state(
-            StateRequest::ReadForCancel {
-                conn,
-                uid: uid.into(),
-                over: false,
-                tries: 0,
-            },
-            Op::Get(live_key(uid)),
-            CLIENT_REQUEST_TIMEOUT,
-        );
+        self.read_for_cancel(conn, uid.into(), false, 0);
+    }
+
+    /// Reads the job that is to be cancelled.
+    pub(super) fn read_for_cancel(&mut self, conn: ConnId, uid: Arc<str>, over: bool, tries: u32) {
+        let op = Op::Get(job_key(&uid, over));
+        let request = StateRequest::ReadForCancel {
+            conn,
+            uid,
+            over,
+            tries,
+        };
+        self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
 
     /// Tells the leader of a cancellation that this node has just confirmed, for when the state service does not.
@@ -424,12 +418,12 @@
                     self.client_requests.cache_final_state(uid, body.clone());
                     self.respond(conn, 200, &body);
                 }
-                Err(_) => self.respond_error(conn, 503, "the stored job can't be read"),
+                Err(_) => self.respond_error(conn, &ApiError::StoredJobUnreadable),
             }
         } else {
             match schema::decode_job(&item.value) {
                 Ok((r, _)) => self.respond(conn, 200, &r.status_body()),
-                Err(_) => self.respond_error(conn, 503, "the stored job can't be read"),
+                Err(_) => self.respond_error(conn, &ApiError::StoredJobUnreadable),
             }
         }
     }
@@ -464,7 +458,7 @@
                     Ok(read) => read,
                     Err(e) => {
                         log::error!("{} can't be read: {e}", item.path);
-                        return self.respond_error(conn, 503, "the stored job can't be read");
+                        return self.respond_error(conn, &ApiError::StoredJobUnreadable);
                     }
                 };
                 let layout = self.schema();
@@ -488,11 +482,7 @@
                     let values = layout.encode_job(&record);
                     let Some(values) = values.filter(|v| v.chunks.len() + 3 <= layout.txn_ops)
                     else {
-                        return self.respond_error(
-                            conn,
-                            503,
-                            "the job is too wide to be stopped at once",
-                        );
+                        return self.respond_error(conn, &ApiError::JobTooWideToCancel);
                     };
                     txn = txn.set_raw(stopping_key(&uid), values.header);
                     for (n, value) in values.chunks.into_iter().enumerate() {
@@ -510,16 +500,8 @@
                     CLIENT_REQUEST_TIMEOUT,
                 );
             }
-            Reply::Absent if !over => {
-                let again = StateRequest::ReadForCancel {
-                    conn,
-                    uid: uid.clone(),
-                    over: true,
-                    tries,
-                };
-                self.request_state(again, Op::Get(finished_key(&uid)), CLIENT_REQUEST_TIMEOUT);
-            }
-            Reply::Absent => self.respond_error(conn, 404, "no such job"),
+            Reply::Absent if !over => self.read_for_cancel(conn, uid, true, tries),
+            Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.state_unavailable(conn),
         }
     }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,6 +1,8 @@
 //! Jobs that wait for others, on the leader: what frees them, and what ends them.
 
-use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, StateRequest};
+use super::leader::LeaderState;
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{Micros, from_secs};
 use crate::cloud::Cloud;
 use crate::dependency_graph::latest_start;
@@ -16,6 +18,15 @@
 /// The largest part of the queue of users' rank that cascades take.
 const QUEUED_CASCADES_MAX: usize = 3;
 
+/// A job to be cancelled because a job that it depends on was.
+#[derive(Clone, Debug)]
+pub(super) struct CascadingCancellation {
+    /// The job to be cancelled.
+    uid: Arc<str>,
+    /// The job whose cancellation started the cascade.
+    root: Arc<str>,
+}
+
 impl Controller {
     /// Takes a job that waits for others into the graph.
     pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
@@ -98,7 +109,10 @@
         for dependent in leader_state.pipelines.dependency_cancelled(uid) {
             leader_state
                 .cascading_cancellations
-                .push_back((dependent, root.clone()));
+                .push_back(CascadingCancellation {
+                    uid: dependent,
+                    root: root.clone(),
+                });
         }
     }
 
@@ -135,12 +149,13 @@
         let mut later = VecDeque::new();
         let mut txn = Transaction::default().require_revision(LEADER_KEY, mod_revision);
         let mut items = Vec::new();
-        while let Some((uid, root)) = leader_state.cascading_cancellations.pop_front() {
-            let Some(job) = leader_state.jobs.get_mut(&uid).filter(|j| !j.cancelled) else {
+        while let Some(cascade) = leader_state.cascading_cancellations.pop_front() {
+            let CascadingCancellation { uid, root } = &cascade;
+            let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
                 continue;
             };
             if txn.changes.len() + 2 > layout.txn_ops || job.save_in_flight || job.reread_pending {
-                later.push_back((uid, root));
+                later.push_back(cascade);
                 continue;
             }
             if !job.waits_for_dependencies() {
@@ -152,11 +167,11 @@
             let mut end = job.record().finish("cancelled", wall);
             end.cancelled_with = Some(root.to_string());
             txn = txn
-                .require_revision(live_key(&uid), job.mod_revision)
-                .require_revision(finished_key(&uid), 0)
-                .delete(live_key(&uid))
-                .set(finished_key(&uid), &end.fit(layout.usable_bytes()));
-            items.push((uid, root));
+                .require_revision(live_key(uid), job.mod_revision)
+                .require_revision(finished_key(uid), 0)
+                .delete(live_key(uid))
+                .set(finished_key(uid), &end.fit(layout.usable_bytes()));
+            items.push(cascade);
         }
         leader_state.cascading_cancellations = later;
         if !items.is_empty() {
@@ -168,12 +183,16 @@
         }
     }
 
-    pub(super) fn dependents_cancelled(&mut self, items: Vec<(Arc<str>, Arc<str>)>, reply: &Reply) {
+    pub(super) fn dependents_cancelled(
+        &mut self,
+        items: Vec<CascadingCancellation>,
+        reply: &Reply,
+    ) {
         let mut reread = Vec::new();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for (uid, root) in items {
+        for CascadingCancellation { uid, root } in items {
             if let Some(job) = leader_state.jobs.get_mut(&uid) {
                 job.save_in_flight = false;
             }
@@ -184,21 +203,30 @@
                     for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
                         leader_state
                             .cascading_cancellations
-                            .push_back((dependent, root.clone()));
+                            .push_back(CascadingCancellation {
+                                uid: dependent,
+                                root: root.clone(),
+                            });
                     }
                     leader_state.jobs.remove(&uid);
                 }
-                Reply::Unavailable => leader_state.cascading_cancellations.push_back((uid, root)),
+                Reply::Unavailable => leader_state
+                    .cascading_cancellations
+                    .push_back(CascadingCancellation { uid, root }),
                 Reply::Conflict { failed } => {
                     if failed.contains(&live_key(&uid)) || failed.contains(&finished_key(&uid)) {
                         reread.push(uid.clone());
                     }
-                    leader_state.cascading_cancellations.push_back((uid, root));
+                    leader_state
+                        .cascading_cancellations
+                        .push_back(CascadingCancellation { uid, root });
                 }
                 // It may have been applied.
                 _ => {
                     reread.push(uid.clone());
-                    leader_state.cascading_cancellations.push_back((uid, root));
+                    leader_state
+                        .cascading_cancellations
+                        .push_back(CascadingCancellation { uid, root });
                 }
             }
         }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,7 +1,9 @@
 //! A new leader loads jobs and roll, and holds what may be on machines.
 
+use super::Controller;
+use super::leader::LeaderState;
 use super::leader_schedule::LeaderSchedule;
-use super::{Controller, LeaderState, StateRequest};
+use super::state_request::StateRequest;
 use crate::accounting::{TaskOutcome, WorkloadAccounting};
 use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
 use crate::clock::{MILLISECOND, Micros, SECOND, drift_upper_bound, from_secs};
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
 //! Workers' reports: taken by the leader, passed on to it by the others.
 
+use super::api_error::ApiError;
 use super::peer_links::{PEER_CALL_TIMEOUT, PeerRequest};
 use super::{Controller, PeerCallPurpose};
 
@@ -44,10 +45,10 @@
                     retry_after: None,
                 }),
                 HeartbeatOutcome::Malformed(e) => {
-                    self.respond_error(conn, 400, &format!("report: {e}"))
+                    self.respond_error(conn, &ApiError::MalformedHeartbeat(e))
                 }
                 HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
-                    self.respond_error(conn, 503, "this machine has been returned");
+                    self.respond_error(conn, &ApiError::MachineReleased);
                 }
             };
         }
@@ -57,7 +58,7 @@
                 .push(self.now.steady, conn, body)
                 .is_err()
             {
-                self.respond_error(conn, 503, "no leader at the moment");
+                self.respond_error(conn, &ApiError::NoLeader);
             }
             return;
         };
@@ -231,7 +232,7 @@
         }
         let Some(peer) = self.leader_peer() else {
             for conn in self.heartbeat_batch.hold_for_leader(now) {
-                self.respond_error(conn, 503, "no leader at the moment");
+                self.respond_error(conn, &ApiError::NoLeader);
             }
             return;
         };
@@ -294,7 +295,7 @@
                 HeartbeatAnswer::NoCommands(token) => (200, empty_commands(token)),
                 HeartbeatAnswer::Body { status, body } => (status, body),
                 HeartbeatAnswer::NoLeader => {
-                    self.respond_error(conn, 503, "no leader at the moment");
+                    self.respond_error(conn, &ApiError::NoLeader);
                     continue;
                 }
                 HeartbeatAnswer::Failed => {
@@ -314,7 +315,7 @@
     /// The leader did not answer: the worker goes to another node.
     pub(super) fn heartbeat_failed(&mut self, conn: ConnId, outcome: &Outcome) {
         let Some(leader) = self.leader_name() else {
-            return self.respond_error(conn, 503, "no leader at the moment");
+            return self.respond_error(conn, &ApiError::NoLeader);
         };
         if let Some(dest) = self.leader_peer().map(|p| p.address) {
             self.note_link_failure(dest, outcome);
@@ -398,8 +399,9 @@
                     (200, orders.fencing_token)
                 }
                 HeartbeatOutcome::Malformed(e) => {
-                    text = json!({"error": format!("report: {e}")}).to_string().into();
-                    (400, 0)
+                    let error = ApiError::MalformedHeartbeat(e);
+                    text = json!({"error": error.to_string()}).to_string().into();
+                    (error.status(), 0)
                 }
                 HeartbeatOutcome::Refused => {
                     text = br#"{"error":"returned"}"#.to_vec();
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,6 +1,8 @@
 //! What the leader does a few times a second, whatever happens.
 
-use super::{Controller, LEADER_REQUEST_TIMEOUT, LeaderState, StateRequest};
+use super::leader::LeaderState;
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::accounting::StopReason;
 use crate::clock::{Micros, SECOND, from_secs};
 use crate::cloud::Cloud;
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -1,6 +1,8 @@
 //! What changed of jobs, into the state service; endings are dropped only once stored.
 
-use super::{Controller, LEADER_REQUEST_TIMEOUT, PendingSave, StateRequest};
+use super::state_replies::job_key;
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::election::LEADER_KEY;
 use crate::job_record::{
@@ -12,6 +14,7 @@
 use crate::task_id::TaskId;
 use crate::wire::Priority;
 use crate::worker_ledger::WorkerLedger;
+use rangemap::RangeSet;
 use std::cmp::Reverse;
 use std::sync::Arc;
 
@@ -24,6 +27,23 @@
 
 const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
 
+/// What a save has written of one job.
+#[derive(Clone, Debug)]
+pub(super) struct PendingSave {
+    /// The job, by its number in the table.
+    number: u32,
+    /// The job's final state is written.
+    finished: bool,
+    /// The tasks whose completion is written.
+    done: RangeSet<u32>,
+    /// The starts that are written, by machine, task and attempt; they may be sent once stored.
+    starts: Vec<(Arc<str>, TaskId, u64)>,
+    /// How many chunks belong to the header written.
+    chunks: usize,
+    /// The time of day that a final state written gives, in microseconds.
+    finished_at: Micros,
+}
+
 impl Controller {
     /// Stores what changed of jobs: ends first, then starts that wait for it, in the order of
     /// priority, and what only says how far a job is when changes are left over.
@@ -262,11 +282,7 @@
         if let Some(job) = leader_state.jobs.get_mut(&uid) {
             job.reread_pending = true;
         }
-        let key = if over {
-            finished_key(&uid)
-        } else {
-            live_key(&uid)
-        };
+        let key = job_key(&uid, over);
         self.request_state(
             StateRequest::RereadJob { term, uid, over },
             Op::Get(key),
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -1,7 +1,8 @@
 //! Which format is written: what each controller understands, and when the stored number goes up.
 
 use super::leader_schedule::CHUNK_SWEEP_INTERVAL;
-use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{Micros, SECOND};
 use crate::election::LEADER_KEY;
 use crate::job_record::{live_key, stopping_key};
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,7 +1,8 @@
 //! Following the leader, and the steps from its end to the first decision of the next.
 
+use super::Controller;
 use super::peer_links::PeerRequest;
-use super::{Controller, StateRequest};
+use super::state_request::StateRequest;
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::reconciliation::ReconciliationPhase;
@@ -62,7 +63,7 @@
     leader_silence: Micros,
     elected_at: Micros,
     loaded_at: Option<Micros>,
-    pub(super) first_pass_at: Option<Micros>,
+    first_pass_at: Option<Micros>,
     half_confirmed_at: Option<Micros>,
     most_confirmed_at: Option<Micros>,
     unconfirmed_placements: usize,
@@ -72,6 +73,13 @@
     checksum: Checksum,
 }
 
+impl Failover {
+    /// The new leader makes a placement pass; the first one counts.
+    pub(super) fn note_placement_pass(&mut self, now: Micros) {
+        self.first_pass_at = self.first_pass_at.or(Some(now));
+    }
+}
+
 /// What a new leader was built from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSource {
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -6,7 +6,8 @@
 //! taken, but none is refused for good.
 
 use super::api::fits_value_limit;
-use super::{Controller, LEADER_REQUEST_TIMEOUT, StateRequest};
+use super::state_request::StateRequest;
+use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::election::LEADER_KEY;
 use crate::state_client::{Op, Reply, Transaction, raw};
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -1,96 +1,75 @@
-//! What the state service answers, to those that asked.
+//! Routes the replies of the state service to what they were asked for.
+//!
+//! Nothing is kept here: each reply comes with its [`StateRequest`]. A reply to a leader's request
+//! is dropped when its term is over; a read job is looked for under its live key first and then
+//! under that of its final state, since a job moves only in that direction.
 
-use super::{CLIENT_REQUEST_TIMEOUT, Controller, StateRequest};
+use super::api_error::ApiError;
+use super::state_request::StateRequest;
+use super::{CLIENT_REQUEST_TIMEOUT, Controller};
 use crate::clock::{Micros, SECOND};
 use crate::election::{ElectionStep, LeadershipChange};
 use crate::job_record::{finished_key, live_key};
+use crate::messages::ConnId;
 use crate::registry::WriteResult;
 use crate::state_client::{Op, Reply};
-use serde_json::json;
+use serde_json::{Value, json};
+use std::sync::Arc;
 
+/// How often a cancellation is tried anew after the job changed in between.
 const CANCEL_RETRIES_MAX: u32 = 8;
 
 impl Controller {
-    pub(super) fn handle_state_reply(&mut self, purpose: StateRequest, reply: Reply, sent: Micros) {
+    /// Handles the reply to a request that was sent at `sent`.
+    pub(super) fn handle_state_reply(&mut self, request: StateRequest, reply: Reply, sent: Micros) {
         let now = self.now.steady;
-        if !matches!(
-            purpose,
-            StateRequest::WatchJobs { .. }
-                | StateRequest::Election(
-                    ElectionStep::WatchLeaderKey | ElectionStep::ReadLeaderKey
-                )
-        ) && !matches!(reply, Reply::Unavailable | Reply::Lost)
-        {
+        if !request.waits_for_changes() && !matches!(reply, Reply::Unavailable | Reply::Lost) {
             self.election.note_answer_time(now.saturating_sub(sent));
         }
-        match purpose {
-            StateRequest::Election(step) => {
-                let (ops, change) = self.election.handle_reply(now, step, reply, sent);
-                for (step, op) in ops {
-                    self.request_state(StateRequest::Election(step), op, SECOND);
-                }
-                match change {
-                    Some(LeadershipChange::Acquired { term, mod_revision }) => {
-                        self.become_leader(term, mod_revision, sent)
-                    }
-                    Some(LeadershipChange::Lost) => self.step_down(),
-                    None => {}
-                }
-            }
-            StateRequest::AcceptJob { conn, uid } => match reply {
-                Reply::Applied { .. } => {
-                    self.client_requests.add_progress(&uid);
-                    self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
-                }
-                Reply::Conflict { .. } => {
-                    self.request_state(
-                        StateRequest::ReadExistingJob {
-                            conn,
-                            uid: uid.clone(),
-                            over: false,
-                        },
-                        Op::Get(live_key(&uid)),
-                        CLIENT_REQUEST_TIMEOUT,
-                    );
-                }
-                Reply::Refused(reason) => {
-                    log::error!("the state service refused job {uid}: {reason}");
-                    self.respond_error(conn, 503, "the state service refused the job");
+        match request {
+            StateRequest::Election(step) => self.handle_election_reply(step, reply, sent),
+            StateRequest::ReadReplica { round, want } => self.replica_answered(round, want, reply),
+            StateRequest::ReadSchemaVersion => self.schema_version_read(reply),
+            StateRequest::ReadMachineTypes => self.machine_types_read(reply),
+            StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
+            StateRequest::ReadOwnSchemaSupport => self.register_schema_support(reply),
+            StateRequest::WriteOwnSchemaSupport => self.schema_support_registered(&reply),
+            request => match request.term() {
+                None => self.handle_client_state_reply(request, reply),
+                Some(term) if self.is_current_term(term) => {
+                    self.handle_leader_state_reply(request, reply, sent);
                 }
-                _ => self.state_unavailable(conn),
+                // Of a term that is over.
+                Some(_) => {}
             },
-            StateRequest::ReadExistingJob { conn, uid, over }
-            | StateRequest::PollJob { conn, uid, over }
-                if matches!(reply, Reply::Item(_)) =>
-            {
-                if let Reply::Item(item) = reply {
-                    self.client_requests.note_answer(&uid);
-                    self.respond_stored_state(conn, &uid, over, item);
-                }
+        }
+    }
+
+    fn handle_election_reply(&mut self, step: ElectionStep, reply: Reply, sent: Micros) {
+        let now = self.now.steady;
+        let (ops, change) = self.election.handle_reply(now, step, reply, sent);
+        for (step, op) in ops {
+            self.request_state(StateRequest::Election(step), op, SECOND);
+        }
+        match change {
+            Some(LeadershipChange::Acquired { term, mod_revision }) => {
+                self.become_leader(term, mod_revision, sent);
+            }
+            Some(LeadershipChange::Lost) => self.step_down(),
+            None => {}
+        }
+    }
+
+    /// Replies that a client's request waits for.
+    fn handle_client_state_reply(&mut self, request: StateRequest, reply: Reply) {
+        match request {
+            StateRequest::AcceptJob { conn, uid } => self.job_accepted(conn, uid, reply),
+            StateRequest::ReadExistingJob { conn, uid, over } => {
+                self.existing_job_read(conn, uid, over, reply);
+            }
+            StateRequest::PollJob { conn, uid, over } => {
+                self.polled_job_read(conn, uid, over, reply);
             }
-            StateRequest::ReadExistingJob { conn, uid, over } => match reply {
-                Reply::Absent if !over => {
-                    self.request_state(
-                        StateRequest::ReadExistingJob {
-                            conn,
-                            uid: uid.clone(),
-                            over: true,
-                        },
-                        Op::Get(finished_key(&uid)),
-                        CLIENT_REQUEST_TIMEOUT,
-                    );
-                }
-                _ => self.state_unavailable(conn),
-            },
-            StateRequest::PollJob { conn, uid, over } => match reply {
-                Reply::Absent if over => {
-                    self.client_requests.note_answer(&uid);
-                    self.respond_error(conn, 404, "no such job");
-                }
-                // Live first, then over: a job moves only in that direction.
-                Reply::Absent => self.read_for_poll(conn, uid, true),
-                _ => self.poll_failed(conn, &uid),
-            },
             StateRequest::CheckFinished { polls } => self.polls_checked(polls, &reply),
             StateRequest::ReadForCancel {
                 conn,
@@ -103,54 +82,10 @@
                 uid,
                 tries,
                 body,
-            } => match reply {
-                Reply::Applied { .. } => {
-                    self.client_requests.cache_final_state(&uid, body.clone());
-                    // A leader needs no watch to tell it what it wrote itself.
-                    if let Some(leader_state) = &mut self.leader_state {
-                        Self::mark_cancelled(leader_state, &uid);
-                        self.apply_ledger_events();
-                    } else {
-                        self.announce_cancellation(&uid);
-                    }
-                    self.respond(conn, 200, &body);
-                }
-                Reply::Conflict { .. } if tries < CANCEL_RETRIES_MAX => {
-                    let again = StateRequest::ReadForCancel {
-                        conn,
-                        uid: uid.clone(),
-                        over: false,
-                        tries: tries + 1,
-                    };
-                    self.request_state(again, Op::Get(live_key(&uid)), CLIENT_REQUEST_TIMEOUT);
-                }
-                _ => self.state_unavailable(conn),
-            },
-            StateRequest::InspectJob { conn, uid, over } => match reply {
-                Reply::Item(item) => self.respond_job_details(
-                    conn,
-                    &uid,
-                    json!({"key": item.path, "stamp": item.mod_revision, "record": item.value}),
-                ),
-                Reply::Absent if !over => {
-                    self.request_state(
-                        StateRequest::InspectJob {
-                            conn,
-                            uid: uid.clone(),
-                            over: true,
-                        },
-                        Op::Get(finished_key(&uid)),
-                        CLIENT_REQUEST_TIMEOUT,
-                    );
-                }
-                Reply::Absent => self.respond_error(conn, 404, "no such job"),
-                _ => self.state_unavailable(conn),
-            },
-            StateRequest::ReadSchemaVersion => self.schema_version_read(reply),
-            StateRequest::ReadMachineTypes => self.machine_types_read(reply),
-            StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
-            StateRequest::ReadOwnSchemaSupport => self.register_schema_support(reply),
-            StateRequest::WriteOwnSchemaSupport => self.schema_support_registered(&reply),
+            } => self.cancel_written(conn, uid, tries, body, &reply),
+            StateRequest::InspectJob { conn, uid, over } => {
+                self.inspected_job_read(conn, uid, over, reply);
+            }
             StateRequest::ReadDependency {
                 submission,
                 uid,
@@ -166,95 +101,210 @@
                 over,
                 reason,
             } => self.reject_submission(conn, uid, over, reason, reply),
-            StateRequest::ReadSchemaSupport { term } if self.is_current_term(term) => {
-                self.schema_support_read(reply)
-            }
-            StateRequest::RaiseSchemaVersion { term } if self.is_current_term(term) => {
-                self.schema_version_raised(&reply)
-            }
-            StateRequest::ReadDependencyOutcome { term, uid } if self.is_current_term(term) => {
-                self.dependency_outcome_read(&uid, reply)
+            // Whether they were answered at all is all that matters.
+            _ => {}
+        }
+    }
+
+    /// Replies to the leader of the current term.
+    fn handle_leader_state_reply(&mut self, request: StateRequest, reply: Reply, sent: Micros) {
+        match request {
+            StateRequest::WatchJobs { .. } => self.jobs_watch_answered(reply, sent),
+            StateRequest::CatchUp { .. } => self.caught_up(reply, sent),
+            StateRequest::SaveJobs { items, .. } => self.jobs_saved(items, reply),
+            StateRequest::RereadJob { uid, over, .. } => self.job_reread(&uid, over, reply),
+            StateRequest::WriteRegistryPage { key, written, .. } => {
+                self.registry_page_written(&key, written, &reply);
             }
-            StateRequest::CancelDependents { term, items } if self.is_current_term(term) => {
-                self.dependents_cancelled(items, &reply)
+            StateRequest::ReadRegistryPage { key, .. } => self.registry_page_read(&key, &reply),
+            StateRequest::DeleteRegistryPage { key, .. } => {
+                self.registry_page_deleted(&key, &reply);
             }
-            StateRequest::ListChunks { term } if self.is_current_term(term) => {
-                self.delete_orphan_chunks(reply)
+            StateRequest::ReadSchemaSupport { .. } => self.schema_support_read(reply),
+            StateRequest::RaiseSchemaVersion { .. } => self.schema_version_raised(&reply),
+            StateRequest::ReadDependencyOutcome { uid, .. } => {
+                self.dependency_outcome_read(&uid, reply);
             }
-            StateRequest::DeleteRegistryPage { term, key } if self.is_current_term(term) => {
-                let result = Self::write_result(&key, &reply);
-                let Some(leader_state) = &mut self.leader_state else {
-                    return;
-                };
-                leader_state
-                    .registry
-                    .page_deleted(&key, &result, &mut leader_state.workers);
+            StateRequest::CancelDependents { items, .. } => {
+                self.dependents_cancelled(items, &reply);
             }
-            StateRequest::ReadReplica { round, want } => self.replica_answered(round, want, reply),
-            StateRequest::WatchJobs { term } if self.is_current_term(term) => {
-                self.jobs_watch_answered(reply, sent)
+            StateRequest::ListChunks { .. } => self.delete_orphan_chunks(reply),
+            StateRequest::ForgetCancelledJob { uid, .. } => {
+                self.cancelled_job_forgotten(&uid, &reply);
             }
-            StateRequest::CatchUp { term } if self.is_current_term(term) => {
-                self.caught_up(reply, sent)
+            _ => {}
+        }
+    }
+
+    fn job_accepted(&mut self, conn: ConnId, uid: Arc<str>, reply: Reply) {
+        match reply {
+            Reply::Applied { .. } => {
+                self.client_requests.add_progress(&uid);
+                self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
-            StateRequest::SaveJobs { term, items } if self.is_current_term(term) => {
-                self.jobs_saved(items, reply)
+            Reply::Conflict { .. } => self.read_existing_job(conn, uid, false),
+            Reply::Refused(reason) => {
+                log::error!("the state service refused a job job={uid} reason={reason}");
+                self.respond_error(conn, &ApiError::StateRefusedJob);
             }
-            StateRequest::RereadJob { term, uid, over } if self.is_current_term(term) => {
-                self.job_reread(&uid, over, reply)
+            _ => self.state_unavailable(conn),
+        }
+    }
+
+    /// Reads the job that a submission repeats, to answer with its state.
+    pub(super) fn read_existing_job(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
+        let op = Op::Get(job_key(&uid, over));
+        let request = StateRequest::ReadExistingJob { conn, uid, over };
+        self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
+    }
+
+    fn existing_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
+        match reply {
+            Reply::Item(item) => {
+                self.client_requests.note_answer(&uid);
+                self.respond_stored_state(conn, &uid, over, item);
             }
-            StateRequest::WriteRegistryPage { term, key, written }
-                if self.is_current_term(term) =>
-            {
-                let result = Self::write_result(&key, &reply);
-                let Some(leader_state) = &mut self.leader_state else {
-                    return;
-                };
-                leader_state.registry.page_written(
-                    now,
-                    &key,
-                    written,
-                    &result,
-                    &mut leader_state.workers,
-                );
-                leader_state.schedule.request_placement_by(now);
+            Reply::Absent if !over => self.read_existing_job(conn, uid, true),
+            _ => self.state_unavailable(conn),
+        }
+    }
+
+    fn polled_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
+        match reply {
+            Reply::Item(item) => {
+                self.client_requests.note_answer(&uid);
+                self.respond_stored_state(conn, &uid, over, item);
             }
-            StateRequest::ReadRegistryPage { term, key } if self.is_current_term(term) => {
-                let Some(leader_state) = &mut self.leader_state else {
-                    return;
-                };
-                let mod_revision = match reply {
-                    Reply::Item(item) => Some(item.mod_revision),
-                    Reply::Absent => Some(0),
-                    _ => None,
-                };
-                leader_state.registry.page_read(now, &key, mod_revision);
+            Reply::Absent if over => {
+                self.client_requests.note_answer(&uid);
+                self.respond_error(conn, &ApiError::NoSuchJob);
             }
-            StateRequest::ForgetCancelledJob { term, uid } if self.is_current_term(term) => {
-                let Some(leader_state) = &mut self.leader_state else {
-                    return;
-                };
-                if matches!(reply, Reply::Applied { .. }) {
-                    leader_state.jobs.remove(&uid);
-                } else if let Some(job) = leader_state.jobs.get_mut(&uid) {
-                    job.save_in_flight = false;
+            Reply::Absent => self.read_for_poll(conn, uid, true),
+            _ => self.poll_failed(conn, &uid),
+        }
+    }
+
+    fn cancel_written(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        tries: u32,
+        body: Value,
+        reply: &Reply,
+    ) {
+        match reply {
+            Reply::Applied { .. } => {
+                self.client_requests.cache_final_state(&uid, body.clone());
+                // A leader needs no watch to learn what it wrote itself.
+                if let Some(leader_state) = &mut self.leader_state {
+                    Self::mark_cancelled(leader_state, &uid);
+                    self.apply_ledger_events();
+                } else {
+                    self.announce_cancellation(&uid);
                 }
+                self.respond(conn, 200, &body);
             }
-            // Of a term that is over.
-            _ => {}
+            Reply::Conflict { .. } if tries < CANCEL_RETRIES_MAX => {
+                self.read_for_cancel(conn, uid, false, tries + 1);
+            }
+            _ => self.state_unavailable(conn),
         }
     }
 
-    pub(super) fn write_result(key: &String, reply: &Reply) -> WriteResult {
+    /// Reads the stored record of a job for operators.
+    pub(super) fn read_inspected_job(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
+        let op = Op::Get(job_key(&uid, over));
+        let request = StateRequest::InspectJob { conn, uid, over };
+        self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
+    }
+
+    fn inspected_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
         match reply {
-            Reply::Applied { revision } => WriteResult::Applied(*revision),
-            Reply::Unavailable => WriteResult::NotApplied,
-            Reply::Conflict { failed } if !failed.contains(key) => WriteResult::NotApplied,
-            _ => WriteResult::Unknown,
+            Reply::Item(item) => self.respond_job_details(
+                conn,
+                &uid,
+                json!({"key": item.path, "stamp": item.mod_revision, "record": item.value}),
+            ),
+            Reply::Absent if !over => self.read_inspected_job(conn, uid, true),
+            Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
+            _ => self.state_unavailable(conn),
         }
     }
 
-    pub(super) fn is_current_term(&self, term: u64) -> bool {
+    fn registry_page_written(
+        &mut self,
+        key: &str,
+        written: Vec<(Arc<str>, Option<Micros>)>,
+        reply: &Reply,
+    ) {
+        let now = self.now.steady;
+        let result = write_result(key, reply);
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state
+            .registry
+            .page_written(now, key, written, &result, &mut leader_state.workers);
+        leader_state.schedule.request_placement_by(now);
+    }
+
+    fn registry_page_read(&mut self, key: &str, reply: &Reply) {
+        let now = self.now.steady;
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let mod_revision = match reply {
+            Reply::Item(item) => Some(item.mod_revision),
+            Reply::Absent => Some(0),
+            _ => None,
+        };
+        leader_state.registry.page_read(now, key, mod_revision);
+    }
+
+    fn registry_page_deleted(&mut self, key: &str, reply: &Reply) {
+        let result = write_result(key, reply);
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        leader_state
+            .registry
+            .page_deleted(key, &result, &mut leader_state.workers);
+    }
+
+    fn cancelled_job_forgotten(&mut self, uid: &str, reply: &Reply) {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        if matches!(reply, Reply::Applied { .. }) {
+            leader_state.jobs.remove(uid);
+        } else if let Some(job) = leader_state.jobs.get_mut(uid) {
+            job.save_in_flight = false;
+        }
+    }
+
+    fn is_current_term(&self, term: u64) -> bool {
         self.leader_state.as_ref().is_some_and(|l| l.term == term)
     }
 }
+
+/// The key of a job: that of its final state if it is `over`, else that of the live job.
+pub(super) fn job_key(uid: &str, over: bool) -> String {
+    if over {
+        finished_key(uid)
+    } else {
+        live_key(uid)
+    }
+}
+
+/// What the reply to a conditional write of that key says about the key.
+fn write_result(key: &str, reply: &Reply) -> WriteResult {
+    match reply {
+        Reply::Applied { revision } => WriteResult::Applied(*revision),
+        Reply::Unavailable => WriteResult::NotApplied,
+        // Another precondition failed: the leader key has changed.
+        Reply::Conflict { failed } if !failed.iter().any(|path| path == key) => {
+            WriteResult::NotApplied
+        }
+        _ => WriteResult::Unknown,
+    }
+}
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -1,7 +1,10 @@
 //! Submissions: accepted by this node's own conditional write, after what is stored of the jobs
 //! that they name.
 
-use super::{CLIENT_REQUEST_TIMEOUT, Controller, StateRequest};
+use super::api_error::ApiError;
+use super::state_replies::job_key;
+use super::state_request::StateRequest;
+use super::{CLIENT_REQUEST_TIMEOUT, Controller};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{FinalState, JobRecord, final_body, finished_key, live_key};
@@ -76,19 +79,19 @@
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
-            Err(reason) => return self.respond_error(conn, 400, &reason),
+            Err(reason) => return self.respond_error(conn, &ApiError::InvalidJob(reason)),
         };
         let uid = spec.uid.clone();
         if self.answer_from_final_state(conn, &uid) {
             return;
         }
         if self.cloud.types.is_empty() {
-            return self.respond_error(conn, 503, "the machine types are not known yet");
+            return self.respond_error(conn, &ApiError::MachineTypesUnknown);
         }
         if let Some(reason) = impossible_reason(&spec, &self.cloud.types, &self.settings) {
             if !self.cloud.types_confirmed() {
                 // What is stored may be older than what the cloud offers.
-                return self.respond_error(conn, 503, "the machine types are being asked for");
+                return self.respond_error(conn, &ApiError::MachineTypesUnconfirmed);
             }
             // What was accepted when the cloud offered more stays accepted.
             return self.reject_unless_known(conn, uid, false, reason);
@@ -97,7 +100,7 @@
         if let Some(need) = spec.waits_on.iter().find(odd) {
             let shown: String = need.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
-            return self.respond_error(conn, 422, &reason);
+            return self.respond_error(conn, &ApiError::JobRejected(reason));
         }
         if self.forward_if_needed(conn, "POST", "/work".to_owned(), body) {
             return;
@@ -203,7 +206,7 @@
                 Ok(_) => {}
                 Err(e) => {
                     log::error!("{} can't be read: {e}", item.path);
-                    return self.abandon_submission(id, "a job named in waitsOn can't be read");
+                    return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
@@ -218,7 +221,7 @@
                 }
                 Err(e) => {
                     log::error!("{} can't be read: {e}", item.path);
-                    return self.abandon_submission(id, "a job named in waitsOn can't be read");
+                    return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             // Live first, then over: a job moves only in that direction.
@@ -247,9 +250,9 @@
         self.continue_submission(id);
     }
 
-    fn abandon_submission(&mut self, id: u64, reason: &str) {
+    fn abandon_submission(&mut self, id: u64, error: &ApiError) {
         if let Some(s) = self.submissions.remove(id) {
-            self.respond_error(s.conn, 503, reason);
+            self.respond_error(s.conn, error);
         }
     }
 
@@ -317,13 +320,7 @@
             Reply::Conflict { failed } => {
                 let own = [live_key(&uid), finished_key(&uid)];
                 if failed.iter().any(|f| own.contains(f)) {
-                    let key = live_key(&uid);
-                    let purpose = StateRequest::ReadExistingJob {
-                        conn,
-                        uid,
-                        over: false,
-                    };
-                    self.request_state(purpose, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
+                    self.read_existing_job(conn, uid, false);
                 } else if s.attempts < DEPENDENCY_RETRIES_MAX {
                     s.attempts += 1;
                     self.read_dependencies(s);
@@ -333,7 +330,7 @@
             }
             Reply::Refused(reason) => {
                 log::error!("the state service refused job {uid}: {reason}");
-                self.respond_error(conn, 503, "the state service refused the job");
+                self.respond_error(conn, &ApiError::StateRefusedJob);
             }
             _ => self.state_unavailable(conn),
         }
@@ -341,11 +338,7 @@
 
     /// Reads whether a submission to be refused repeats one that was accepted.
     fn reject_unless_known(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reason: String) {
-        let key = if over {
-            finished_key(&uid)
-        } else {
-            live_key(&uid)
-        };
+        let key = job_key(&uid, over);
         let purpose = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
@@ -367,7 +360,7 @@
         match reply {
             Reply::Item(item) => self.respond_stored_state(conn, &uid, over, item),
             Reply::Absent if !over => self.reject_unless_known(conn, uid, true, reason),
-            Reply::Absent => self.respond_error(conn, 422, &reason),
+            Reply::Absent => self.respond_error(conn, &ApiError::JobRejected(reason)),
             _ => self.state_unavailable(conn),
         }
     }
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -1,6 +1,7 @@
 //! What the watch and the workers tell, into the jobs; machines and jobs that fail.
 
-use super::{Controller, LeaderState};
+use super::Controller;
+use super::leader::LeaderState;
 use crate::accounting::{StopReason, TaskOutcome};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::cloud::Cloud;
