--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,4 +1,8 @@
-//! Users' requests: submissions, polls and cancellations, by this node or through another.
+//! Requests of clients: routing, polls and cancellations, served here or by another controller.
+//!
+//! Whether a job is over is always read from the state service, never from memory: another node may
+//! just have told the client of a cancellation. Only a final state already read is answered at
+//! once, since it never changes. How far a live job is may come from the leader's announcement.
 
 use super::api_error::ApiError;
 use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
@@ -17,85 +21,84 @@
 use crate::wire::{
     KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
 };
-use serde_json::json;
+use serde_json::{Value, json};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use zerocopy::IntoBytes;
 
-/// So many others must have said a moment ago that they can serve users for the leader not to.
-/// With two, both of which crashed at once, users had no node at all until the load balancer
-/// took the leader back.
+/// Changes of a cancellation besides the chunks: the live key, the final state and the header.
+const CANCEL_CHANGES: usize = 3;
+/// The leader serves no clients while at least this many peers do. With two, both of which crashed
+/// at once, clients had no node at all until the load balancer took the leader back.
 const SERVING_PEERS_MIN: usize = 3;
 
-/// That many reads for overdue polls may wait among the users' changes.
+/// At most this many reads for starved polls wait among the changes of clients.
 const QUEUED_STARVED_READS_MAX: usize = 4;
-/// For so long nothing is started of a job that another controller said is cancelled.
+/// Nothing of a job is started for this long after another controller announced its cancellation.
 const CANCELLATION_HINT_HOLD: Micros = 5 * SECOND;
 
 impl Controller {
-    /// The state service does not answer us, but may answer another controller: a single node
-    /// can be refused or cut off from it while the others are served.
+    /// The state service does not answer this node, but may answer another controller: a single node
+    /// can be refused or cut off while the others are served.
     pub(super) fn state_unavailable(&mut self, conn: ConnId) {
-        let asked = self.client_requests.take(conn);
-        if let (Some(asked), Some(peer)) = (asked, self.pick_helper_peer()) {
-            self.forward_client_request(conn, peer, asked);
+        let request = self.client_requests.take(conn);
+        if let (Some(request), Some(peer)) = (request, self.pick_helper_peer()) {
+            self.forward_client_request(conn, peer, request);
         } else {
             self.respond_error(conn, &ApiError::StateUnavailable);
         }
     }
 
     /// A controller that may answer a client request for this node.
-    pub(super) fn pick_helper_peer(&mut self) -> Option<SocketAddr> {
+    fn pick_helper_peer(&mut self) -> Option<SocketAddr> {
         let leader = self.leader_name();
         self.peer_links
             .pick_helper(self.now.steady, leader.as_deref())
     }
 
-    pub(super) fn forward_client_request(
-        &mut self,
-        conn: ConnId,
-        peer: SocketAddr,
-        asked: ClientRequest,
-    ) {
-        let about = format!("{} {}", asked.method, asked.path);
+    /// Has another controller serve a client's request.
+    fn forward_client_request(&mut self, conn: ConnId, peer: SocketAddr, request: ClientRequest) {
+        let about = format!("{} {}", request.method, request.path);
         self.call_peer(
             peer,
             PeerCallPurpose::ClientRequest { conn, peer },
-            PeerRequest::new(KIND_CLIENT_REQUEST, about, asked.body),
+            PeerRequest::new(KIND_CLIENT_REQUEST, about, request.body),
         );
     }
 
-    /// Whether this node leads and enough of the others can serve the users. The leader has the
-    /// most to do, and when it stops, its users' requests stop with it; so they are better kept
-    /// apart. With few others, their end would leave nobody.
+    /// Whether this node leads and enough of its peers can serve the clients. The leader has the
+    /// most to do, and when it stops its clients' requests stop with it; so the two are better kept
+    /// apart. With few peers, their end would leave nobody.
     fn peers_serve_clients(&self) -> bool {
         self.is_leader() && self.peer_links.serving_count(self.now.steady) >= SERVING_PEERS_MIN
     }
 
-    /// Whether neither the state service nor another controller has answered this node for a while. What it
-    /// knows may be older than what its users were told elsewhere, and nobody can answer for it: it says so at
-    /// once, to the load balancer too, so that users and workers go where they can be served.
+    /// Whether neither the state service nor another controller has answered this node for a while.
+    /// What it knows may be older than what its clients were told elsewhere, and nobody can answer
+    /// for it: it says so at once, to the load balancer too, so that clients and workers go where
+    /// they can be served.
     pub fn is_isolated(&self) -> bool {
-        let t = self.now.steady;
-        self.peer_links.is_isolated(t, self.state.failing_for(t))
+        let now = self.now.steady;
+        self.peer_links
+            .is_isolated(now, self.state.failing_for(now))
     }
 
-    /// Answers that nobody can be served here, if that is so.
+    /// Refuses a request if this node is isolated; returns whether it is.
     pub(super) fn refused_as_isolated(&mut self, conn: ConnId) -> bool {
-        let cut_off = self.is_isolated();
-        if cut_off {
+        let isolated = self.is_isolated();
+        if isolated {
             self.respond_error(conn, &ApiError::Isolated);
         }
-        cut_off
+        isolated
     }
 
-    /// While the state service fails: asks another controller, by turns, for no more than a sign of life. In
-    /// an outage for all nobody may have anything else to say.
+    /// While the state service fails: calls another controller, taking turns, for nothing but a sign
+    /// of life. In an outage for all of them, nobody may have another reason to call.
     pub(super) fn check_peer_liveness(&mut self) {
-        let t = self.now.steady;
-        let failing_for = self.state.failing_for(t);
-        let Some(dest) = self.peer_links.take_liveness_check(t, failing_for) else {
+        let now = self.now.steady;
+        let failing_for = self.state.failing_for(now);
+        let Some(dest) = self.peer_links.take_liveness_check(now, failing_for) else {
             return;
         };
         // An empty checksum frame: every version acknowledges and ignores it.
@@ -107,8 +110,8 @@
         );
     }
 
-    /// Notes a user's request; true when another controller answers it, since the state service
-    /// has just failed us.
+    /// Keeps a client's request until it is answered; true if it is answered elsewhere already,
+    /// since the state service has just failed this node or it is isolated.
     pub(super) fn forward_if_needed(
         &mut self,
         conn: ConnId,
@@ -123,43 +126,31 @@
             return true;
         }
         let body = body.to_vec();
-        let asked = ClientRequest { method, path, body };
+        let request = ClientRequest { method, path, body };
         if self.state.is_failing()
             && let Some(peer) = self.pick_helper_peer()
         {
-            self.forward_client_request(conn, peer, asked);
+            self.forward_client_request(conn, peer, request);
             return true;
         }
-        self.client_requests.insert(conn, asked);
+        self.client_requests.insert(conn, request);
         false
     }
 
-    /// The node that leads, by the state service or by its own recent word.
+    /// The leader, by its own recent announcement or by the leader key.
     pub(super) fn leader_name(&self) -> Option<String> {
         self.peer_links
             .leader_hint(self.now.steady)
             .map(str::to_owned)
-            .or_else(|| self.election.leader().map(|r| r.node.clone()))
+            .or_else(|| self.election.leader().map(|record| record.node.clone()))
     }
 
+    /// Routes a request of a client, a worker, the load balancer or an operator.
     pub(super) fn handle_request(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
         let path = path.split('?').next().unwrap_or("");
         let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, parts.as_slice()) {
-            ("GET", ["up"]) => {
-                self.client_requests.note_health_check(self.now.steady);
-                if self.cloud.types.is_empty() {
-                    return self.respond_error(conn, &ApiError::Starting);
-                }
-                if self.refused_as_isolated(conn) {
-                    return;
-                }
-                if self.peers_serve_clients() {
-                    return self.respond_error(conn, &ApiError::LeaderServesNoClients);
-                }
-                self.note_startup_answer("GET /up", 200);
-                self.respond(conn, 200, &json!({"up": true}));
-            }
+            ("GET", ["up"]) => self.handle_health_check(conn),
             ("POST", ["work"]) => self.submit(conn, &body),
             ("GET", ["work", uid]) => self.poll_job(conn, uid),
             ("POST", ["work", uid, "cancel"]) => self.cancel_job(conn, uid),
@@ -168,23 +159,38 @@
             (
                 _,
                 ["up" | "work" | "checkin"] | ["work", _] | ["work", _, "cancel"] | ["inspect", ..],
-            ) => {
-                self.respond_error(conn, &ApiError::MethodNotAllowed);
-            }
+            ) => self.respond_error(conn, &ApiError::MethodNotAllowed),
             _ => self.respond_error(conn, &ApiError::NoSuchPath),
         }
     }
 
-    /// Answers at once for a job that this node knows to be over; ends never change.
+    /// Tells the load balancer whether clients should come to this node.
+    fn handle_health_check(&mut self, conn: ConnId) {
+        self.client_requests.note_health_check(self.now.steady);
+        if self.cloud.types.is_empty() {
+            return self.respond_error(conn, &ApiError::Starting);
+        }
+        if self.refused_as_isolated(conn) {
+            return;
+        }
+        if self.peers_serve_clients() {
+            return self.respond_error(conn, &ApiError::LeaderServesNoClients);
+        }
+        self.note_startup_answer("GET /up", 200);
+        self.respond(conn, 200, &json!({"up": true}));
+    }
+
+    /// Answers at once for a job whose final state this node has read; returns whether it has.
     pub(super) fn answer_from_final_state(&mut self, conn: ConnId, uid: &str) -> bool {
-        let Some(known) = self.client_requests.final_state(uid).cloned() else {
+        let Some(body) = self.client_requests.final_state(uid).cloned() else {
             return false;
         };
-        self.respond(conn, 200, &known);
+        self.respond(conn, 200, &body);
         true
     }
 
-    pub(super) fn poll_job(&mut self, conn: ConnId, uid: &str) {
+    /// Answers a client's poll of a job.
+    fn poll_job(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
@@ -194,8 +200,7 @@
         if self.forward_if_needed(conn, "GET", format!("/work/{uid}"), &[]) {
             return;
         }
-        // Always the store, never memory: another node may just have told the user of a cancel.
-        // Whether a job is over can be asked for many at once, the rest is told by the leader.
+        // Whether jobs are over is checked for many at once; how far they are, the leader announces.
         if self.job_counts(uid).is_some() {
             let now = self.now.steady;
             let uid = uid.into();
@@ -206,38 +211,35 @@
             };
             return self.client_requests.queue_poll(now, poll);
         }
-        self.read_polled_job(conn, uid);
-    }
-
-    pub(super) fn read_polled_job(&mut self, conn: ConnId, uid: &str) {
         self.read_for_poll(conn, uid.into(), false);
     }
 
-    /// Reads a job for a poll; the questions of a job that had no answer for long go with the users' changes,
-    /// a few at a time: after an outage all are of that kind, and submissions wait too.
+    /// Reads a job for a poll. Reads for a job that had no answer for long are queued with the
+    /// changes of clients, but only a few at a time: after an outage all polls are of that kind, and
+    /// submissions wait too.
     pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let few = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
-        let rank = if few && self.client_requests.is_starved(t, &uid) {
+        let priority = if few && self.client_requests.is_starved(now, &uid) {
             RequestPriority::Client
         } else {
             RequestPriority::Background
         };
-        let key = job_key(&uid, over);
-        let purpose = StateRequest::PollJob { conn, uid, over };
+        let op = Op::Get(job_key(&uid, over));
+        let request = StateRequest::PollJob { conn, uid, over };
         self.state
-            .submit(t, purpose, rank, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
+            .submit(now, request, priority, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// No answer for a poll from here.
+    /// A poll could not be answered here.
     pub(super) fn poll_failed(&mut self, conn: ConnId, uid: &str) {
         self.client_requests.note_failure(self.now.steady, uid);
         self.state_unavailable(conn);
     }
 
-    /// Tasks done and placed of a live job, by the leader's last word. While no node leads
-    /// nothing newer is known to anybody, and the stored counts are older still.
-    pub(super) fn job_counts(&self, uid: &str) -> Option<(u64, u64)> {
+    /// Tasks done and placed of a live job, by the leader's last announcement. While there is no
+    /// leader nobody knows anything newer, and the stored counts are older still.
+    fn job_counts(&self, uid: &str) -> Option<(u64, u64)> {
         if self.is_leader() {
             let job = self.leader_state.as_ref()?.jobs.get(uid)?;
             return Some((
@@ -248,8 +250,8 @@
         self.client_requests.progress_of(self.now.steady, uid)
     }
 
-    /// Asks for all jobs polled in the last moment whether they are over. When the budget is
-    /// short, more polls come together in each question instead of going without an answer.
+    /// Checks for all jobs polled in the last moment at once whether they are over. When the request
+    /// budget is short, more polls share each check instead of going without an answer.
     pub(super) fn flush_polls(&mut self) {
         let now = self.now.steady;
         if !self.client_requests.has_due_polls(now) {
@@ -276,22 +278,23 @@
         } else {
             RequestPriority::Background
         };
-        let purpose = StateRequest::CheckFinished { polls };
+        let request = StateRequest::CheckFinished { polls };
         self.state.submit(
             now,
-            purpose,
+            request,
             priority,
             Op::Transaction(txn),
             CLIENT_REQUEST_TIMEOUT,
         );
     }
 
+    /// Handles which of the polled jobs are over.
     pub(super) fn polls_checked(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
         let ended: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
                 .iter()
-                .filter_map(|f| f.strip_prefix(FINISHED_PREFIX))
+                .filter_map(|key| key.strip_prefix(FINISHED_PREFIX))
                 .collect(),
             _ => {
                 // Other requests used up this node's budget, as during a failover: the check is
@@ -320,28 +323,29 @@
                 self.client_requests.note_answer(&uid);
                 self.respond(conn, 200, &live_body(&uid, done, running));
             } else {
-                self.read_polled_job(conn, &uid);
+                self.read_for_poll(conn, uid, false);
             }
         }
     }
 
-    /// Tells the other controllers how far the live jobs are, so that polls need not read them.
+    /// Announces to the other controllers how far the live jobs are, so that polls need not read
+    /// them, and to the standbys the checksum over them.
     pub(super) fn announce_progress(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if !leader_state.schedule.take_progress_announcement(t) {
+        if !leader_state.schedule.take_progress_announcement(now) {
             return;
         }
         let jobs = leader_state
             .jobs
             .by_number
             .values()
-            .filter(|j| !j.cancelled);
-        let rows = jobs.filter_map(|j| {
-            let done = j.spec.tasks - j.remaining_tasks();
-            ProgressRow::new(&j.spec.uid, done as u32, j.placements.len() as u32)
+            .filter(|job| !job.cancelled);
+        let rows = jobs.filter_map(|job| {
+            let done = job.spec.tasks - job.remaining_tasks();
+            ProgressRow::new(&job.spec.uid, done as u32, job.placements.len() as u32)
         });
         let body = rows.collect::<Vec<_>>().as_bytes().to_vec();
         for peer in self.peer_links.addresses() {
@@ -355,7 +359,8 @@
         self.announce_checksum();
     }
 
-    pub(super) fn cancel_job(&mut self, conn: ConnId, uid: &str) {
+    /// Cancels a job for a client.
+    fn cancel_job(&mut self, conn: ConnId, uid: &str) {
         if !valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
@@ -380,7 +385,8 @@
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// Tells the leader of a cancellation that this node has just confirmed, for when the state service does not.
+    /// Announces to the leader a cancellation that this node has just confirmed, in case the state
+    /// service does not report it in time.
     pub(super) fn announce_cancellation(&mut self, uid: &str) {
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return;
@@ -394,14 +400,15 @@
         );
     }
 
-    /// Another controller says that the job was cancelled. What is stored decides, and is told by the watch; until
-    /// then its tasks are stopped and none is started, which a word that was wrong costs some work at most.
+    /// Another controller announced that the job was cancelled. What is stored decides, and is
+    /// reported by the watch; until then its tasks are stopped and none is started, which costs some
+    /// work at most if the announcement was wrong.
     pub(super) fn cancellation_hinted(&mut self, uid: &str) {
         let now = self.now.steady;
         let Some(leader_state) = self.leader_state.as_mut().filter(|l| l.load.is_none()) else {
             return;
         };
-        let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
+        let Some(job) = leader_state.jobs.get_mut(uid).filter(|job| !job.cancelled) else {
             return;
         };
         job.not_before = job.not_before.max(now + CANCELLATION_HINT_HOLD);
@@ -410,24 +417,27 @@
         self.apply_ledger_events();
     }
 
+    /// Answers with the state of a stored job; `over` says that the item is its final state.
     pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
-        if over {
-            match serde_json::from_str::<FinalState>(item.value.get()) {
-                Ok(f) => {
-                    let body = final_body(uid, &f);
-                    self.client_requests.cache_final_state(uid, body.clone());
-                    self.respond(conn, 200, &body);
-                }
-                Err(_) => self.respond_error(conn, &ApiError::StoredJobUnreadable),
-            }
+        let body = if over {
+            serde_json::from_str::<FinalState>(item.value.get())
+                .ok()
+                .map(|end| final_body(uid, &end))
         } else {
-            match schema::decode_job(&item.value) {
-                Ok((r, _)) => self.respond(conn, 200, &r.status_body()),
-                Err(_) => self.respond_error(conn, &ApiError::StoredJobUnreadable),
-            }
+            schema::decode_job(&item.value)
+                .ok()
+                .map(|(record, _)| record.status_body())
+        };
+        let Some(body) = body else {
+            return self.respond_error(conn, &ApiError::StoredJobUnreadable);
+        };
+        if over {
+            self.client_requests.cache_final_state(uid, body.clone());
         }
+        self.respond(conn, 200, &body);
     }
 
+    /// Handles what is stored of a job that is to be cancelled.
     pub(super) fn cancel_job_read(
         &mut self,
         conn: ConnId,
@@ -438,76 +448,86 @@
     ) {
         match reply {
             Reply::Item(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
-                if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
-                    end.status = "cancelled".to_owned();
-                    let body = final_body(&uid, &end);
-                    let txn = Transaction::default().set(finished_key(&uid), &end);
-                    let write = StateRequest::WriteCancel {
-                        conn,
-                        uid,
-                        tries,
-                        body,
-                    };
-                    self.request_state(write, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
-                }
+                self.overwrite_final_state(conn, uid, tries, &item);
             }
             Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
-            Reply::Item(item) => {
-                let mod_revision = item.mod_revision;
-                let (record, pieces) = match schema::decode_job(&item.value) {
-                    Ok(read) => read,
-                    Err(e) => {
-                        log::error!("{} can't be read: {e}", item.path);
-                        return self.respond_error(conn, &ApiError::StoredJobUnreadable);
-                    }
-                };
-                let layout = self.schema();
-                let end = record.finish("cancelled", self.now.wall);
-                let end = end.fit(layout.usable_bytes());
-                let body = final_body(&uid, &end);
-                let mut txn = Transaction::default()
-                    .require_revision(live_key(&uid), mod_revision)
-                    .require_revision(finished_key(&uid), 0)
-                    .delete(live_key(&uid))
-                    .set(finished_key(&uid), &end);
-                // Its tasks may be on machines: the leader, also a later one, stops them and
-                // counts them until they are gone.
-                if pieces > 0
-                    || (!record.placed.is_empty() && fits_value_limit(&item.value, &layout))
-                {
-                    // Its pieces stay where they are.
-                    txn = txn.set_raw(stopping_key(&uid), item.value);
-                } else if !record.placed.is_empty() {
-                    // Stored under larger limits: laid out anew.
-                    let values = layout.encode_job(&record);
-                    let Some(values) = values.filter(|v| v.chunks.len() + 3 <= layout.txn_ops)
-                    else {
-                        return self.respond_error(conn, &ApiError::JobTooWideToCancel);
-                    };
-                    txn = txn.set_raw(stopping_key(&uid), values.header);
-                    for (n, value) in values.chunks.into_iter().enumerate() {
-                        txn = txn.set_raw(chunk_key(&uid, n), value);
-                    }
-                }
-                self.request_state(
-                    StateRequest::WriteCancel {
-                        conn,
-                        uid,
-                        tries,
-                        body,
-                    },
-                    Op::Transaction(txn),
-                    CLIENT_REQUEST_TIMEOUT,
-                );
-            }
+            Reply::Item(item) => match self.cancellation_of(&uid, item) {
+                Ok((txn, body)) => self.write_cancel(conn, uid, tries, body, txn),
+                Err(error) => self.respond_error(conn, &error),
+            },
             Reply::Absent if !over => self.read_for_cancel(conn, uid, true, tries),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.state_unavailable(conn),
         }
     }
+
+    fn write_cancel(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        tries: u32,
+        body: Value,
+        txn: Transaction,
+    ) {
+        let request = StateRequest::WriteCancel {
+            conn,
+            uid,
+            tries,
+            body,
+        };
+        self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
+    }
+
+    /// The injected fault: a final state is written over.
+    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &Item) {
+        if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
+            end.status = "cancelled".to_owned();
+            let body = final_body(&uid, &end);
+            let txn = Transaction::default().set(finished_key(&uid), &end);
+            self.write_cancel(conn, uid, tries, body, txn);
+        }
+    }
+
+    /// The write that cancels a live job, and what its client is answered.
+    ///
+    /// # Errors
+    /// [`ApiError::StoredJobUnreadable`], and [`ApiError::JobTooWideToCancel`] if the record has to
+    /// be rewritten under smaller limits and one transaction does not hold it.
+    fn cancellation_of(&self, uid: &str, item: Item) -> Result<(Transaction, Value), ApiError> {
+        let (record, chunks) = schema::decode_job(&item.value).map_err(|error| {
+            log::error!("stored job unreadable key={} error={error}", item.path);
+            ApiError::StoredJobUnreadable
+        })?;
+        let schema = self.schema();
+        let end = record.finish("cancelled", self.now.wall);
+        let end = end.fit(schema.usable_bytes());
+        let body = final_body(uid, &end);
+        let mut txn = Transaction::default()
+            .require_revision(live_key(uid), item.mod_revision)
+            .require_revision(finished_key(uid), 0)
+            .delete(live_key(uid))
+            .set(finished_key(uid), &end);
+        // Tasks of the job may be on machines: the leader, also a later one, stops them and counts
+        // them until they are gone.
+        if chunks > 0 || (!record.placed.is_empty() && fits_value_limit(&item.value, &schema)) {
+            // Its chunks stay where they are.
+            txn = txn.set_raw(stopping_key(uid), item.value);
+        } else if !record.placed.is_empty() {
+            // Stored under larger limits: it is encoded anew.
+            let values = schema
+                .encode_job(&record)
+                .filter(|values| values.chunks.len() + CANCEL_CHANGES <= schema.txn_ops)
+                .ok_or(ApiError::JobTooWideToCancel)?;
+            txn = txn.set_raw(stopping_key(uid), values.header);
+            for (number, value) in values.chunks.into_iter().enumerate() {
+                txn = txn.set_raw(chunk_key(uid, number), value);
+            }
+        }
+        Ok((txn, body))
+    }
 }
 
 /// Whether a stored value may be written again as it is.
-pub(super) fn fits_value_limit(value: &Raw, layout: &Schema) -> bool {
-    value.get().len() <= layout.value_bytes
+pub(super) fn fits_value_limit(value: &Raw, schema: &Schema) -> bool {
+    value.get().len() <= schema.value_bytes
 }
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,6 +1,13 @@
-//! Following the leader, and the steps from its end to the first decision of the next.
+//! The standby's replica of what the leader stores, and the steps of a failover up to the new
+//! leader's first decision.
+//!
+//! A standby keeps a copy of the stored records and compares its checksum with the leader's. A
+//! replica that was ever wrong is not repaired but discarded, counted and read anew. A new leader
+//! decides nothing before it has seen everything up to the revision of its own election, whether it
+//! starts from its replica (warm) or reads everything anew (cold).
 
 use super::Controller;
+use super::leader::LeaderState;
 use super::peer_links::PeerRequest;
 use super::state_request::StateRequest;
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
@@ -18,48 +25,53 @@
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// A process that is to end does not ask for the lead again.
+/// A process that shuts down does not stand for election again.
 const SHUTDOWN_BACKOFF: Micros = 3600 * SECOND;
 
-/// Until a takeover is told in the log, if not enough machines are heard before.
+/// A failover is logged after this long at the latest, however few machines have reported by then.
 const FAILOVER_LOG_DELAY_MAX: Micros = 20 * SECOND;
 
-/// What this node follows, and what it knows of its copy.
+/// The share of the fleet, in parts of twenty, whose reports count as nearly all of it.
+const MOST_CONFIRMED_TWENTIETHS: usize = 19;
+
+/// What this node replicates, and what it knows about its copy.
 #[derive(Default)]
 pub(super) struct Standby {
-    pub(super) replica: Replica,
-    /// Counts the mirrors: answers for one that was thrown away are not taken.
+    replica: Replica,
+    /// Counts the replicas: replies for one that was discarded are dropped.
     generation: u64,
-    /// Questions under way.
+    /// Reads under way.
     reads_in_flight: usize,
     next_read_at: Micros,
     last_read_at: Micros,
-    /// The leader's sum that the mirror has not come up to yet.
+    /// The leader's checksum at a revision that the replica has not reached yet.
     leader_checksum: Option<LeaderChecksum>,
-    /// The epoch of the last sum that agreed.
+    /// The revision at which the checksums last agreed.
     verified_revision: Option<u64>,
-    /// The node that led last, also when its key is gone.
+    /// The last leader, also after its key is gone.
     leader: Option<String>,
+    /// This node's place among the standbys of the leader; none if it is not one of them.
     rank: Option<usize>,
-    /// Why the last mirror was thrown away, and how many were.
+    /// Why the last replica was discarded.
     discard_reason: Option<ColdReason>,
+    /// How many replicas were discarded.
     discarded: u64,
-    /// The state service does not tell all changes: only reading anew is left.
+    /// The state service does not report changes of all keys: only reading anew is left.
     changes_unavailable: bool,
 }
 
-/// What a new leader has still to see before it decides.
+/// What a new leader has still to load before it decides anything.
 pub(super) struct LeaderLoad {
-    /// The epoch of its own take: nothing older will do.
+    /// The revision of its own election: nothing older will do.
     required_revision: u64,
-    /// Why it does not start from what it followed.
+    /// Why it does not start from its replica, if so.
     cold_reason: Option<ColdReason>,
 }
 
-/// A takeover in times, for the log and for operators.
+/// The times and counts of a failover, for the log and for operators.
 pub(super) struct Failover {
     cold_reason: Option<ColdReason>,
-    /// Since the leader before was last heard of, as far as this node can tell.
+    /// For how long the leader before had not been heard of, as far as this node can tell.
     leader_silence: Micros,
     elected_at: Micros,
     loaded_at: Option<Micros>,
@@ -78,86 +90,157 @@
     pub(super) fn note_placement_pass(&mut self, now: Micros) {
         self.first_pass_at = self.first_pass_at.or(Some(now));
     }
+
+    /// So many machines have confirmed the new term.
+    fn note_confirmed(&mut self, now: Micros, confirmed: usize) {
+        if 2 * confirmed >= self.machines {
+            self.half_confirmed_at = self.half_confirmed_at.or(Some(now));
+        }
+        if 20 * confirmed >= MOST_CONFIRMED_TWENTIETHS * self.machines {
+            self.most_confirmed_at = self.most_confirmed_at.or(Some(now));
+        }
+    }
+
+    /// Logs how the failover went; `started_at` is when the first task was started.
+    fn log(&self, term: u64, started_at: Option<Micros>) {
+        let ms = |at: Option<Micros>| {
+            at.map_or("none".to_owned(), |at| {
+                (at.saturating_sub(self.elected_at) / MILLISECOND).to_string()
+            })
+        };
+        log::info!(
+            "failover term={term} warm={} silent_ms={} load_ms={} first_decision_ms={} first_start_ms={} \
+             confirmed_half_ms={} confirmed_95_ms={} machines={} unconfirmed={} revision={}",
+            self.cold_reason.map_or("yes", ColdReason::as_str),
+            self.leader_silence / MILLISECOND,
+            ms(self.loaded_at),
+            ms(self.first_pass_at),
+            ms(started_at),
+            ms(self.half_confirmed_at),
+            ms(self.most_confirmed_at),
+            self.machines,
+            self.unconfirmed_placements,
+            self.revision
+        );
+    }
+}
+
+/// Logs what the reconciliation with the machines has found.
+fn log_reconciliation(leader_state: &LeaderState, now: Micros) {
+    let reconciled = leader_state.workers.reconciled;
+    log::info!(
+        "reconciled term={} stored={} confirmed={} machines={} agreed={} finished_meanwhile={} missing={} \
+         unknown={} stale={} commands={} commands_per_s_max={} elapsed_ms={}",
+        leader_state.term,
+        leader_state.failover.unconfirmed_placements,
+        leader_state.reconciliation.confirmed(),
+        leader_state.failover.machines,
+        reconciled.agreed,
+        reconciled.finished_meanwhile,
+        reconciled.missing,
+        reconciled.unknown,
+        reconciled.stale,
+        leader_state.workers.commands_sent,
+        leader_state.reconciliation.commands_per_second_max(),
+        leader_state.reconciliation.elapsed_ms(now)
+    );
 }
 
 /// What a new leader was built from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSource {
+    /// The term of the leader.
     pub term: u64,
-    /// From what it had followed; otherwise read anew.
+    /// From its replica; otherwise everything was read anew.
     pub warm: bool,
+    /// The store revision that it was loaded at.
     pub revision: u64,
-    /// Over the keys and stamps.
+    /// The checksum over the keys and their revisions.
     pub checksum: Checksum,
 }
 
 impl Controller {
-    /// Follows the leader, if this node is one of those that do.
+    /// Reads the next part of the replica, if this node is a standby and one is due.
     pub(super) fn replicate(&mut self) {
-        let t = self.now.steady;
-        // Its own take may be told by the watch before its answer comes: what it followed is needed then.
-        let known = self.standby.leader.as_ref();
-        let record = self.election.leader();
-        let other = record.filter(|r| r.node != self.settings.name && Some(&r.node) != known);
-        if let Some(leader) = other.map(|r| r.node.clone()) {
-            self.standby.leader = Some(leader);
-            self.standby.rank = self.standby_rank();
-            // What the leader before told is of no use against what this one tells.
-            (self.standby.leader_checksum, self.standby.verified_revision) = (None, None);
-        }
-        let f = &mut self.standby;
-        let warm = f.replica.is_complete() && f.verified_revision.is_some();
-        let yields = self.election.led_before_restart() && !self.peer_links.is_empty();
-        let more = if yields { RESTARTED_LEADER_DELAY } else { 0 };
+        self.note_leader_change();
+        let standby = &self.standby;
+        let warm = standby.replica.is_complete() && standby.verified_revision.is_some();
+        let restarted = self.election.led_before_restart() && !self.peer_links.is_empty();
+        let restart_delay = if restarted { RESTARTED_LEADER_DELAY } else { 0 };
         self.election
-            .set_candidacy_delay(candidacy_delay(f.rank, warm) + more);
+            .set_candidacy_delay(candidacy_delay(standby.rank, warm) + restart_delay);
         if self.leader_state.is_some() {
             return;
         }
-        if !self.properties.follow || f.rank.is_none() || f.changes_unavailable {
-            if f.replica.key_count() > 0 {
+        if !self.properties.follow || standby.rank.is_none() || standby.changes_unavailable {
+            if standby.replica.key_count() > 0 {
                 self.reset_replica();
             }
             return;
         }
-        // Its word is overdue: once, ahead of time.
-        let word = self.client_requests.progress_at();
-        let overdue = word > 0
-            && t >= word + LEADER_OVERDUE_AFTER
-            && f.last_read_at < word + LEADER_OVERDUE_AFTER;
-        let due = t >= f.next_read_at || (overdue && f.replica.is_complete());
-        if f.reads_in_flight > 0
-            || !due
-            || self.state.is_failing()
-            || !self.state.has_background_budget(t)
-        {
+        let now = self.now.steady;
+        if !self.is_replica_read_due(now) {
             return;
         }
-        let Some(want) = f.replica.next_reads().into_iter().next() else {
+        let standby = &mut self.standby;
+        let Some(want) = standby.replica.next_reads().into_iter().next() else {
             return;
         };
-        let pause = match want {
+        let interval = match want {
             ReplicaRead::Page { .. } => PAGE_INTERVAL,
             ReplicaRead::Changes { .. } => REPLICATION_INTERVAL,
         };
-        (f.next_read_at, f.last_read_at) = (t + pause, t);
+        (standby.next_read_at, standby.last_read_at) = (now + interval, now);
         self.read_replica(want);
     }
 
-    fn followers_of(&self, leader: &str) -> Vec<&str> {
-        let s = &self.settings;
-        let peers = s.peers.iter().map(|p| (&*p.name, &*p.zone));
-        let nodes: Vec<_> = peers.chain([(&*s.name, &*s.zone)]).collect();
+    /// Takes note of a new leader among the other controllers.
+    fn note_leader_change(&mut self) {
+        // The watch may report this node's own election before the answer to it arrives: what it
+        // replicated until then is needed.
+        let known = self.standby.leader.as_ref();
+        let record = self.election.leader();
+        let other = record
+            .filter(|record| record.node != self.settings.name && Some(&record.node) != known);
+        if let Some(leader) = other.map(|record| record.node.clone()) {
+            self.standby.leader = Some(leader);
+            self.standby.rank = self.standby_rank();
+            // Checksums of the leader before say nothing about what this one stores.
+            (self.standby.leader_checksum, self.standby.verified_revision) = (None, None);
+        }
+    }
+
+    fn is_replica_read_due(&self, now: Micros) -> bool {
+        let standby = &self.standby;
+        // When the leader's announcement is overdue, changes are read once ahead of time.
+        let announced_at = self.client_requests.progress_at();
+        let overdue = announced_at > 0
+            && now >= announced_at + LEADER_OVERDUE_AFTER
+            && standby.last_read_at < announced_at + LEADER_OVERDUE_AFTER;
+        let due = now >= standby.next_read_at || (overdue && standby.replica.is_complete());
+        standby.reads_in_flight == 0
+            && due
+            && !self.state.is_failing()
+            && self.state.has_background_budget(now)
+    }
+
+    /// The nodes that replicate what that leader stores.
+    fn standbys_of(&self, leader: &str) -> Vec<&str> {
+        let settings = &self.settings;
+        let peers = self.peer_links.peers().iter();
+        let peers = peers.map(|peer| (&*peer.name, &*peer.zone));
+        let nodes: Vec<_> = peers.chain([(&*settings.name, &*settings.zone)]).collect();
         choose_standbys(leader, &nodes)
     }
 
-    /// This node's place among those that follow the leader.
+    /// This node's place among the standbys of the leader.
     fn standby_rank(&self) -> Option<usize> {
         let leader = self.standby.leader.as_ref()?;
-        let chosen = self.followers_of(leader);
-        chosen.iter().position(|n| *n == self.settings.name)
+        let chosen = self.standbys_of(leader);
+        chosen.iter().position(|node| *node == self.settings.name)
     }
 
+    /// Sends a read for the replica.
     fn read_replica(&mut self, want: ReplicaRead) {
         let round = self.standby.generation;
         self.standby.reads_in_flight += 1;
@@ -176,22 +259,23 @@
                 block: 0,
             },
         };
-        let rank = if self.leader_state.is_some() {
+        let priority = if self.leader_state.is_some() {
             RequestPriority::Leader
         } else {
             RequestPriority::Background
         };
-        let purpose = StateRequest::ReadReplica { round, want };
+        let request = StateRequest::ReadReplica { round, want };
         self.state
-            .submit(self.now.steady, purpose, rank, op, SECOND);
+            .submit(self.now.steady, request, priority, op, SECOND);
     }
 
+    /// Handles the reply to a read for the replica of that generation.
     pub(super) fn replica_answered(&mut self, round: u64, want: ReplicaRead, reply: Reply) {
-        let f = &mut self.standby;
-        if round != f.generation {
+        let standby = &mut self.standby;
+        if round != standby.generation {
             return;
         }
-        f.reads_in_flight = f.reads_in_flight.saturating_sub(1);
+        standby.reads_in_flight = standby.reads_in_flight.saturating_sub(1);
         match (want, reply) {
             (
                 ReplicaRead::Page { prefix, .. },
@@ -201,23 +285,27 @@
                     revision,
                 },
             ) => {
-                f.replica.apply_page(prefix, items, truncated, revision);
-                if f.changes_unavailable {
-                    f.replica.accept_pages_as_complete();
+                standby
+                    .replica
+                    .apply_page(prefix, items, truncated, revision);
+                if standby.changes_unavailable {
+                    standby.replica.accept_pages_as_complete();
                 }
             }
             (ReplicaRead::Page { prefix, after }, _) => {
-                f.replica.note_page_unanswered(prefix, after)
+                standby.replica.note_page_unanswered(prefix, after);
             }
             (ReplicaRead::Changes { .. }, Reply::Events { events, revision }) => {
-                f.replica.apply_changes(events, revision);
+                standby.replica.apply_changes(events, revision);
             }
             (ReplicaRead::Changes { .. }, Reply::TooOld) => {
-                self.discard_replica(ColdReason::ChangesMissing)
+                self.discard_replica(ColdReason::ChangesMissing);
             }
             (ReplicaRead::Changes { .. }, Reply::Refused(reason)) => {
-                log::error!("the state service refuses to tell all changes: {reason}");
-                f.changes_unavailable = true;
+                log::error!(
+                    "the state service refuses to report changes of all keys reason={reason}"
+                );
+                standby.changes_unavailable = true;
                 self.discard_replica(ColdReason::ChangesUnavailable);
             }
             (ReplicaRead::Changes { .. }, _) => {}
@@ -226,26 +314,28 @@
         self.continue_load();
     }
 
+    /// Starts with an empty replica.
     fn reset_replica(&mut self) {
-        let f = &mut self.standby;
-        f.replica = Replica::default();
-        f.generation += 1;
-        (f.reads_in_flight, f.leader_checksum, f.verified_revision) = (0, None, None);
+        let standby = &mut self.standby;
+        standby.replica = Replica::default();
+        standby.generation += 1;
+        standby.reads_in_flight = 0;
+        (standby.leader_checksum, standby.verified_revision) = (None, None);
     }
 
-    /// A mirror that was ever wrong is not mended: it is read anew.
+    /// Discards a replica that is wrong or can't be kept up: it is not repaired but read anew.
     fn discard_replica(&mut self, cold: ColdReason) {
-        log::warn!("the mirror is thrown away: {}", cold.as_str());
+        log::warn!("replica discarded cause={}", cold.as_str());
         self.reset_replica();
         self.standby.discarded += 1;
         self.standby.discard_reason = Some(cold);
         self.standby.next_read_at = self.now.steady + REBUILD_DELAY;
-        if let Some(loading) = self.leader_state.as_mut().and_then(|l| l.load.as_mut()) {
-            loading.cold_reason = Some(cold);
+        if let Some(load) = self.leader_state.as_mut().and_then(|l| l.load.as_mut()) {
+            load.cold_reason = Some(cold);
         }
     }
 
-    /// The leader's word on the live jobs, from a frame.
+    /// Takes the leader's checksum over the live jobs, from a frame.
     pub(super) fn leader_checksum_received(&mut self, body: &[u8]) {
         let Ok(row) = ChecksumRow::read_from_bytes(body) else {
             return;
@@ -261,23 +351,24 @@
         self.compare_checksums();
     }
 
+    /// Compares the checksums once the replica has reached the leader's revision.
     fn compare_checksums(&mut self) {
-        let f = &mut self.standby;
-        let Some(told) = f.leader_checksum else {
+        let standby = &mut self.standby;
+        let Some(leader) = standby.leader_checksum else {
             return;
         };
-        let Some(mine) = f.replica.jobs_checksum_at(told.revision) else {
+        let Some(own) = standby.replica.jobs_checksum_at(leader.revision) else {
             return;
         };
-        f.leader_checksum = None;
-        if mine == told.checksum || fault_injected(InjectedFault::MirrorUnchecked) {
-            f.verified_revision = Some(told.revision);
+        standby.leader_checksum = None;
+        if own == leader.checksum || fault_injected(InjectedFault::MirrorUnchecked) {
+            standby.verified_revision = Some(leader.revision);
         } else {
             self.discard_replica(ColdReason::ChecksumDiffers);
         }
     }
 
-    /// Tells those that follow what this leader knows of the live jobs.
+    /// Sends the standbys this leader's checksum over the live jobs.
     pub(super) fn announce_checksum(&mut self) {
         let Some(leader_state) = &self.leader_state else {
             return;
@@ -287,10 +378,10 @@
             revision: leader_state.jobs_revision.into(),
             checksum: leader_state.jobs_checksum.0.into(),
         };
-        let chosen = self.followers_of(&self.settings.name);
-        let follows = |p: &&Peer| chosen.contains(&&*p.name);
-        let peers = self.peer_links.peers().iter().filter(follows);
-        let dests: Vec<SocketAddr> = peers.map(|p| p.address).collect();
+        let chosen = self.standbys_of(&self.settings.name);
+        let is_standby = |peer: &&Peer| chosen.contains(&&*peer.name);
+        let standbys = self.peer_links.peers().iter().filter(is_standby);
+        let dests: Vec<SocketAddr> = standbys.map(|peer| peer.address).collect();
         for dest in dests {
             let body = row.as_bytes().to_vec();
             let request = PeerRequest::new(KIND_CHECKSUM, &*self.settings.name, body);
@@ -298,30 +389,32 @@
         }
     }
 
-    /// The first step of a takeover: whether what was followed will do.
+    /// The first step of a failover: decides whether the replica will do, up to which revision of
+    /// the leader key everything has to be loaded.
     pub(super) fn begin_load(&mut self, mod_revision: u64) -> (LeaderLoad, Failover) {
-        let t = self.now.steady;
-        let f = &self.standby;
-        let cold = if f.replica.key_count() == 0 {
-            Some(f.discard_reason.unwrap_or(ColdReason::NotReplicating))
-        } else if !f.replica.is_complete() {
+        let now = self.now.steady;
+        let standby = &self.standby;
+        let cold_reason = if standby.replica.key_count() == 0 {
+            let reason = standby.discard_reason;
+            Some(reason.unwrap_or(ColdReason::NotReplicating))
+        } else if !standby.replica.is_complete() {
             Some(ColdReason::Incomplete)
-        } else if f.verified_revision.is_none() {
+        } else if standby.verified_revision.is_none() {
             Some(ColdReason::Unverified)
         } else {
             None
         };
-        if cold.is_some() {
+        if cold_reason.is_some() {
             self.reset_replica();
         }
-        let word = self
+        let heard_at = self
             .client_requests
             .progress_at()
             .max(self.peer_links.leader_hint_at().unwrap_or(0));
-        let takeover = Failover {
-            cold_reason: cold,
-            leader_silence: if word > 0 { t - word } else { 0 },
-            elected_at: t,
+        let failover = Failover {
+            cold_reason,
+            leader_silence: if heard_at > 0 { now - heard_at } else { 0 },
+            elected_at: now,
             loaded_at: None,
             first_pass_at: None,
             half_confirmed_at: None,
@@ -332,143 +425,104 @@
             revision: 0,
             checksum: Checksum::default(),
         };
-        (
-            LeaderLoad {
-                required_revision: mod_revision,
-                cold_reason: cold,
-            },
-            takeover,
-        )
+        let load = LeaderLoad {
+            required_revision: mod_revision,
+            cold_reason,
+        };
+        (load, failover)
     }
 
-    /// Asks what is still missing, or, when nothing is, builds the leader.
+    /// Reads what is still missing, or builds the leader's state once nothing is.
     pub(super) fn continue_load(&mut self) {
-        let Some(loading) = self.leader_state.as_ref().and_then(|l| l.load.as_ref()) else {
+        let Some(load) = self.leader_state.as_ref().and_then(|l| l.load.as_ref()) else {
             return;
         };
-        let mirror = &self.standby.replica;
-        let stale = mirror.revision() < loading.required_revision
+        let cold_reason = load.cold_reason;
+        let replica = &self.standby.replica;
+        let stale = replica.revision() < load.required_revision
             && !fault_injected(InjectedFault::CatchUpSkipped);
-        if mirror.is_complete() && !stale {
-            let (revision, sum) = (mirror.revision(), mirror.checksum());
-            let cold = loading.cold_reason;
-            let mirror = std::mem::take(&mut self.standby.replica);
-            self.reset_replica();
-            self.standby.discard_reason = None;
-            let held = self.finish_load(mirror);
-            let t = self.now.steady;
-            if let Some(leader_state) = &mut self.leader_state {
-                let taken = &mut leader_state.failover;
-                (taken.cold_reason, taken.loaded_at) = (cold, Some(t));
-                (taken.unconfirmed_placements, taken.machines) =
-                    (held, leader_state.workers.machines.len());
-                (taken.revision, taken.checksum) = (revision, sum);
-            }
-            return;
+        if replica.is_complete() && !stale {
+            return self.build_leader_state(cold_reason);
         }
-        for want in mirror.next_reads() {
-            // One question for changes at a time; pages are asked once each.
+        for want in replica.next_reads() {
+            // One read of changes at a time; each page is read once.
             if matches!(want, ReplicaRead::Page { .. }) || self.standby.reads_in_flight == 0 {
                 self.read_replica(want);
             }
         }
     }
 
-    /// How many machines have shown the new term, and the line about the takeover.
+    /// Builds the leader's state from the complete replica.
+    fn build_leader_state(&mut self, cold_reason: Option<ColdReason>) {
+        let replica = std::mem::take(&mut self.standby.replica);
+        let (revision, checksum) = (replica.revision(), replica.checksum());
+        self.reset_replica();
+        self.standby.discard_reason = None;
+        let unconfirmed = self.finish_load(replica);
+        let now = self.now.steady;
+        if let Some(leader_state) = &mut self.leader_state {
+            let failover = &mut leader_state.failover;
+            failover.cold_reason = cold_reason;
+            failover.loaded_at = Some(now);
+            failover.unconfirmed_placements = unconfirmed;
+            failover.machines = leader_state.workers.machines.len();
+            (failover.revision, failover.checksum) = (revision, checksum);
+        }
+    }
+
+    /// Observes how many machines have confirmed the new term, and logs the failover and the end
+    /// of the reconciliation.
     pub(super) fn watch_failover(&mut self) {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let taken = &mut leader_state.failover;
-        if taken.logged && leader_state.reconciliation_logged {
+        if leader_state.failover.logged && leader_state.reconciliation_logged {
             return;
         }
-        let here = leader_state
-            .workers
-            .machines
-            .values()
-            .filter(|m| m.registered);
-        let heard = here.filter(|m| m.term_confirmed).count();
+        let machines = leader_state.workers.machines.values();
+        let confirmed = machines
+            .filter(|machine| machine.registered && machine.term_confirmed)
+            .count();
         leader_state
             .reconciliation
-            .observe(t, heard, leader_state.workers.commands_sent);
-        if leader_state.reconciliation.phase(t) == ReconciliationPhase::Complete
+            .observe(now, confirmed, leader_state.workers.commands_sent);
+        if leader_state.reconciliation.phase(now) == ReconciliationPhase::Complete
             && !leader_state.reconciliation_logged
         {
             leader_state.reconciliation_logged = true;
-            let s = leader_state.workers.reconciled;
-            log::info!(
-                "recovered term={} stored={} heard={} of={} agreed={} ended_meanwhile={} missing={} strange={} \
-                 leftover={} orders={} most_orders_in_1s={} ms={}",
-                leader_state.term,
-                taken.unconfirmed_placements,
-                leader_state.reconciliation.confirmed(),
-                taken.machines,
-                s.agreed,
-                s.finished_meanwhile,
-                s.missing,
-                s.unknown,
-                s.stale,
-                leader_state.workers.commands_sent,
-                leader_state.reconciliation.commands_per_second_max(),
-                leader_state.reconciliation.elapsed_ms(t)
-            );
+            log_reconciliation(leader_state, now);
         }
-        if taken.logged {
+        let started_at = leader_state.workers.first_start_at;
+        let failover = &mut leader_state.failover;
+        if failover.logged {
             return;
         }
-        if 2 * heard >= taken.machines {
-            taken.half_confirmed_at = taken.half_confirmed_at.or(Some(t));
-        }
-        if 20 * heard >= 19 * taken.machines {
-            taken.most_confirmed_at = taken.most_confirmed_at.or(Some(t));
-        }
-        let started = leader_state.workers.first_start_at;
-        let over = t >= taken.elected_at + FAILOVER_LOG_DELAY_MAX;
-        if !over && (taken.most_confirmed_at.is_none() || started.is_none()) {
-            return;
+        failover.note_confirmed(now, confirmed);
+        let overdue = now >= failover.elected_at + FAILOVER_LOG_DELAY_MAX;
+        if overdue || (failover.most_confirmed_at.is_some() && started_at.is_some()) {
+            failover.logged = true;
+            failover.log(leader_state.term, started_at);
         }
-        taken.logged = true;
-        let ms = |at: Option<Micros>| {
-            at.map_or("none".to_owned(), |at| {
-                (at.saturating_sub(taken.elected_at) / MILLISECOND).to_string()
-            })
-        };
-        let warm = taken.cold_reason.map_or("yes", ColdReason::as_str);
-        log::info!(
-            "takeover term={} warm={warm} silent_ms={} check_ms={} first_decision_ms={} first_start_ms={} \
-             heard_half_ms={} heard_95_ms={} machines={} held={} epoch={}",
-            leader_state.term,
-            taken.leader_silence / MILLISECOND,
-            ms(taken.loaded_at),
-            ms(taken.first_pass_at),
-            ms(started),
-            ms(taken.half_confirmed_at),
-            ms(taken.most_confirmed_at),
-            taken.machines,
-            taken.unconfirmed_placements,
-            taken.revision
-        );
     }
 
-    /// This process is to end: a leader tells the standbys its last epoch and lets the lead go, so that
-    /// nobody waits for the end of its grant.
+    /// Shuts down: a leader sends the standbys its last checksum and resigns, so that nobody has to
+    /// wait for its lease to expire.
     pub fn shut_down(&mut self, now: Now) {
         self.set_now(now);
         if self.is_leader() {
-            log::info!("leaving the lead, since this process is to end");
+            log::info!("shutting down; resigning as leader");
             self.announce_checksum();
         }
         self.resign(SHUTDOWN_BACKOFF);
     }
 
-    /// Whether nothing holds this process any more.
+    /// Whether the process may exit: nothing of the election is under way.
     pub fn has_shut_down(&self) -> bool {
         self.election.is_idle()
     }
 
-    /// What the present leader was built from; for tests.
+    /// What the present leader was built from, for tests.
     pub fn load_source(&self) -> Option<LoadSource> {
         let leader_state = self.leader_state.as_ref().filter(|l| l.load.is_none())?;
         Some(LoadSource {
@@ -479,39 +533,43 @@
         })
     }
 
-    /// Makes what this node follows wrong in one stamp; for tests of what finds that.
+    /// Falsifies one revision in the replica, for tests of what finds that; false if it is empty.
     pub fn corrupt_replica(&mut self) -> bool {
         self.standby.replica.corrupt()
     }
 
-    /// What this node follows, for operators.
+    /// The state of this node's replica, for operators.
     pub(super) fn inspect_standby(&self) -> Value {
-        let f = &self.standby;
-        let why = if self.leader_state.is_some() {
+        let standby = &self.standby;
+        let cold_reason = if self.leader_state.is_some() {
             Some("leading")
         } else if !self.properties.follow {
             Some("standby.follow=0")
-        } else if f.rank.is_none() {
+        } else if standby.rank.is_none() {
             Some("others follow")
-        } else if f.replica.key_count() == 0 {
-            Some(f.discard_reason.map_or("not asked yet", ColdReason::as_str))
-        } else if !f.replica.is_complete() {
+        } else if standby.replica.key_count() == 0 {
+            Some(
+                standby
+                    .discard_reason
+                    .map_or("not asked yet", ColdReason::as_str),
+            )
+        } else if !standby.replica.is_complete() {
             Some("filling")
-        } else if f.verified_revision.is_none() {
+        } else if standby.verified_revision.is_none() {
             Some("unchecked")
         } else {
             None
         };
         json!({
-            "follows": f.rank.is_some().then_some(&f.leader),
-            "rank": f.rank,
-            "warm": why.is_none(),
-            "why_not": why,
-            "epoch": f.replica.revision(),
-            "keys": f.replica.key_count(),
-            "behind_ms": (f.last_read_at > 0).then(|| self.now.steady.saturating_sub(f.last_read_at) / MILLISECOND),
-            "checked_epoch": f.verified_revision,
-            "thrown_away": f.discarded,
+            "follows": standby.rank.is_some().then_some(&standby.leader),
+            "rank": standby.rank,
+            "warm": cold_reason.is_none(),
+            "why_not": cold_reason,
+            "epoch": standby.replica.revision(),
+            "keys": standby.replica.key_count(),
+            "behind_ms": (standby.last_read_at > 0).then(|| self.now.steady.saturating_sub(standby.last_read_at) / MILLISECOND),
+            "checked_epoch": standby.verified_revision,
+            "thrown_away": standby.discarded,
         })
     }
 }
