--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -13,6 +13,7 @@
 mod overload;
 mod pages;
 mod pipelines;
+mod previous_build;
 mod recovery;
 mod rules;
 mod scheduling;
