--- a/tests/suite/previous_build.rs
+++ b/tests/suite/previous_build.rs
@@ -81,6 +81,10 @@
 #[test]
 fn a_new_build_takes_over_the_records_of_the_previous_one() {
     let mut w = after_the_previous_build();
+    // The tasks of these machines stand in the second chunk; only the stored record says that they run.
+    for worker in &mut w.workers[231..250] {
+        worker.silent = true;
+    }
     w.run(10.0);
     let leader = w.leader().expect("one node leads");
     assert_eq!(w.kv.keys["term"].0["term"], 2);
