--- a/src/controller.rs
+++ b/src/controller.rs
@@ -224,7 +224,7 @@
     pub fn is_leader(&self) -> bool {
         let now = self.now.steady;
         self.leader_state.as_ref().is_some_and(|leader_state| {
-            leader_state.load.is_none()
+            leader_state.pending_load.is_none()
                 && self.election.is_valid(now)
                 && leader_state
                     .cancellation_freshness
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -201,7 +201,7 @@
             "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
                 "squared": l.workers.reconciled})),
             "work": self.leader_state.as_ref().map(|l| &l.accounting),
-            "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
+            "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.dependency_graph.len()),
         })
     }
 
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -227,7 +227,11 @@
             RequestPriority::Background
         };
         let op = Op::Get(job_key(&uid, over));
-        let request = StateRequest::PollJob { conn, uid, over };
+        let request = StateRequest::PollJob {
+            conn,
+            uid,
+            finished: over,
+        };
         self.state
             .submit(now, request, priority, op, CLIENT_REQUEST_TIMEOUT);
     }
@@ -384,8 +388,8 @@
         let request = StateRequest::ReadForCancel {
             conn,
             uid,
-            over,
-            tries,
+            finished: over,
+            retries: tries,
         };
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
@@ -410,7 +414,11 @@
     /// work at most if the announcement was wrong.
     pub(super) fn cancellation_hinted(&mut self, uid: &str) {
         let now = self.now.steady;
-        let Some(leader_state) = self.leader_state.as_mut().filter(|l| l.load.is_none()) else {
+        let Some(leader_state) = self
+            .leader_state
+            .as_mut()
+            .filter(|l| l.pending_load.is_none())
+        else {
             return;
         };
         let Some(job) = leader_state.jobs.get_mut(uid).filter(|job| !job.cancelled) else {
@@ -477,7 +485,7 @@
         let request = StateRequest::WriteCancel {
             conn,
             uid,
-            tries,
+            retries: tries,
             body,
         };
         self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -41,7 +41,7 @@
                         offer.machine_type,
                         offer.zone
                     );
-                    leader_state.rented.extend(hosts);
+                    leader_state.rented_machines.extend(hosts);
                 }
                 CloudEvent::Failed(id) => {
                     if !leader_state.workers.is_tombstoned(&id) {
@@ -57,7 +57,7 @@
         for id in &gone {
             leader_state.workers.add_tombstone(now, id);
             leader_state.registry.remove(now, id);
-            leader_state.rented.remove(id);
+            leader_state.rented_machines.remove(id);
         }
         if !gone.is_empty() {
             self.apply_ledger_events();
@@ -130,7 +130,7 @@
             leader_state.registry.remove(now, id);
             log::info!("machine vanished machine={id}");
             leader_state.workers.forget(now, id);
-            leader_state.rented.remove(id);
+            leader_state.rented_machines.remove(id);
         }
     }
 
@@ -265,7 +265,7 @@
             self.properties.idle_return
         };
         for machine in leader_state.workers.machines.values_mut() {
-            if leader_state.rented.contains(&machine.id)
+            if leader_state.rented_machines.contains(&machine.id)
                 && machine.term_confirmed
                 && machine.tasks.is_empty()
                 && !machine.releasing
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// Cascading cancellations are written only while fewer requests of clients than this are queued.
-const QUEUED_CASCADES_MAX: usize = 3;
+const QUEUED_CLIENT_REQUESTS_MAX: usize = 3;
 
 /// A job to be cancelled because a job that it depends on was.
 #[derive(Clone, Debug)]
@@ -43,14 +43,16 @@
         };
         let (spec, accepted) = (job.spec.clone(), job.accepted_at);
         let table = &leader_state.jobs;
-        leader_state.pipelines.add(&spec, accepted, |dependency| {
-            table.get(dependency).is_some_and(|job| !job.cancelled)
-        });
+        leader_state
+            .dependency_graph
+            .add(&spec, accepted, |dependency| {
+                table.get(dependency).is_some_and(|job| !job.cancelled)
+            });
         let scheduler = &leader_state.scheduler;
         leader_state
-            .pipelines
+            .dependency_graph
             .propagate_back(&mut leader_state.jobs, uid, |spec| {
-                expected_step_time(scheduler, cloud, spec)
+                expected_job_duration(scheduler, cloud, spec)
             });
     }
 
@@ -60,11 +62,11 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if !leader_state.pipelines.has_outcomes_to_read() {
+        if !leader_state.dependency_graph.has_outcomes_to_read() {
             return;
         }
         let term = leader_state.term;
-        for uid in leader_state.pipelines.take_outcomes_to_read(now) {
+        for uid in leader_state.dependency_graph.take_outcomes_to_read(now) {
             let key = finished_key(&uid);
             self.request_state(
                 StateRequest::ReadDependencyOutcome { term, uid },
@@ -80,7 +82,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.pipelines.outcome_answered(uid);
+        leader_state.dependency_graph.outcome_answered(uid);
         match reply {
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
@@ -90,12 +92,12 @@
                         "stored final state unreadable key={} error={error}",
                         item.path
                     );
-                    leader_state.pipelines.retry_outcome(now, uid);
+                    leader_state.dependency_graph.retry_outcome(now, uid);
                 }
             },
             // Live after all: its end will be reported.
             Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
-            _ => leader_state.pipelines.retry_outcome(now, uid),
+            _ => leader_state.dependency_graph.retry_outcome(now, uid),
         }
     }
 
@@ -106,7 +108,7 @@
         uid: &Arc<str>,
         end: &FinalState,
     ) {
-        leader_state.pipelines.forget(uid);
+        leader_state.dependency_graph.forget(uid);
         if end.is_done() {
             return Self::dependency_done(leader_state, now, uid, end.finished_at);
         }
@@ -114,7 +116,7 @@
             .cancelled_with
             .as_deref()
             .map_or(uid.clone(), Into::into);
-        for dependent in leader_state.pipelines.dependency_cancelled(uid) {
+        for dependent in leader_state.dependency_graph.dependency_cancelled(uid) {
             leader_state
                 .cascading_cancellations
                 .push_back(CascadingCancellation {
@@ -126,7 +128,7 @@
 
     /// A job is stored as done: dependents that wait for nothing more are placed without delay.
     fn dependency_done(leader_state: &mut LeaderState, now: Micros, uid: &Arc<str>, at: Micros) {
-        for (dependent, ready) in leader_state.pipelines.dependency_done(uid, at) {
+        for (dependent, ready) in leader_state.dependency_graph.dependency_done(uid, at) {
             if let Some(job) = leader_state.jobs.get_mut(&dependent) {
                 log::info!("job released by its dependencies job={dependent}");
                 job.ready_at = Some(ready.max(job.accepted_at));
@@ -139,7 +141,7 @@
     pub(super) fn cancel_dependents(&mut self) {
         let wall = self.now.wall;
         let schema = self.schema();
-        if self.state.queued(RequestPriority::Client) >= QUEUED_CASCADES_MAX {
+        if self.state.queued(RequestPriority::Client) >= QUEUED_CLIENT_REQUESTS_MAX {
             return;
         }
         let Some(leader_state) = &mut self.leader_state else {
@@ -151,7 +153,7 @@
         let (term, mod_revision) = (leader_state.term, leader_state.leader_key_revision);
         let mut later = VecDeque::new();
         let mut txn = Transaction::default().require_revision(LEADER_KEY, mod_revision);
-        let mut items = Vec::new();
+        let mut cancellations = Vec::new();
         while let Some(cascade) = leader_state.cascading_cancellations.pop_front() {
             let CascadingCancellation { uid, root } = &cascade;
             let Some(job) = leader_state.jobs.get_mut(uid).filter(|j| !j.cancelled) else {
@@ -177,12 +179,15 @@
                 .require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
                 .set(finished_key(uid), &end.fit(schema.usable_bytes()));
-            items.push(cascade);
+            cancellations.push(cascade);
         }
         leader_state.cascading_cancellations = later;
-        if !items.is_empty() {
+        if !cancellations.is_empty() {
             self.request_state(
-                StateRequest::CancelDependents { term, items },
+                StateRequest::CancelDependents {
+                    term,
+                    cancellations,
+                },
                 Op::Transaction(txn),
                 LEADER_REQUEST_TIMEOUT,
             );
@@ -192,22 +197,22 @@
     /// Handles the reply to a write of cascading cancellations.
     pub(super) fn dependents_cancelled(
         &mut self,
-        items: Vec<CascadingCancellation>,
+        cancellations: Vec<CascadingCancellation>,
         reply: &Reply,
     ) {
         let mut reread = Vec::new();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for CascadingCancellation { uid, root } in items {
+        for CascadingCancellation { uid, root } in cancellations {
             if let Some(job) = leader_state.jobs.get_mut(&uid) {
                 job.save_in_flight = false;
             }
             match reply {
                 Reply::Applied { .. } => {
                     log::info!("job cancelled with a dependency job={uid} cancelled={root}");
-                    leader_state.pipelines.forget(&uid);
-                    for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
+                    leader_state.dependency_graph.forget(&uid);
+                    for dependent in leader_state.dependency_graph.dependency_cancelled(&uid) {
                         leader_state
                             .cascading_cancellations
                             .push_back(CascadingCancellation {
@@ -251,7 +256,7 @@
         else {
             return Value::Null;
         };
-        let unmet = leader_state.pipelines.unmet_dependencies(uid);
+        let unmet = leader_state.dependency_graph.unmet_dependencies(uid);
         let state = |dependency: &Arc<str>| match leader_state.jobs.get(dependency) {
             _ if !unmet.contains(dependency) => "done",
             Some(j) if j.cancelled => "cancelled",
@@ -266,8 +271,8 @@
             .iter()
             .map(|dependency| (&**dependency, state(dependency)))
             .collect();
-        let run = expected_step_time(&leader_state.scheduler, &self.cloud, &job.spec);
-        json!({"waits_on": dependencies, "waits": job.waits_for_dependencies(), "needed_by": leader_state.pipelines.dependents(uid),
+        let run = expected_job_duration(&leader_state.scheduler, &self.cloud, &job.spec);
+        json!({"waits_on": dependencies, "waits": job.waits_for_dependencies(), "needed_by": leader_state.dependency_graph.dependents(uid),
                "priority": job.priority(), "latest_start": latest_start(job, run),
                "ready": job.ready_at, "now": self.now.wall, "waits_because": self.wait_reason(leader_state, job)})
     }
@@ -275,7 +280,7 @@
 
 /// How long a job takes from its release to its end, in microseconds: fetching its image, and the
 /// slowest of its tasks, which takes longer than the average one.
-fn expected_step_time(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
+fn expected_job_duration(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
     let run = scheduler.expected_run(spec);
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -87,7 +87,7 @@
             term,
             leader_key_revision: mod_revision,
             jobs: JobTable::default(),
-            pipelines: DependencyGraph::default(),
+            dependency_graph: DependencyGraph::default(),
             cascading_cancellations: VecDeque::new(),
             workers: WorkerLedger::new(
                 term,
@@ -101,7 +101,7 @@
             schema_key_revision: 0,
             schema_support: BTreeMap::new(),
             starts_held_until: 0,
-            load: Some(load),
+            pending_load: Some(load),
             failover,
             reconciliation: Reconciliation::new(now, 0, 0),
             reconciliation_logged: false,
@@ -114,7 +114,7 @@
             job_revisions: HashMap::default(),
             jobs_checksum: Checksum::default(),
             schedule: LeaderSchedule::new(now),
-            rented: BTreeSet::new(),
+            rented_machines: BTreeSet::new(),
             cancellation_hints: 0,
             accounting: WorkloadAccounting::default(),
             wanted_machines: Vec::new(),
@@ -239,7 +239,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.load = None;
+        leader_state.pending_load = None;
         leader_state.jobs_revision = replica.revision();
         let live = replica.live.iter();
         leader_state.job_revisions = live
@@ -255,7 +255,7 @@
     fn load_schema_version(&mut self, replica: &Replica) {
         match replica.schema_version() {
             Some(item) => {
-                self.learn_schema_version(item);
+                self.handle_stored_schema_version(item);
                 if let Some(leader_state) = &mut self.leader_state {
                     leader_state.schema_key_revision = item.mod_revision;
                 }
@@ -306,7 +306,7 @@
                         .extend(images.map(|image| (image, (now, 0.0))));
                 }
                 if entry.rented {
-                    leader_state.rented.insert(id);
+                    leader_state.rented_machines.insert(id);
                 }
             }
         }
@@ -354,7 +354,7 @@
                     mod_revision,
                     cancelled,
                 };
-                loaded.unconfirmed += Self::adopt_job(leader_state, context.now, stored);
+                loaded.unconfirmed += Self::add_stored_job(leader_state, context.now, stored);
                 if bytes > context.schema.usable_bytes()
                     && let Some(job) = leader_state.jobs.get_mut(&uid)
                 {
@@ -377,7 +377,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.schedule.share_probes_at(if cold_start {
+        leader_state.schedule.schedule_probe_sharing(if cold_start {
             now
         } else {
             now + PROXY_PROBE_HEAD_START
@@ -400,7 +400,7 @@
 
     /// Takes a stored job into the table; its stored placements are held as unconfirmed. Returns
     /// how many those are.
-    pub(super) fn adopt_job(
+    pub(super) fn add_stored_job(
         leader_state: &mut LeaderState,
         now: Micros,
         stored: StoredJob<'_>,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -39,7 +39,7 @@
     /// It can't be parsed.
     Malformed(String),
     /// It is a repeat of a heartbeat that the leader does not know: it has to be sent in full.
-    Unknown,
+    FullHeartbeatNeeded,
 }
 
 impl Controller {
@@ -53,7 +53,7 @@
             if let Some(name) = self.handover_target() {
                 return self.respond(conn, 421, &json!({"boss": name}));
             }
-            return match self.take_heartbeat(&body, None) {
+            return match self.apply_heartbeat(&body, None) {
                 HeartbeatOutcome::Commands(commands) => self.outputs.push(Output::Respond {
                     conn,
                     status: 200,
@@ -63,7 +63,7 @@
                 HeartbeatOutcome::Malformed(reason) => {
                     self.respond_error(conn, &ApiError::MalformedHeartbeat(reason));
                 }
-                HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
+                HeartbeatOutcome::Refused | HeartbeatOutcome::FullHeartbeatNeeded => {
                     self.respond_error(conn, &ApiError::MachineReleased);
                 }
             };
@@ -79,21 +79,21 @@
             return;
         };
         let (leader, address) = (peer.name.clone(), peer.address);
-        if self.hands_worker_back() {
+        if self.should_redirect_to_leader() {
             return self.respond(conn, 421, &json!({"boss": leader}));
         }
         if self.is_link_avoided(address) {
-            if !self.may_answer_later(address)
+            if !self.should_hold_for_leader(address)
                 || self
                     .heartbeat_batch
                     .push(self.now.steady, conn, body)
                     .is_err()
             {
-                self.turn_worker_away(conn, &leader);
+                self.reject_or_redirect_worker(conn, &leader);
             }
             return;
         }
-        let body = if self.leader_takes_batches(&leader, address) {
+        let body = if self.leader_accepts_batches(&leader, address) {
             match self.heartbeat_batch.push(self.now.steady, conn, body) {
                 Ok(()) => return,
                 Err(body) => body,
@@ -174,7 +174,7 @@
             return;
         };
         if self.is_leader() {
-            return self.take_probe_answer(body);
+            return self.apply_probe_answer(body);
         }
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return;
@@ -187,7 +187,7 @@
     }
 
     /// Applies a worker's answer to a probe.
-    pub(super) fn take_probe_answer(&mut self, body: &[u8]) {
+    pub(super) fn apply_probe_answer(&mut self, body: &[u8]) {
         let now = self.now.steady;
         if !self.is_leader() {
             return;
@@ -214,7 +214,7 @@
     }
 
     /// Whether the leader accepts batches; if that is not known, it is asked.
-    fn leader_takes_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
+    fn leader_accepts_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
         let now = self.now.steady;
         let record = self.election.leader().filter(|r| r.node == leader);
         let Some(incarnation) = record.map(|record| record.incarnation) else {
@@ -260,7 +260,7 @@
         };
         let (leader, dest) = (peer.name.clone(), peer.address);
         if self.is_link_avoided(dest) {
-            let over = if self.may_answer_later(dest) {
+            let over = if self.should_hold_for_leader(dest) {
                 self.heartbeat_batch.hold_for_leader(now)
             } else {
                 self.heartbeat_batch
@@ -270,11 +270,11 @@
                     .collect()
             };
             for conn in over {
-                self.turn_worker_away(conn, &leader);
+                self.reject_or_redirect_worker(conn, &leader);
             }
             return;
         }
-        if !self.leader_takes_batches(&leader, dest) {
+        if !self.leader_accepts_batches(&leader, dest) {
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.forward_heartbeat(conn, dest, body);
             }
@@ -306,7 +306,7 @@
                 self.peer_links.note_link_answer(self.now.steady, dest);
             } else {
                 self.note_link_failure(dest, outcome);
-                in_doubt = self.may_answer_later(dest);
+                in_doubt = self.should_hold_for_leader(dest);
             }
         }
         let now = self.now.steady;
@@ -322,7 +322,7 @@
                     continue;
                 }
                 HeartbeatAnswer::Failed => {
-                    self.heartbeat_failed(conn, outcome);
+                    self.heartbeat_forward_failed(conn, outcome);
                     continue;
                 }
             };
@@ -336,14 +336,14 @@
     }
 
     /// The leader did not answer a heartbeat: the worker is sent elsewhere.
-    pub(super) fn heartbeat_failed(&mut self, conn: ConnId, outcome: &Outcome) {
+    pub(super) fn heartbeat_forward_failed(&mut self, conn: ConnId, outcome: &Outcome) {
         let Some(leader) = self.leader_name() else {
             return self.respond_error(conn, &ApiError::NoLeader);
         };
         if let Some(dest) = self.leader_peer().map(|p| p.address) {
             self.note_link_failure(dest, outcome);
         }
-        self.turn_worker_away(conn, &leader);
+        self.reject_or_redirect_worker(conn, &leader);
     }
 
     /// A call over this link failed: it is avoided for a while.
@@ -371,7 +371,7 @@
 
     /// Whether a worker that reports to this node, which is short of connections and does not lead, is sent to the
     /// leader: one at a time, and the leader hands none to a node short of connections.
-    fn hands_worker_back(&mut self) -> bool {
+    fn should_redirect_to_leader(&mut self) -> bool {
         self.load.connection_pressure == ConnectionPressure::Critical
             && self.peer_links.take_handback(self.now.steady)
     }
@@ -392,7 +392,7 @@
     }
 
     /// Whether the leader may answer the next call after one that failed: heartbeats wait for that.
-    fn may_answer_later(&self, dest: SocketAddr) -> bool {
+    fn should_hold_for_leader(&self, dest: SocketAddr) -> bool {
         self.is_leader_in_doubt(dest) || self.is_leader_slow()
     }
 
@@ -401,7 +401,7 @@
     /// While the leader is only slow, no other controller serves the worker either: redirected, it would reconnect
     /// there at once, be redirected back, and each time cost a new connection. An error without a redirect costs it
     /// a second, which bounds how many reconnect.
-    fn turn_worker_away(&mut self, conn: ConnId, leader: &str) {
+    fn reject_or_redirect_worker(&mut self, conn: ConnId, leader: &str) {
         if self.is_leader_slow() {
             return self.respond_error(conn, &ApiError::LeaderSlow);
         }
@@ -425,15 +425,15 @@
     }
 
     /// Applies a heartbeat that another controller forwarded.
-    pub(super) fn take_forwarded_heartbeat(&mut self, from: &str, body: &[u8]) -> Outcome {
+    pub(super) fn apply_forwarded_heartbeat(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
         let via = self.peer_address(from);
-        let (status, body) = match self.take_heartbeat(body, via) {
+        let (status, body) = match self.apply_heartbeat(body, via) {
             HeartbeatOutcome::Commands(commands) => (200, encode_commands(&commands)),
             HeartbeatOutcome::Malformed(_) => (400, br#"{"error":"report"}"#.to_vec()),
-            HeartbeatOutcome::Refused | HeartbeatOutcome::Unknown => {
+            HeartbeatOutcome::Refused | HeartbeatOutcome::FullHeartbeatNeeded => {
                 (503, br#"{"error":"returned"}"#.to_vec())
             }
         };
@@ -441,7 +441,7 @@
     }
 
     /// Applies a batch of heartbeats; each row is answered by a row.
-    pub(super) fn take_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
+    pub(super) fn apply_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
         }
@@ -460,11 +460,11 @@
             }
             let answer = if full {
                 // Not applied: it comes again, in full, in another frame.
-                HeartbeatOutcome::Unknown
+                HeartbeatOutcome::FullHeartbeatNeeded
             } else if text.is_empty() {
-                self.take_repeated_heartbeat(&row, via)
+                self.apply_repeated_heartbeat(&row, via)
             } else {
-                self.take_full_heartbeat(text, Some(row.digest.get()), via)
+                self.apply_full_heartbeat(text, Some(row.digest.get()), via)
             };
             let mut text = Vec::new();
             let (status, token) = match answer {
@@ -483,7 +483,7 @@
                     text = br#"{"error":"returned"}"#.to_vec();
                     (503, 0)
                 }
-                HeartbeatOutcome::Unknown => (SEND_FULL_HEARTBEAT, 0),
+                HeartbeatOutcome::FullHeartbeatNeeded => (SEND_FULL_HEARTBEAT, 0),
             };
             let row = AnswerRow {
                 fencing_token: token.into(),
@@ -503,18 +503,18 @@
     }
 
     /// Applies a heartbeat as its worker sent it; one that repeats the last is not parsed.
-    fn take_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
+    fn apply_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
         let row = HeartbeatSummary::of(body).and_then(|summary| summary.row());
         if let Some(row) = &row {
-            match self.take_repeated_heartbeat(row, via) {
-                HeartbeatOutcome::Unknown => {}
+            match self.apply_repeated_heartbeat(row, via) {
+                HeartbeatOutcome::FullHeartbeatNeeded => {}
                 known => return known,
             }
         }
-        self.take_full_heartbeat(body, row.map(|r| r.digest.get()), via)
+        self.apply_full_heartbeat(body, row.map(|r| r.digest.get()), via)
     }
 
-    fn take_full_heartbeat(
+    fn apply_full_heartbeat(
         &mut self,
         body: &[u8],
         digest: Option<u128>,
@@ -540,7 +540,7 @@
         commands.map_or(HeartbeatOutcome::Refused, HeartbeatOutcome::Commands)
     }
 
-    fn take_repeated_heartbeat(
+    fn apply_repeated_heartbeat(
         &mut self,
         row: &HeartbeatRow,
         via: Option<SocketAddr>,
@@ -555,7 +555,7 @@
                 .take_repeated_heartbeat(now, row, via, &mut leader_state.jobs);
         self.apply_ledger_events();
         match repeat {
-            RepeatOutcome::Unknown => HeartbeatOutcome::Unknown,
+            RepeatOutcome::Unknown => HeartbeatOutcome::FullHeartbeatNeeded,
             RepeatOutcome::Refused => HeartbeatOutcome::Refused,
             RepeatOutcome::Answer(commands) => HeartbeatOutcome::Commands(commands),
         }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -40,7 +40,7 @@
     /// The live jobs, and cancelled ones that may still be on machines.
     pub(super) jobs: JobTable,
     /// Which jobs depend on which.
-    pub(super) pipelines: DependencyGraph,
+    pub(super) dependency_graph: DependencyGraph,
     /// Jobs that are to be cancelled because one that they depend on was.
     pub(super) cascading_cancellations: VecDeque<CascadingCancellation>,
     /// The machines and the attempts they hold.
@@ -57,7 +57,7 @@
     /// was loaded have expired.
     pub(super) starts_held_until: Micros,
     /// What has still to be loaded before anything is decided; none once that is done.
-    pub(super) load: Option<LeaderLoad>,
+    pub(super) pending_load: Option<LeaderLoad>,
     /// The times of this failover.
     pub(super) failover: Failover,
     /// What has been learned from the machines since the election.
@@ -75,7 +75,7 @@
     /// When the recurring work is due next.
     pub(super) schedule: LeaderSchedule,
     /// Machines rented by a controller, which are returned when idle.
-    pub(super) rented: BTreeSet<Arc<str>>,
+    pub(super) rented_machines: BTreeSet<Arc<str>>,
     /// Cancellations that other controllers announced before the state service did.
     pub(super) cancellation_hints: u64,
     /// What became of the work so far.
@@ -93,7 +93,11 @@
 impl Controller {
     /// The leader's share of a tick: everything that is due, in a fixed order.
     pub(super) fn run_leader(&mut self) {
-        if self.leader_state.as_ref().is_none_or(|l| l.load.is_some()) {
+        if self
+            .leader_state
+            .as_ref()
+            .is_none_or(|l| l.pending_load.is_some())
+        {
             return;
         }
         let valid = self.refresh_cancellations();
@@ -146,7 +150,7 @@
                 from,
                 block: 0,
             };
-            self.request_state(StateRequest::CatchUp { term }, op, 0);
+            self.request_state(StateRequest::ReadJobChanges { term }, op, 0);
         }
         if self.resign_if_cancellations_stale() {
             return false;
--- a/src/controller/leader_schedule.rs
+++ b/src/controller/leader_schedule.rs
@@ -188,7 +188,7 @@
     }
 
     /// Sets when unconfirmed machines are divided among the controllers for probing.
-    pub(super) fn share_probes_at(&mut self, at: Micros) {
+    pub(super) fn schedule_probe_sharing(&mut self, at: Micros) {
         self.probe_sharing_at = Some(at);
     }
 
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -56,16 +56,16 @@
             .filter(|job| job.cancelled)
         {
             Self::stop_all_tasks(&mut leader_state.workers, job);
-            Self::acknowledge_all_ends(&mut leader_state.workers, job);
+            Self::acknowledge_all_attempts(&mut leader_state.workers, job);
         }
         self.apply_ledger_events();
-        self.watch_failover();
+        self.track_failover();
         self.share_probes();
         self.forget_cancelled_jobs();
         self.announce_progress();
         self.drain_noticed_machines();
         self.write_registry();
-        self.watch_schema_support();
+        self.check_schema_support();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -116,7 +116,7 @@
              {stopping} stopping, {unsure} unsure; {} booting; {} jobs wait for others; tasks \
              waiting: {waiting:?}",
             cloud.booting.len(),
-            leader_state.pipelines.len()
+            leader_state.dependency_graph.len()
         );
         log::info!("work: {}", leader_state.accounting.summary());
     }
@@ -147,7 +147,7 @@
                 txn = txn.delete(chunk_key(&uid, number));
             }
             self.request_state(
-                StateRequest::ForgetCancelledJob { term, uid },
+                StateRequest::DeleteCancelledJob { term, uid },
                 Op::Transaction(txn),
                 LEADER_REQUEST_TIMEOUT,
             );
@@ -207,11 +207,11 @@
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for request in
-            leader_state
-                .registry
-                .take_due(now, &mut leader_state.workers, &leader_state.rented)
-        {
+        for request in leader_state.registry.take_due(
+            now,
+            &mut leader_state.workers,
+            &leader_state.rented_machines,
+        ) {
             // Hundreds of machines may wait for a few changes: these are queued with those of clients.
             let priority = match request {
                 RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -87,8 +87,8 @@
             conn, ticket, body, ..
         } = &frame;
         match frame.kind {
-            KIND_HEARTBEAT => return Some(self.take_forwarded_heartbeat(&frame.addr, body)),
-            KIND_HEARTBEAT_BATCH => return Some(self.take_heartbeat_batch(&frame.addr, body)),
+            KIND_HEARTBEAT => return Some(self.apply_forwarded_heartbeat(&frame.addr, body)),
+            KIND_HEARTBEAT_BATCH => return Some(self.apply_heartbeat_batch(&frame.addr, body)),
             KIND_DELIVER_COMMANDS => return self.deliver_commands(frame),
             KIND_CLIENT_REQUEST => {
                 let proxied = self.client_requests.insert_proxied(*conn, *ticket);
@@ -98,7 +98,7 @@
                 return None;
             }
             KIND_PROGRESS => return Some(self.progress_announced(&frame)),
-            KIND_PROBE_ANSWER => self.take_probe_answer(body),
+            KIND_PROBE_ANSWER => self.apply_probe_answer(body),
             KIND_PROBE_WORKERS => self.accept_probe_assignment(body),
             KIND_CHECKSUM => self.leader_checksum_received(body),
             KIND_CANCELLED => {
@@ -204,7 +204,7 @@
             PeerCallPurpose::Heartbeat { conn } | PeerCallPurpose::AdminQuery { conn } => {
                 match outcome {
                     Outcome::Reply { status, body } => self.pass_answer(conn, *status, body),
-                    other => self.heartbeat_failed(conn, other),
+                    other => self.heartbeat_forward_failed(conn, other),
                 }
             }
         }
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -26,9 +26,9 @@
 use std::sync::Arc;
 
 /// A change that only says how far a job is may be saved after this, if budget is left over.
-const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
+const PROGRESS_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
 /// Such a change waits at most this long for budget to be left over.
-const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
+const PROGRESS_SAVE_DELAY_MAX: Micros = 20 * SECOND;
 /// With this many writes of the leader queued, changes are collected instead.
 const QUEUED_SAVES_MAX: usize = 2;
 /// Size at which a transaction is full, in bytes.
@@ -59,7 +59,7 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueSave {
     /// It is over, and others wait for its end.
-    frees_dependents: bool,
+    releases_dependents: bool,
     /// It is over.
     finishes: bool,
     /// Starts or an end wait for the save.
@@ -82,7 +82,7 @@
 /// A transaction that is being filled.
 struct SaveBatch {
     txn: Transaction,
-    items: Vec<PendingSave>,
+    saves: Vec<PendingSave>,
     bytes: usize,
 }
 
@@ -90,7 +90,7 @@
     fn new(leader_key_revision: u64) -> Self {
         Self {
             txn: Transaction::default().require_revision(LEADER_KEY, leader_key_revision),
-            items: Vec::new(),
+            saves: Vec::new(),
             bytes: 0,
         }
     }
@@ -98,58 +98,58 @@
 
 /// What is to be written of one job.
 struct JobValues {
-    over: bool,
-    values: StoredValues,
+    finished: bool,
+    stored_values: StoredValues,
     /// Chunks of an earlier, larger record that are deleted along.
-    surplus: Range<usize>,
+    surplus_chunks: Range<usize>,
 }
 
 impl JobValues {
     /// Encodes the job; none if it can't be stored under the limits.
     fn encode(job: &Job, schema: &Schema, now: Now) -> Option<Self> {
         let record = job.record();
-        let over = job.is_done();
-        let values = if over {
+        let finished = job.is_done();
+        let stored_values = if finished {
             let end = record.finish("done", now.wall).fit(schema.usable_bytes());
             StoredValues::single(raw(&end))
         } else {
             schema.encode_job(&record)?
         };
-        let chunks = values.chunks.len();
+        let chunks = stored_values.chunks.len();
         // Surplus chunks beyond the limit are swept up later.
-        let room = schema.txn_ops - if over { 2 } else { 1 + chunks };
-        let surplus = chunks..job.chunks.min(chunks + room);
+        let room = schema.txn_ops - if finished { 2 } else { 1 + chunks };
+        let surplus_chunks = chunks..job.chunks.min(chunks + room);
         Some(Self {
-            over,
-            values,
-            surplus,
+            finished,
+            stored_values,
+            surplus_chunks,
         })
     }
 
     /// How many changes of a transaction it takes.
     fn changes(&self) -> usize {
-        let writes = if self.over {
+        let writes = if self.finished {
             2
         } else {
-            1 + self.values.chunks.len()
+            1 + self.stored_values.chunks.len()
         };
-        writes + self.surplus.len()
+        writes + self.surplus_chunks.len()
     }
 
     /// Adds the changes to a transaction, guarded by the job's revision.
     fn add_to(self, txn: Transaction, uid: &str, mod_revision: u64) -> Transaction {
         let mut txn = txn.require_revision(live_key(uid), mod_revision);
-        txn = if self.over {
+        txn = if self.finished {
             txn.require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
-                .set_raw(finished_key(uid), self.values.header)
+                .set_raw(finished_key(uid), self.stored_values.header)
         } else {
-            txn.set_raw(live_key(uid), self.values.header)
+            txn.set_raw(live_key(uid), self.stored_values.header)
         };
-        for (number, value) in self.values.chunks.into_iter().enumerate() {
+        for (number, value) in self.stored_values.chunks.into_iter().enumerate() {
             txn = txn.set_raw(chunk_key(uid, number), value);
         }
-        for number in self.surplus {
+        for number in self.surplus_chunks {
             txn = txn.delete(chunk_key(uid, number));
         }
         txn
@@ -183,7 +183,7 @@
             self.request_state(
                 StateRequest::SaveJobs {
                     term,
-                    items: batch.items,
+                    saves: batch.saves,
                 },
                 Op::Transaction(batch.txn),
                 LEADER_REQUEST_TIMEOUT,
@@ -200,13 +200,14 @@
                 continue;
             }
             let changed_for = |delay| job.dirty_since.is_some_and(|since| now >= since + delay);
-            let lazy = changed_for(LAZY_SAVE_DELAY)
+            let lazy = changed_for(PROGRESS_SAVE_DELAY)
                 && limits.spare_changes > limits.changes_per_txn as f64;
-            if job.save_urgent || changed_for(LAZY_SAVE_DELAY_MAX) || lazy {
+            if job.save_urgent || changed_for(PROGRESS_SAVE_DELAY_MAX) || lazy {
                 let finishes = job.save_urgent && job.is_done();
                 let uid = &job.spec.uid;
                 due.push(DueSave {
-                    frees_dependents: finishes && leader_state.pipelines.has_dependents(uid),
+                    releases_dependents: finishes
+                        && leader_state.dependency_graph.has_dependents(uid),
                     finishes,
                     urgent: job.save_urgent,
                     priority: job.priority(),
@@ -237,14 +238,14 @@
                 leader_state.schedule.request_save();
                 break;
             }
-            let Some(values) = JobValues::encode(job, &limits.schema, now) else {
+            let Some(job_values) = JobValues::encode(job, &limits.schema, now) else {
                 if Self::withdraw_unsaved_starts(&mut leader_state.workers, job, now.steady) {
                     leader_state.schedule.request_save();
                 }
                 continue;
             };
-            let bytes = values.values.request_bytes();
-            let changes = values.changes();
+            let bytes = job_values.stored_values.request_bytes();
+            let changes = job_values.changes();
             changes_left -= changes as f64;
             if let Some(last) = &batch
                 && (last.txn.changes.len() + changes > limits.changes_per_txn
@@ -255,15 +256,15 @@
             let mut filled = batch
                 .take()
                 .unwrap_or_else(|| SaveBatch::new(leader_key_revision));
-            filled.items.push(PendingSave {
+            filled.saves.push(PendingSave {
                 number: job.number,
-                finished: values.over,
+                finished: job_values.finished,
                 done: job.done.clone(),
                 starts: std::mem::take(&mut job.unsaved_starts),
-                chunks: values.values.chunks.len(),
+                chunks: job_values.stored_values.chunks.len(),
                 finished_at: now.wall,
             });
-            filled.txn = values.add_to(filled.txn, &job.spec.uid, job.mod_revision);
+            filled.txn = job_values.add_to(filled.txn, &job.spec.uid, job.mod_revision);
             filled.bytes += bytes;
             batch = Some(filled);
             job.save_in_flight = true;
@@ -287,26 +288,26 @@
     }
 
     /// Handles the reply to a save.
-    pub(super) fn jobs_saved(&mut self, items: Vec<PendingSave>, reply: Reply) {
+    pub(super) fn jobs_saved(&mut self, saves: Vec<PendingSave>, reply: Reply) {
         match reply {
-            Reply::Applied { revision } => self.save_applied(items, revision),
-            Reply::Conflict { failed } => self.save_conflicted(items, &failed),
-            Reply::Unavailable => self.save_not_sent(items),
+            Reply::Applied { revision } => self.save_applied(saves, revision),
+            Reply::Conflict { failed } => self.save_conflicted(saves, &failed),
+            Reply::Unavailable => self.save_not_sent(saves),
             other => {
                 if let Reply::Refused(reason) = &other {
                     log::error!("the state service refused a save reason={reason}");
                 }
-                self.save_outcome_unknown(items);
+                self.save_outcome_unknown(saves);
             }
         }
     }
 
-    fn save_applied(&mut self, items: Vec<PendingSave>, revision: u64) {
+    fn save_applied(&mut self, saves: Vec<PendingSave>, revision: u64) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for item in items {
+        for item in saves {
             let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) else {
                 continue;
             };
@@ -321,7 +322,7 @@
                     leader_state.workers.confirm_stored(&machine, task, attempt);
                 }
             }
-            Self::acknowledge_stored_ends(&mut leader_state.workers, job);
+            Self::acknowledge_stored_completions(&mut leader_state.workers, job);
             if item.finished {
                 let uid = job.spec.uid.clone();
                 let end = job.record().finish("done", item.finished_at);
@@ -330,7 +331,7 @@
                     .cache_final_state(&uid, final_body(&uid, &end));
                 if let Some(job) = leader_state.jobs.remove(&uid) {
                     Self::stop_all_tasks(&mut leader_state.workers, &job);
-                    Self::acknowledge_all_ends(&mut leader_state.workers, &job);
+                    Self::acknowledge_all_attempts(&mut leader_state.workers, &job);
                 }
                 Self::dependency_finished(leader_state, now, &uid, &end);
             }
@@ -338,13 +339,13 @@
     }
 
     /// A precondition failed: nothing was written. Jobs whose own keys have changed are read again.
-    fn save_conflicted(&mut self, items: Vec<PendingSave>, failed: &[String]) {
+    fn save_conflicted(&mut self, saves: Vec<PendingSave>, failed: &[String]) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let mut reread = Vec::new();
-        for item in items {
+        for item in saves {
             let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) else {
                 continue;
             };
@@ -370,11 +371,11 @@
         }
     }
 
-    fn save_not_sent(&mut self, items: Vec<PendingSave>) {
+    fn save_not_sent(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for item in items {
+        for item in saves {
             if let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) {
                 job.save_in_flight = false;
                 job.save_urgent = true;
@@ -384,12 +385,12 @@
     }
 
     /// The save may have been applied, or be applied later: the jobs' revisions will show it.
-    fn save_outcome_unknown(&mut self, items: Vec<PendingSave>) {
+    fn save_outcome_unknown(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let mut reread = Vec::new();
-        for item in items {
+        for item in saves {
             if let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) {
                 job.save_in_flight = false;
                 // As many as may be stored now: the next save removes those in excess.
@@ -404,7 +405,7 @@
     }
 
     /// Reads what is stored of a job; nothing is saved of it until that is known.
-    pub(super) fn reread_job(&mut self, uid: Arc<str>, over: bool) {
+    pub(super) fn reread_job(&mut self, uid: Arc<str>, finished: bool) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -412,19 +413,23 @@
         if let Some(job) = leader_state.jobs.get_mut(&uid) {
             job.reread_pending = true;
         }
-        let op = Op::Get(job_key(&uid, over));
-        let request = StateRequest::RereadJob { term, uid, over };
+        let op = Op::Get(job_key(&uid, finished));
+        let request = StateRequest::RereadJob {
+            term,
+            uid,
+            finished,
+        };
         self.request_state(request, op, LEADER_REQUEST_TIMEOUT);
     }
 
     /// Handles what is stored of a job whose save had an unknown outcome.
-    pub(super) fn job_reread(&mut self, uid: &Arc<str>, over: bool, reply: Reply) {
+    pub(super) fn job_reread(&mut self, uid: &Arc<str>, finished: bool, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         match reply {
-            Reply::Item(item) if !over => {
+            Reply::Item(item) if !finished => {
                 if let Some(job) = leader_state.jobs.get_mut(uid) {
                     job.reread_pending = false;
                     job.mod_revision = item.mod_revision;
@@ -444,9 +449,9 @@
                         return self.reread_job(uid.clone(), false);
                     }
                 };
-                Self::stored_end_found(leader_state, now, uid, &end);
+                Self::stored_final_state_found(leader_state, now, uid, &end);
             }
-            Reply::Absent if !over => self.reread_job(uid.clone(), true),
+            Reply::Absent if !finished => self.reread_job(uid.clone(), true),
             // Neither live nor over can't be; it is read again.
             _ => self.reread_job(uid.clone(), false),
         }
@@ -454,7 +459,7 @@
     }
 
     /// A job that the leader holds as live turns out to be over.
-    fn stored_end_found(
+    fn stored_final_state_found(
         leader_state: &mut LeaderState,
         now: Micros,
         uid: &Arc<str>,
@@ -464,7 +469,7 @@
         if end.is_done() {
             if let Some(job) = leader_state.jobs.remove(uid) {
                 Self::stop_all_tasks(&mut leader_state.workers, &job);
-                Self::acknowledge_all_ends(&mut leader_state.workers, &job);
+                Self::acknowledge_all_attempts(&mut leader_state.workers, &job);
             }
         } else {
             if let Some(job) = leader_state.jobs.get_mut(uid) {
@@ -475,7 +480,7 @@
     }
 
     /// Lets workers drop the records of attempts whose completion is stored.
-    pub(super) fn acknowledge_stored_ends(workers: &mut WorkerLedger, job: &mut Job) {
+    pub(super) fn acknowledge_stored_completions(workers: &mut WorkerLedger, job: &mut Job) {
         let (number, stored) = (job.number, &job.stored_done);
         job.unacknowledged.retain(|(machine, index, attempt)| {
             let waits = !stored.contains(index);
@@ -492,7 +497,7 @@
 
     /// Lets workers drop the records of all attempts of a job that is over: nothing depends on
     /// them any more.
-    pub(super) fn acknowledge_all_ends(workers: &mut WorkerLedger, job: &Job) {
+    pub(super) fn acknowledge_all_attempts(workers: &mut WorkerLedger, job: &Job) {
         for (machine, index, attempt) in &job.unacknowledged {
             let task = TaskId {
                 job: job.number,
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -127,14 +127,14 @@
     /// Handles what was read as the stored schema version.
     pub(super) fn schema_version_read(&mut self, reply: Reply) {
         match reply {
-            Reply::Item(item) => self.learn_schema_version(&item),
+            Reply::Item(item) => self.handle_stored_schema_version(&item),
             Reply::Absent => self.set_schema_version(1),
             _ => {}
         }
     }
 
     /// Takes the stored schema version.
-    pub(super) fn learn_schema_version(&mut self, item: &Item) {
+    pub(super) fn handle_stored_schema_version(&mut self, item: &Item) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
             Ok(stored) if stored.format > SCHEMA_VERSION => {
                 self.schema_migration.fatal_error = Some(format!(
@@ -224,7 +224,7 @@
     /// The leader reads whether all controllers support the next schema version, and looks for
     /// chunks that belong to no job, when due. What is stored counts, not what the peers announce:
     /// a zone may be cut off, and a controller down.
-    pub(super) fn watch_schema_support(&mut self) {
+    pub(super) fn check_schema_support(&mut self) {
         let now = self.now.steady;
         let version = self.schema_migration.version;
         let Some(leader_state) = &mut self.leader_state else {
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -55,7 +55,7 @@
     /// Why the last replica was discarded.
     discard_reason: Option<ColdReason>,
     /// How many replicas were discarded.
-    discarded: u64,
+    discard_count: u64,
     /// The state service does not report changes of all keys: only reading anew is left.
     changes_unavailable: bool,
 }
@@ -183,15 +183,15 @@
             return;
         }
         let standby = &mut self.standby;
-        let Some(want) = standby.replica.next_reads().into_iter().next() else {
+        let Some(read) = standby.replica.next_reads().into_iter().next() else {
             return;
         };
-        let interval = match want {
+        let interval = match read {
             ReplicaRead::Page { .. } => PAGE_INTERVAL,
             ReplicaRead::Changes { .. } => REPLICATION_INTERVAL,
         };
         (standby.next_read_at, standby.last_read_at) = (now + interval, now);
-        self.read_replica(want);
+        self.send_replica_read(read);
     }
 
     /// Takes note of a new leader among the other controllers.
@@ -241,10 +241,10 @@
     }
 
     /// Sends a read for the replica.
-    fn read_replica(&mut self, want: ReplicaRead) {
-        let round = self.standby.generation;
+    fn send_replica_read(&mut self, read: ReplicaRead) {
+        let generation = self.standby.generation;
         self.standby.reads_in_flight += 1;
-        let op = match &want {
+        let op = match &read {
             ReplicaRead::Page { prefix, after } => {
                 self.standby.replica.note_page_requested(prefix);
                 Op::List {
@@ -264,19 +264,24 @@
         } else {
             RequestPriority::Background
         };
-        let request = StateRequest::ReadReplica { round, want };
+        let request = StateRequest::ReadReplica { generation, read };
         self.state
             .submit(self.now.steady, request, priority, op, SECOND);
     }
 
     /// Handles the reply to a read for the replica of that generation.
-    pub(super) fn replica_answered(&mut self, round: u64, want: ReplicaRead, reply: Reply) {
+    pub(super) fn replica_read_answered(
+        &mut self,
+        generation: u64,
+        read: ReplicaRead,
+        reply: Reply,
+    ) {
         let standby = &mut self.standby;
-        if round != standby.generation {
+        if generation != standby.generation {
             return;
         }
         standby.reads_in_flight = standby.reads_in_flight.saturating_sub(1);
-        match (want, reply) {
+        match (read, reply) {
             (
                 ReplicaRead::Page { prefix, .. },
                 Reply::Items {
@@ -327,10 +332,14 @@
     fn discard_replica(&mut self, cold: ColdReason) {
         log::warn!("replica discarded cause={}", cold.as_str());
         self.reset_replica();
-        self.standby.discarded += 1;
+        self.standby.discard_count += 1;
         self.standby.discard_reason = Some(cold);
         self.standby.next_read_at = self.now.steady + REBUILD_DELAY;
-        if let Some(load) = self.leader_state.as_mut().and_then(|l| l.load.as_mut()) {
+        if let Some(load) = self
+            .leader_state
+            .as_mut()
+            .and_then(|l| l.pending_load.as_mut())
+        {
             load.cold_reason = Some(cold);
         }
     }
@@ -434,7 +443,11 @@
 
     /// Reads what is still missing, or builds the leader's state once nothing is.
     pub(super) fn continue_load(&mut self) {
-        let Some(load) = self.leader_state.as_ref().and_then(|l| l.load.as_ref()) else {
+        let Some(load) = self
+            .leader_state
+            .as_ref()
+            .and_then(|l| l.pending_load.as_ref())
+        else {
             return;
         };
         let cold_reason = load.cold_reason;
@@ -444,10 +457,10 @@
         if replica.is_complete() && !stale {
             return self.build_leader_state(cold_reason);
         }
-        for want in replica.next_reads() {
+        for read in replica.next_reads() {
             // One read of changes at a time; each page is read once.
-            if matches!(want, ReplicaRead::Page { .. }) || self.standby.reads_in_flight == 0 {
-                self.read_replica(want);
+            if matches!(read, ReplicaRead::Page { .. }) || self.standby.reads_in_flight == 0 {
+                self.send_replica_read(read);
             }
         }
     }
@@ -472,7 +485,7 @@
 
     /// Observes how many machines have confirmed the new term, and logs the failover and the end
     /// of the reconciliation.
-    pub(super) fn watch_failover(&mut self) {
+    pub(super) fn track_failover(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -524,7 +537,10 @@
 
     /// What the present leader was built from, for tests.
     pub fn load_source(&self) -> Option<LoadSource> {
-        let leader_state = self.leader_state.as_ref().filter(|l| l.load.is_none())?;
+        let leader_state = self
+            .leader_state
+            .as_ref()
+            .filter(|l| l.pending_load.is_none())?;
         Some(LoadSource {
             term: leader_state.term,
             warm: leader_state.failover.cold_reason.is_none(),
@@ -576,7 +592,7 @@
             "keys": standby.replica.key_count(),
             "behind_ms": (standby.last_read_at > 0).then(|| self.now.steady.saturating_sub(standby.last_read_at) / MILLISECOND),
             "checked_epoch": standby.verified_revision,
-            "thrown_away": standby.discarded,
+            "thrown_away": standby.discard_count,
         })
     }
 }
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -28,7 +28,9 @@
         }
         match request {
             StateRequest::Election(step) => self.handle_election_reply(step, reply, sent),
-            StateRequest::ReadReplica { round, want } => self.replica_answered(round, want, reply),
+            StateRequest::ReadReplica { generation, read } => {
+                self.replica_read_answered(generation, read, reply);
+            }
             StateRequest::ReadSchemaVersion => self.schema_version_read(reply),
             StateRequest::ReadMachineTypes => self.machine_types_read(reply),
             StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
@@ -64,33 +66,45 @@
     fn handle_client_state_reply(&mut self, request: StateRequest, reply: Reply) {
         match request {
             StateRequest::AcceptJob { conn, uid } => self.job_accepted(conn, uid, reply),
-            StateRequest::ReadExistingJob { conn, uid, over } => {
-                self.existing_job_read(conn, uid, over, reply);
+            StateRequest::ReadExistingJob {
+                conn,
+                uid,
+                finished,
+            } => {
+                self.existing_job_read(conn, uid, finished, reply);
             }
-            StateRequest::PollJob { conn, uid, over } => {
-                self.polled_job_read(conn, uid, over, reply);
+            StateRequest::PollJob {
+                conn,
+                uid,
+                finished,
+            } => {
+                self.polled_job_read(conn, uid, finished, reply);
             }
             StateRequest::CheckFinished { polls } => self.polls_checked(polls, &reply),
             StateRequest::ReadForCancel {
                 conn,
                 uid,
-                over,
-                tries,
-            } => self.cancel_job_read(conn, uid, over, tries, reply),
+                finished,
+                retries,
+            } => self.cancel_job_read(conn, uid, finished, retries, reply),
             StateRequest::WriteCancel {
                 conn,
                 uid,
-                tries,
+                retries,
                 body,
-            } => self.cancel_written(conn, uid, tries, body, &reply),
-            StateRequest::InspectJob { conn, uid, over } => {
-                self.inspected_job_read(conn, uid, over, reply);
+            } => self.cancel_written(conn, uid, retries, body, &reply),
+            StateRequest::InspectJob {
+                conn,
+                uid,
+                finished,
+            } => {
+                self.inspected_job_read(conn, uid, finished, reply);
             }
             StateRequest::ReadDependency {
                 submission,
                 uid,
-                over,
-            } => self.dependency_read(submission, uid, over, reply),
+                finished,
+            } => self.dependency_read(submission, uid, finished, reply),
             StateRequest::AcceptDependentJob {
                 submission,
                 cancelled,
@@ -98,9 +112,9 @@
             StateRequest::ReadBeforeRejecting {
                 conn,
                 uid,
-                over,
+                finished,
                 reason,
-            } => self.reject_submission(conn, uid, over, reason, reply),
+            } => self.reject_submission(conn, uid, finished, reason, reply),
             // Whether they were answered at all is all that matters.
             _ => {}
         }
@@ -110,9 +124,9 @@
     fn handle_leader_state_reply(&mut self, request: StateRequest, reply: Reply, sent: Micros) {
         match request {
             StateRequest::WatchJobs { .. } => self.jobs_watch_answered(reply, sent),
-            StateRequest::CatchUp { .. } => self.caught_up(reply, sent),
-            StateRequest::SaveJobs { items, .. } => self.jobs_saved(items, reply),
-            StateRequest::RereadJob { uid, over, .. } => self.job_reread(&uid, over, reply),
+            StateRequest::ReadJobChanges { .. } => self.job_changes_read(reply, sent),
+            StateRequest::SaveJobs { saves, .. } => self.jobs_saved(saves, reply),
+            StateRequest::RereadJob { uid, finished, .. } => self.job_reread(&uid, finished, reply),
             StateRequest::WriteRegistryPage { key, written, .. } => {
                 self.registry_page_written(&key, written, &reply);
             }
@@ -125,12 +139,12 @@
             StateRequest::ReadDependencyOutcome { uid, .. } => {
                 self.dependency_outcome_read(&uid, reply);
             }
-            StateRequest::CancelDependents { items, .. } => {
-                self.dependents_cancelled(items, &reply);
+            StateRequest::CancelDependents { cancellations, .. } => {
+                self.dependents_cancelled(cancellations, &reply);
             }
             StateRequest::ListChunks { .. } => self.delete_orphan_chunks(reply),
-            StateRequest::ForgetCancelledJob { uid, .. } => {
-                self.cancelled_job_forgotten(&uid, &reply);
+            StateRequest::DeleteCancelledJob { uid, .. } => {
+                self.cancelled_job_deleted(&uid, &reply);
             }
             _ => {}
         }
@@ -152,30 +166,34 @@
     }
 
     /// Reads the job that a submission repeats, to answer with its state.
-    pub(super) fn read_existing_job(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
-        let op = Op::Get(job_key(&uid, over));
-        let request = StateRequest::ReadExistingJob { conn, uid, over };
+    pub(super) fn read_existing_job(&mut self, conn: ConnId, uid: Arc<str>, finished: bool) {
+        let op = Op::Get(job_key(&uid, finished));
+        let request = StateRequest::ReadExistingJob {
+            conn,
+            uid,
+            finished,
+        };
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    fn existing_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
+    fn existing_job_read(&mut self, conn: ConnId, uid: Arc<str>, finished: bool, reply: Reply) {
         match reply {
             Reply::Item(item) => {
                 self.client_requests.note_answer(&uid);
-                self.respond_stored_state(conn, &uid, over, item);
+                self.respond_stored_state(conn, &uid, finished, item);
             }
-            Reply::Absent if !over => self.read_existing_job(conn, uid, true),
+            Reply::Absent if !finished => self.read_existing_job(conn, uid, true),
             _ => self.state_unavailable(conn),
         }
     }
 
-    fn polled_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
+    fn polled_job_read(&mut self, conn: ConnId, uid: Arc<str>, finished: bool, reply: Reply) {
         match reply {
             Reply::Item(item) => {
                 self.client_requests.note_answer(&uid);
-                self.respond_stored_state(conn, &uid, over, item);
+                self.respond_stored_state(conn, &uid, finished, item);
             }
-            Reply::Absent if over => {
+            Reply::Absent if finished => {
                 self.client_requests.note_answer(&uid);
                 self.respond_error(conn, &ApiError::NoSuchJob);
             }
@@ -188,7 +206,7 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        tries: u32,
+        retries: u32,
         body: Value,
         reply: &Reply,
     ) {
@@ -204,28 +222,32 @@
                 }
                 self.respond(conn, 200, &body);
             }
-            Reply::Conflict { .. } if tries < CANCEL_RETRIES_MAX => {
-                self.read_for_cancel(conn, uid, false, tries + 1);
+            Reply::Conflict { .. } if retries < CANCEL_RETRIES_MAX => {
+                self.read_for_cancel(conn, uid, false, retries + 1);
             }
             _ => self.state_unavailable(conn),
         }
     }
 
     /// Reads the stored record of a job for operators.
-    pub(super) fn read_inspected_job(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
-        let op = Op::Get(job_key(&uid, over));
-        let request = StateRequest::InspectJob { conn, uid, over };
+    pub(super) fn read_inspected_job(&mut self, conn: ConnId, uid: Arc<str>, finished: bool) {
+        let op = Op::Get(job_key(&uid, finished));
+        let request = StateRequest::InspectJob {
+            conn,
+            uid,
+            finished,
+        };
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    fn inspected_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
+    fn inspected_job_read(&mut self, conn: ConnId, uid: Arc<str>, finished: bool, reply: Reply) {
         match reply {
             Reply::Item(item) => self.respond_job_details(
                 conn,
                 &uid,
                 json!({"key": item.path, "stamp": item.mod_revision, "record": item.value}),
             ),
-            Reply::Absent if !over => self.read_inspected_job(conn, uid, true),
+            Reply::Absent if !finished => self.read_inspected_job(conn, uid, true),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.state_unavailable(conn),
         }
@@ -271,7 +293,7 @@
             .page_deleted(key, &result, &mut leader_state.workers);
     }
 
-    fn cancelled_job_forgotten(&mut self, uid: &str, reply: &Reply) {
+    fn cancelled_job_deleted(&mut self, uid: &str, reply: &Reply) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -288,8 +310,8 @@
 }
 
 /// The key of a job: that of its final state if it is `over`, else that of the live job.
-pub(super) fn job_key(uid: &str, over: bool) -> String {
-    if over {
+pub(super) fn job_key(uid: &str, finished: bool) -> String {
+    if finished {
         finished_key(uid)
     } else {
         live_key(uid)
--- a/src/controller/state_request.rs
+++ b/src/controller/state_request.rs
@@ -30,13 +30,13 @@
     ReadExistingJob {
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
     },
     /// The state of a polled job.
     PollJob {
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
     },
     /// Whether polled jobs are still live.
     CheckFinished { polls: Vec<PendingPoll> },
@@ -44,36 +44,36 @@
     ReadForCancel {
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
-        tries: u32,
+        finished: bool,
+        retries: u32,
     },
     /// Cancels a job; `body` is what the client is answered.
     WriteCancel {
         conn: ConnId,
         uid: Arc<str>,
-        tries: u32,
+        retries: u32,
         body: Value,
     },
     /// The stored record of a job, for operators.
     InspectJob {
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
     },
     /// Part of the replica that this node keeps, or builds its leader state from. Replies for an
-    /// earlier `round` of the replica are dropped.
-    ReadReplica { round: u64, want: ReplicaRead },
+    /// earlier `generation` of the replica are dropped.
+    ReadReplica { generation: u64, read: ReplicaRead },
     /// Waits for changes of the live jobs.
     WatchJobs { term: u64 },
     /// What has changed of the live jobs so far, at once.
-    CatchUp { term: u64 },
+    ReadJobChanges { term: u64 },
     /// Stores changes of jobs.
-    SaveJobs { term: u64, items: Vec<PendingSave> },
+    SaveJobs { term: u64, saves: Vec<PendingSave> },
     /// What is stored of a job whose save had an unknown outcome.
     RereadJob {
         term: u64,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
     },
     /// Stores a page of the machine registry; `written` names the machines and their silence marks.
     WriteRegistryPage {
@@ -103,7 +103,7 @@
     ReadDependency {
         submission: u64,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
     },
     /// Stores a submitted job that depends on others, or its final state if one of them is
     /// cancelled.
@@ -112,7 +112,7 @@
     ReadBeforeRejecting {
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reason: String,
     },
     /// How a job ended that others depend on.
@@ -120,14 +120,14 @@
     /// Cancels jobs that depend on a cancelled one.
     CancelDependents {
         term: u64,
-        items: Vec<CascadingCancellation>,
+        cancellations: Vec<CascadingCancellation>,
     },
     /// Chunks, among which those that belong to no job are looked for.
     ListChunks { term: u64 },
     /// Deletes a chunk that belongs to no job; its outcome does not matter.
     DeleteOrphanChunk,
     /// Deletes the record of a cancelled job that no machine can hold a task of any more.
-    ForgetCancelledJob { term: u64, uid: Arc<str> },
+    DeleteCancelledJob { term: u64, uid: Arc<str> },
 }
 
 impl StateRequest {
@@ -135,7 +135,7 @@
     pub(super) fn priority(&self) -> RequestPriority {
         match self {
             // Without their answers no worker is answered with 200.
-            Self::Election(_) | Self::CatchUp { .. } => RequestPriority::Vital,
+            Self::Election(_) | Self::ReadJobChanges { .. } => RequestPriority::Vital,
             Self::AcceptJob { .. }
             | Self::ReadExistingJob { .. }
             | Self::ReadDependency { .. }
@@ -161,7 +161,7 @@
     pub(super) fn term(&self) -> Option<u64> {
         match self {
             Self::WatchJobs { term }
-            | Self::CatchUp { term }
+            | Self::ReadJobChanges { term }
             | Self::SaveJobs { term, .. }
             | Self::RereadJob { term, .. }
             | Self::WriteRegistryPage { term, .. }
@@ -172,7 +172,7 @@
             | Self::ReadDependencyOutcome { term, .. }
             | Self::CancelDependents { term, .. }
             | Self::ListChunks { term }
-            | Self::ForgetCancelledJob { term, .. } => Some(*term),
+            | Self::DeleteCancelledJob { term, .. } => Some(*term),
             _ => None,
         }
     }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -220,7 +220,7 @@
             let request = StateRequest::ReadDependency {
                 submission: id,
                 uid,
-                over: false,
+                finished: false,
             };
             self.request_state(request, Op::Get(key), timeout);
         }
@@ -266,7 +266,7 @@
                 let request = StateRequest::ReadDependency {
                     submission: id,
                     uid,
-                    over: true,
+                    finished: true,
                 };
                 let timeout = dependency_timeout(submission.dependencies.len());
                 return self.request_state(request, Op::Get(key), timeout);
@@ -379,7 +379,7 @@
         let request = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
-            over,
+            finished: over,
             reason,
         };
         self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -30,8 +30,8 @@
 /// Pause of a job of which a worker did not know what to run.
 const UNKNOWN_TASK_BACKOFF: Micros = 2 * SECOND;
 /// Weights of the former value and of the newest run time in a machine's slowness.
-const SLOWNESS_KEPT: f64 = 0.7;
-const SLOWNESS_WEIGHT: f64 = 0.3;
+const SLOWNESS_PREVIOUS_WEIGHT: f64 = 0.7;
+const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.3;
 
 /// How an attempt ended, by the worker's report.
 struct AttemptEnd<'a> {
@@ -60,7 +60,7 @@
     }
 
     /// Handles the answer to a request, sent at `sent`, for the changes so far.
-    pub(super) fn caught_up(&mut self, reply: Reply, sent: Micros) {
+    pub(super) fn job_changes_read(&mut self, reply: Reply, sent: Micros) {
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.cancellation_freshness.refresh_answered();
         }
@@ -97,7 +97,7 @@
                 continue;
             };
             if event.value.is_some() {
-                self.adopt_changed_job(uid, event);
+                self.add_accepted_job(uid, event);
             } else {
                 deleted.push((uid, event.mod_revision));
             }
@@ -137,7 +137,7 @@
 
     /// Takes in a job that another controller has accepted; changes of a job that this leader
     /// knows are its own.
-    fn adopt_changed_job(&mut self, uid: &str, event: &WatchEvent) {
+    fn add_accepted_job(&mut self, uid: &str, event: &WatchEvent) {
         let now = self.now.steady;
         let (Some(leader_state), Some(value)) = (&mut self.leader_state, &event.value) else {
             return;
@@ -164,7 +164,7 @@
             mod_revision: event.mod_revision,
             cancelled: false,
         };
-        Self::adopt_job(leader_state, now, stored);
+        Self::add_stored_job(leader_state, now, stored);
         Self::add_dependencies(leader_state, &self.cloud, &record.spec.uid);
     }
 
@@ -192,8 +192,8 @@
             Self::stop_all_tasks(&mut leader_state.workers, job);
             // What its end means for its dependents is read from the state service.
             let uid = job.spec.uid.clone();
-            leader_state.pipelines.forget(&uid);
-            leader_state.pipelines.request_outcome(&uid);
+            leader_state.dependency_graph.forget(&uid);
+            leader_state.dependency_graph.request_outcome(&uid);
         }
     }
 
@@ -238,14 +238,14 @@
             return;
         }
         match &event.kind {
-            TaskEventKind::Discovered => Self::attempt_found(leader_state, now, event),
+            TaskEventKind::Discovered => Self::attempt_observed(leader_state, now, event),
             TaskEventKind::Started => {
                 if let Some(job) = leader_state.jobs.by_number.get(&event.task.job) {
                     leader_state
                         .accounting
                         .record(&job.spec, TaskOutcome::Started);
                 }
-                Self::attempt_found(leader_state, now, event);
+                Self::attempt_observed(leader_state, now, event);
             }
             TaskEventKind::PlacementConfirmed => {
                 if let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) {
@@ -266,7 +266,7 @@
                     stop: *stop,
                 };
                 Self::attempt_ended(leader_state, now, event, &end);
-                Self::judge_task_end(leader_state, cloud, now.steady, event, &end);
+                Self::assess_task_end(leader_state, cloud, now.steady, event, &end);
             }
         }
     }
@@ -279,7 +279,7 @@
     }
 
     /// An attempt is on its machine; one that is not needed is stopped.
-    fn attempt_found(leader_state: &mut LeaderState, now: Now, event: &TaskEvent) {
+    fn attempt_observed(leader_state: &mut LeaderState, now: Now, event: &TaskEvent) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
         };
@@ -423,7 +423,7 @@
     }
 
     /// Tells machines that fail or slow everything from jobs that fail everywhere.
-    fn judge_task_end(
+    fn assess_task_end(
         leader_state: &mut LeaderState,
         cloud: &Cloud,
         now: Micros,
@@ -437,8 +437,8 @@
             return;
         };
         match end.cause {
-            "done" => Self::judge_completion(leader_state, cloud, now, event, end.ran),
-            "error" => Self::judge_failure(leader_state, now, event, end.ran),
+            "done" => Self::assess_completion(leader_state, cloud, now, event, end.ran),
+            "error" => Self::assess_failure(leader_state, now, event, end.ran),
             "no_room" => {
                 machine.quarantined_until = machine.quarantined_until.max(now + NO_ROOM_QUARANTINE);
             }
@@ -448,7 +448,7 @@
     }
 
     /// A completion clears the machine of suspicion and shows how fast it is.
-    fn judge_completion(
+    fn assess_completion(
         leader_state: &mut LeaderState,
         cloud: &Cloud,
         now: Micros,
@@ -478,8 +478,8 @@
         job.run_time_logs.0 += ran_log;
         job.run_time_logs.1 += 1.0;
         let ratio = ran as f64 / leader_state.scheduler.expected_run(&job.spec) as f64;
-        machine.slowness =
-            SLOWNESS_KEPT * machine.slowness + SLOWNESS_WEIGHT * ratio.clamp(0.2, 5.0);
+        machine.slowness = SLOWNESS_PREVIOUS_WEIGHT * machine.slowness
+            + SLOWNESS_SAMPLE_WEIGHT * ratio.clamp(0.2, 5.0);
         if let Some(machine_type) = cloud.machine_type_named(&machine.machine_type) {
             let spot = machine.spot;
             leader_state
@@ -489,7 +489,7 @@
     }
 
     /// A failure counts against the machine, or, if the job fails wherever it goes, the job.
-    fn judge_failure(leader_state: &mut LeaderState, now: Micros, event: &TaskEvent, ran: Micros) {
+    fn assess_failure(leader_state: &mut LeaderState, now: Micros, event: &TaskEvent, ran: Micros) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
         };
