--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -1,8 +1,8 @@
-//! Jobs that depend on others, on the leader: what releases them, and what cancels them.
+//! The leader's handling of jobs that depend on others: how they are released or cancelled.
 //!
-//! How a job ended is taken from its stored final state alone. A job is released once everything
-//! that it depends on is stored as done; it is cancelled once one of its dependencies is stored as
-//! cancelled, and so on along the graph.
+//! Only its stored final state tells how a job ended. A job is released once all its dependencies
+//! are stored as done. It is cancelled once one of its dependencies is stored as cancelled, and the
+//! cancellation cascades to its own dependents.
 
 use super::leader::LeaderState;
 use super::state_request::StateRequest;
@@ -19,10 +19,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Cascading cancellations are written only while fewer requests of clients than this are queued.
+/// Cascading cancellations are written only while fewer than this many client requests are queued.
 const QUEUED_CLIENT_REQUESTS_MAX: usize = 3;
 
-/// A job to be cancelled because a job that it depends on was.
+/// A job that has to be cancelled because a job that it depends on was cancelled.
 #[derive(Clone, Debug)]
 pub(super) struct CascadingCancellation {
     /// The job to be cancelled.
@@ -32,7 +32,8 @@
 }
 
 impl Controller {
-    /// Adds a job that waits for others to the dependency graph.
+    /// Adds a job to the dependency graph if it waits for others, and passes its priority and deadline on
+    /// to its dependencies.
     pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
         let Some(job) = leader_state
             .jobs
@@ -56,7 +57,7 @@
             });
     }
 
-    /// Reads how jobs ended that others depend on and that are not live any more.
+    /// Reads the final states of dependencies that may have finished.
     pub(super) fn read_dependency_outcomes(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Handles how a job ended that others depend on.
+    /// Handles the reply to the read of a dependency's final state.
     pub(super) fn dependency_outcome_read(&mut self, uid: &Arc<str>, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -87,7 +88,8 @@
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
                 Err(error) => {
-                    // It proves nothing: its dependents go on waiting.
+                    // An unreadable final state does not show how the job ended: its dependents
+                    // continue to wait.
                     log::error!(
                         "stored final state unreadable key={} error={error}",
                         item.path
@@ -95,13 +97,13 @@
                     leader_state.dependency_graph.retry_outcome(now, uid);
                 }
             },
-            // Live after all: its end will be reported.
+            // The job is still live; the watch will report its end.
             Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
             _ => leader_state.dependency_graph.retry_outcome(now, uid),
         }
     }
 
-    /// The final state of a job that others may depend on is stored.
+    /// Releases or cancels the dependents of a job whose final state is stored.
     pub(super) fn dependency_finished(
         leader_state: &mut LeaderState,
         now: Micros,
@@ -126,7 +128,8 @@
         }
     }
 
-    /// A job is stored as done: dependents that wait for nothing more are placed without delay.
+    /// Releases the dependents of a completed job that have no other unmet dependency, and requests
+    /// their placement at once. `at` is the time of day at which the job was done.
     fn dependency_done(leader_state: &mut LeaderState, now: Micros, uid: &Arc<str>, at: Micros) {
         for (dependent, ready) in leader_state.dependency_graph.dependency_done(uid, at) {
             if let Some(job) = leader_state.jobs.get_mut(&dependent) {
@@ -137,7 +140,8 @@
         }
     }
 
-    /// Cancels the jobs that depend on a cancelled one, with the priority of clients' changes.
+    /// Cancels jobs that depend on a cancelled one, as many as one transaction holds. The write has the
+    /// priority of client requests.
     pub(super) fn cancel_dependents(&mut self) {
         let wall = self.now.wall;
         let schema = self.schema();
@@ -164,8 +168,8 @@
                 continue;
             }
             if !job.waits_for_dependencies() {
-                // It was released: then all its dependencies were done, and a final state never
-                // changes.
+                // The job was released, so all its dependencies were stored as done. A final state
+                // never changes, so this is an inconsistency in the stored records.
                 log::error!(
                     "job runs though a dependency was cancelled job={uid} cancelled={root}"
                 );
@@ -233,7 +237,7 @@
                         .cascading_cancellations
                         .push_back(CascadingCancellation { uid, root });
                 }
-                // It may have been applied.
+                // The transaction may have been applied.
                 _ => {
                     reread.push(uid.clone());
                     leader_state
@@ -247,7 +251,7 @@
         }
     }
 
-    /// What the leader knows about a job's dependencies, for operators.
+    /// The leader's view of a job's dependencies, as a part of `/inspect/job`.
     pub(super) fn inspect_dependencies(&self, uid: &str) -> Value {
         let Some((leader_state, job)) = self
             .leader_state
@@ -278,8 +282,8 @@
     }
 }
 
-/// How long a job takes from its release to its end, in microseconds: fetching its image, and the
-/// slowest of its tasks, which takes longer than the average one.
+/// The expected time from a job's release to its end, in microseconds: the time to fetch its image,
+/// and 1.5 times the expected run time of a task, since the job ends with its slowest task.
 fn expected_job_duration(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -1,9 +1,10 @@
-//! Becoming the leader, loading its state, and stepping down.
+//! Taking over leadership, loading the leader's state, and stepping down.
 //!
-//! A new leader builds its state from what is stored: jobs, machine registry and schema version,
-//! from the replica it followed or read anew. Stored placements are held as unconfirmed until
-//! their machines have reported, so no task is started twice. What can't be read proves nothing:
-//! then no task is started until all leases of the time it was loaded have expired.
+//! A new leader builds its state from the stored jobs, machine registry and schema version. It takes
+//! them from the replica that it kept as a standby, or reads them from the state service. It treats
+//! stored placements as unconfirmed until their machines have reported, so that no task is started
+//! twice. If a record can't be read, its placements are unknown: the leader then starts no task
+//! until every worker lease that existed when it loaded its state has expired.
 
 use super::Controller;
 use super::leader::LeaderState;
@@ -28,46 +29,48 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A leader that hears no machine for this long, and for two report periods, resigns.
+/// A leader that receives no heartbeat for this long, and for at least two heartbeat periods,
+/// resigns.
 const FLEET_SILENCE_TIMEOUT: Micros = 10 * SECOND;
-/// How long a leader that resigned for cause leaves the election to others the first time; the
-/// pause doubles with each further time.
+/// How long a leader stays out of the election after it has resigned because it could not do its
+/// work. The time doubles with each further such resignation.
 const RESIGN_BACKOFF_MIN: Micros = 5 * SECOND;
-/// The longest such pause.
+/// Upper limit of that time.
 const RESIGN_BACKOFF_MAX: Micros = 60 * SECOND;
 
-/// What was found when the stored jobs were loaded.
+/// Counts from loading the stored jobs.
 #[derive(Default)]
 struct LoadedJobs {
-    /// Placements that are held until their machines have reported.
+    /// Placements whose machines have not reported under the new term yet.
     unconfirmed: usize,
-    /// Records or chunks that could not be read.
+    /// Records or chunks that are missing or could not be decoded.
     unreadable: usize,
 }
 
-/// What loading the jobs needs to know.
+/// Inputs for loading the stored jobs.
 struct LoadContext {
     now: Micros,
     schema: Schema,
-    /// A page of the machine registry could not be read.
+    /// Whether a page of the machine registry could not be decoded.
     registry_unreadable: bool,
 }
 
-/// A stored job that is taken into the table.
+/// A stored job that is added to the leader's job table.
 #[derive(Clone, Copy)]
 pub(super) struct StoredJob<'a> {
-    /// Its record, with what its chunks hold.
+    /// Its record, completed from its chunks.
     pub(super) record: &'a JobRecord,
-    /// How many chunks belong to it.
+    /// Number of chunks that belong to it.
     pub(super) chunks: usize,
     /// The revision of its key.
     pub(super) mod_revision: u64,
-    /// It was cancelled, and tasks of it may still be on machines.
+    /// Whether it was cancelled; its tasks may still be on machines.
     pub(super) cancelled: bool,
 }
 
 impl Controller {
-    /// This node was elected, by a request sent at `sent`: it starts to load the leader's state.
+    /// Starts to load the leader's state after this node has won the election. `sent` is the send
+    /// time of the transaction that acquired leadership.
     pub(super) fn become_leader(&mut self, term: u64, mod_revision: u64, sent: Micros) {
         log::info!("elected leader term={term}");
         self.state.set_leading(true);
@@ -106,7 +109,8 @@
             reconciliation: Reconciliation::new(now, 0, 0),
             reconciliation_logged: false,
             jobs_revision: 0,
-            // What the state is loaded from is not older than the election.
+            // The state is loaded at the revision of the election or later, so it includes every
+            // cancellation stored before `sent`.
             cancellation_freshness: CancellationFreshness::new(
                 validity_from_settings(lease, settings.cancel()),
                 sent,
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Gives up leadership, and does not stand for election again within `backoff`.
+    /// Gives up leadership and stays out of the election for `backoff`.
     pub(super) fn resign(&mut self, backoff: Micros) {
         for (step, op) in self.election.resign(self.now.steady, backoff) {
             self.request_state(StateRequest::Election(step), op, SECOND);
@@ -132,15 +136,16 @@
         self.step_down();
     }
 
-    /// Resigns for cause, for longer each time.
+    /// Resigns because this leader can't do its work, with a longer backoff each time.
     fn resign_with_backoff(&mut self) {
         self.resign_backoff =
             (2 * self.resign_backoff).clamp(RESIGN_BACKOFF_MIN, RESIGN_BACKOFF_MAX);
         self.resign(self.resign_backoff);
     }
 
-    /// Resigns if no machine has been heard for long, neither directly nor through a peer: the
-    /// other controllers may hear them. Were it to stay, all leases would expire under it.
+    /// Resigns if no machine's heartbeat has arrived for too long, neither directly nor through a
+    /// peer; returns whether it did. The other controllers may still receive heartbeats, while the
+    /// leases of all workers would expire under this leader.
     pub(super) fn resign_if_fleet_silent(&mut self) -> bool {
         let now = self.now.steady;
         let Some(leader_state) = &self.leader_state else {
@@ -160,20 +165,24 @@
         true
     }
 
-    /// Resigns, to continue under a new term, if its attempt numbers or fence counters are about to reach those
-    /// of the next term.
+    /// Resigns, to continue under a new term, if this term's attempt numbers or fence counters are
+    /// nearly used up: beyond their range they would collide with those of the next term. Returns
+    /// whether it did.
     pub(super) fn resign_if_numbering_exhausted(&mut self) -> bool {
         let exhausted = |leader_state: &LeaderState| leader_state.workers.is_numbering_exhausted();
         if !self.leader_state.as_ref().is_some_and(exhausted) {
             return false;
         }
-        log::warn!("attempt or fence numbers exhausted; continuing under a new term");
+        log::warn!(
+            "attempt numbers or fence counters exhausted; resigning to continue under a new term"
+        );
         self.resign(0);
         true
     }
 
-    /// Resigns if its lease is renewed but its reads of cancellations are not answered: it can't
-    /// act for long, and another controller may be answered.
+    /// Resigns if the state service renews this leader's lease but does not answer its reads of
+    /// cancellations; returns whether it did. Without these reads the leader soon may not act, and
+    /// the state service may answer another controller.
     pub(super) fn resign_if_cancellations_stale(&mut self) -> bool {
         let (now, since) = (self.now.steady, self.election.valid_since());
         let Some(leader_state) = &self.leader_state else {
@@ -189,7 +198,7 @@
         true
     }
 
-    /// Drops everything that this node held as leader.
+    /// Drops the leader's state.
     pub(super) fn step_down(&mut self) {
         if let Some(leader_state) = self.leader_state.take() {
             log::info!("no longer leader term={}", leader_state.term);
@@ -197,8 +206,8 @@
         self.state.set_leading(false);
     }
 
-    /// Builds the leader's state from what is stored; returns how many placements are held as
-    /// unconfirmed.
+    /// Builds the leader's state from the stored records; returns the number of unconfirmed
+    /// placements.
     pub(super) fn finish_load(&mut self, mut replica: Replica) -> usize {
         self.load_revisions(&replica);
         self.load_schema_version(&replica);
@@ -214,8 +223,8 @@
         };
         let loaded = Self::load_jobs(leader_state, &context, &mut replica);
         if loaded.unreadable > 0 || registry_unreadable {
-            // Placements that nobody can read: what the machines don't report within their lease
-            // is surely not there.
+            // Placements in unreadable records are unknown. A task that no machine has reported
+            // by the time all leases have expired is certainly not running.
             leader_state.starts_held_until = now + drift_upper_bound(self.settings.lease());
             log::error!("stored records unreadable; no task starts until all leases have expired");
         }
@@ -234,7 +243,7 @@
         loaded.unconfirmed
     }
 
-    /// Takes over the revisions of the live jobs, and the checksum over them.
+    /// Sets the revisions of the live jobs, and the checksum over them, from the replica.
     fn load_revisions(&mut self, replica: &Replica) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -264,7 +273,7 @@
         }
     }
 
-    /// Loads the machine registry; returns whether a page of it could not be read.
+    /// Loads the machine registry; returns whether a page of it could not be decoded.
     fn load_registry(&mut self, replica: &Replica, schema: Schema) -> bool {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -314,7 +323,7 @@
         unreadable
     }
 
-    /// Loads the live jobs, and then the cancelled ones that may still be on machines.
+    /// Loads the live jobs, and then the cancelled jobs whose tasks may still be on machines.
     fn load_jobs(
         leader_state: &mut LeaderState,
         context: &LoadContext,
@@ -335,7 +344,7 @@
                     continue;
                 };
                 if context.registry_unreadable {
-                    // A machine that is on no readable page may still be there.
+                    // A machine that no readable registry page lists may still hold its tasks.
                     for machine in record.placed.keys() {
                         let id = machine.clone();
                         leader_state.workers.add_registered_machine(
@@ -358,7 +367,7 @@
                 if bytes > context.schema.usable_bytes()
                     && let Some(job) = leader_state.jobs.get_mut(&uid)
                 {
-                    // Stored under larger limits, and no earlier leader has rewritten it.
+                    // Stored under larger limits than the present ones, and not rewritten since.
                     job.mark_dirty(context.now);
                 }
             }
@@ -366,12 +375,13 @@
         loaded
     }
 
-    /// Starts to reconcile what is stored with what the machines report.
+    /// Starts to reconcile the stored placements with the machines' reports.
     fn begin_reconciliation(&mut self, unconfirmed: usize) {
         let now = self.now.steady;
-        // A node that never heard of a leader has just started itself, and so, most likely, have
-        // the others: no worker reports through any of them, and none would be probed. Otherwise
-        // the peers first probe the workers that report to them, unasked.
+        // A node that has never received a message from a leader has just started, and most likely
+        // so have its peers. They receive no heartbeats yet, so none of them would probe a worker on
+        // its own, and the leader assigns the probes at once. Otherwise the peers first probe the
+        // workers that report to them.
         let cold_start =
             self.client_requests.progress_at() == 0 && self.peer_links.leader_hint_at().is_none();
         let Some(leader_state) = &mut self.leader_state else {
@@ -398,8 +408,8 @@
         );
     }
 
-    /// Takes a stored job into the table; its stored placements are held as unconfirmed. Returns
-    /// how many those are.
+    /// Adds a stored job to the job table with its placements as unconfirmed; returns the number of
+    /// these placements.
     pub(super) fn add_stored_job(
         leader_state: &mut LeaderState,
         now: Micros,
@@ -414,9 +424,10 @@
         let uid = record.spec.uid.clone();
         if let Some(job) = leader_state.jobs.get_mut(&uid) {
             if cancelled {
-                // Cancelled between the two reads, where the state service can't report all
-                // changes: the watch will report the same write, but its revision would pass for
-                // known.
+                // The job was cancelled between the read of the live jobs and that of the cancelled
+                // ones, which happens if the state service can't report the changes of all keys.
+                // The watch would report the deletion with a revision that this leader counts as
+                // known, and the deletion would be dropped.
                 Self::mark_cancelled(leader_state, &uid);
             } else if job.mod_revision < mod_revision && !job.save_in_flight {
                 job.mod_revision = mod_revision;
@@ -432,7 +443,8 @@
         for (machine, ranges) in &record.placed {
             for index in ranges.iter().flat_map(|(from, to)| *from..*to) {
                 let task = TaskId { job: number, index };
-                // A machine that is not registered was proven gone before its entry was removed.
+                // The registry entry of a machine is removed only after the machine is proven gone,
+                // so a placement on an unregistered machine is not added.
                 if leader_state
                     .workers
                     .add_unconfirmed(machine, task, &record.spec, now)
@@ -451,8 +463,9 @@
     }
 }
 
-/// Completes a job's record from its chunks; `unreadable` counts what could not be read. None if
-/// the header itself can't be read.
+/// Completes a job's record from its chunks and returns it with the number of chunks. Adds to
+/// `unreadable` the header or chunks that are missing or can't be decoded; returns `None` if the
+/// header can't be decoded.
 fn read_record(
     replica: &Replica,
     prefix: &str,
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,9 +1,9 @@
-//! Workers' heartbeats: applied by the leader, passed on to it by the other controllers.
+//! Workers' heartbeats: the leader applies them, the other controllers forward them to the leader.
 //!
-//! A heartbeat is answered with 200 only by a leader that may act; the commands for the worker are
-//! in that answer. Other controllers batch heartbeats for the leader, and, while they can't reach
-//! it, send the worker to another controller. After a change of leader, workers are probed by all
-//! controllers, since most of them report to one that does not lead.
+//! Only a leader that may act answers a heartbeat with 200; the answer holds the commands for the
+//! worker. The other controllers forward heartbeats in batches, and redirect a worker to another
+//! controller while they can't reach the leader. After a change of leader all controllers probe
+//! workers, since most workers report to a controller that is not the leader.
 
 use super::Controller;
 use super::api_error::ApiError;
@@ -22,23 +22,25 @@
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// At most this many workers to be probed go in a frame.
+/// The most workers that one probe assignment frame names.
 const PROBE_ROWS_PER_FRAME: usize = 512;
-/// Answers to a batch go in one frame: past this many bytes the other heartbeats of the batch are not applied yet.
-/// One answer, of at most some hundred commands, is shorter than what is left of the frame.
+/// The answers to a batch go in one frame. Once they take more than this many bytes, the remaining heartbeats
+/// of the batch are not applied. The rest of the frame has room for one more answer of a few hundred commands.
 const ANSWER_FRAME_BYTES_MAX: usize = FRAME_MAX - 128 * 1024;
-/// At an overloaded node a heartbeat may wait this long for the leader's answer. Its worker waits 4 s: were it given up
-/// earlier, a leader that is 2 s behind would see every worker reconnect, which puts it further behind.
+/// How long an overloaded node waits for the leader's answer to a forwarded heartbeat. The worker waits 4 s. With a
+/// shorter timeout, every worker would reconnect when the leader is 2 s behind, which delays the leader further.
 const OVERLOADED_HEARTBEAT_TIMEOUT: Micros = 3 * SECOND;
-/// What becomes of a heartbeat.
+
+/// The result of applying a heartbeat.
 enum HeartbeatOutcome {
-    /// It was applied; these are the commands for the worker.
+    /// It was applied; the answer has these commands for the worker.
     Commands(Commands),
-    /// The worker's machine was released: it gets no 200.
+    /// The worker's machine was released, so its lease must not be renewed with a 200.
     Refused,
-    /// It can't be parsed.
+    /// It could not be parsed, for this reason.
     Malformed(String),
-    /// It is a repeat of a heartbeat that the leader does not know: it has to be sent in full.
+    /// It repeats a heartbeat that the leader does not hold, or was not applied for lack of space in the answer
+    /// frame: the sender has to send it in full.
     FullHeartbeatNeeded,
 }
 
@@ -104,11 +106,12 @@
         self.forward_heartbeat(conn, address, body);
     }
 
-    /// The controller that a worker which reports to this leader is handed over to, now and then. A
-    /// heartbeat through another controller costs the leader a row in a frame instead of a request
-    /// of its own, and the others have time to spare while the leader has the least. Not while
-    /// machines have still to report, and not to a single controller, whose loss would interrupt
-    /// all workers; a handover costs a worker half a second without an answer.
+    /// The controller that a worker which reports to this leader should use instead; `None` most of the time.
+    ///
+    /// The leader hands workers over one at a time, since a heartbeat through another controller costs it a row in
+    /// a frame instead of a whole request, and it is the busiest controller. It hands none over while machines
+    /// have still to confirm its term, and none to a single controller, whose loss would interrupt all workers. A
+    /// handover leaves the worker without an answer for half a second.
     fn handover_target(&mut self) -> Option<String> {
         let now = self.now.steady;
         let leader_state = self.leader_state.as_ref()?;
@@ -120,7 +123,8 @@
         self.peer_links.take_handover_target(now)
     }
 
-    /// After a change of leader: probes the workers that report to this node, for the new leader.
+    /// Probes the workers that report to this node, after a change of leader, so that they learn the new leader's
+    /// fencing token.
     pub(super) fn probe_workers(&mut self) {
         let now = self.now.steady;
         if let Some(record) = self.election.leader() {
@@ -134,7 +138,7 @@
             .tick(now, lag, &mut self.tickets, &mut self.outputs);
     }
 
-    /// Divides the workers that have not reported to a new leader among all controllers for probing.
+    /// Divides the workers that have not reported to the new leader among all controllers for probing.
     pub(super) fn share_probes(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -156,15 +160,15 @@
         }
     }
 
-    /// Takes the workers that the leader wants probed from here.
+    /// Handles a frame that names the workers which the leader assigned to this node for probing.
     pub(super) fn accept_probe_assignment(&mut self, body: &[u8]) {
         if let Ok(rows) = <[ProbeRow]>::ref_from_bytes(body) {
             self.worker_probe.assign(self.now.steady, rows);
         }
     }
 
-    /// Passes a worker's answer to a probe to the leader. It is as good as a heartbeat: a worker that
-    /// has seen a new fencing token reports at once, but not twice in half a lease.
+    /// Forwards a worker's answer to a probe to the leader, which uses it as a heartbeat: a worker that has seen a
+    /// new fencing token reports at once, but at most once within half a lease.
     pub(super) fn forward_probe_answer(&mut self, outcome: &Outcome) {
         let Outcome::Reply {
             status: 200 | 409,
@@ -186,7 +190,7 @@
         self.send_to_peer(dest, request);
     }
 
-    /// Applies a worker's answer to a probe.
+    /// Applies a worker's answer to a probe, as leader.
     pub(super) fn apply_probe_answer(&mut self, body: &[u8]) {
         let now = self.now.steady;
         if !self.is_leader() {
@@ -203,7 +207,7 @@
         }
     }
 
-    /// Forwards a heartbeat in a frame of its own.
+    /// Forwards a single heartbeat to the leader in a frame of its own.
     fn forward_heartbeat(&mut self, conn: ConnId, dest: SocketAddr, body: Vec<u8>) {
         self.call_peer(
             dest,
@@ -213,7 +217,7 @@
         );
     }
 
-    /// Whether the leader accepts batches; if that is not known, it is asked.
+    /// Whether the leader is known to accept heartbeat batches; if not, asks it.
     fn leader_accepts_batches(&mut self, leader: &str, dest: SocketAddr) -> bool {
         let now = self.now.steady;
         let record = self.election.leader().filter(|r| r.node == leader);
@@ -239,14 +243,14 @@
         self.peer_links.peer_named(&leader)
     }
 
-    /// Sends the heartbeats whose batch is due to the leader.
+    /// Sends the due batches of heartbeats to the leader.
     pub(super) fn send_heartbeat_batches(&mut self) {
         let now = self.now.steady;
         if self.heartbeat_batch.due_at().is_none_or(|due| due > now) {
             return;
         }
         if self.is_leader() {
-            // They arrived while there was no leader.
+            // These heartbeats arrived before this node became leader.
             for (conn, body) in self.heartbeat_batch.drain() {
                 self.handle_heartbeat(conn, body);
             }
@@ -260,7 +264,7 @@
         };
         let (leader, dest) = (peer.name.clone(), peer.address);
         if self.is_link_avoided(dest) {
-            let over = if self.should_hold_for_leader(dest) {
+            let unanswered = if self.should_hold_for_leader(dest) {
                 self.heartbeat_batch.hold_for_leader(now)
             } else {
                 self.heartbeat_batch
@@ -269,7 +273,7 @@
                     .map(|(conn, _)| conn)
                     .collect()
             };
-            for conn in over {
+            for conn in unanswered {
                 self.reject_or_redirect_worker(conn, &leader);
             }
             return;
@@ -296,7 +300,7 @@
         }
     }
 
-    /// Answers the workers of a batch with what the leader answered.
+    /// Answers the workers of a forwarded batch from the leader's reply.
     pub(super) fn heartbeat_batch_answered(&mut self, ticket: Ticket, outcome: &Outcome) {
         use crate::heartbeat_batch::HeartbeatAnswer;
         let leader = self.leader_peer().map(|p| p.address);
@@ -335,7 +339,7 @@
         }
     }
 
-    /// The leader did not answer a heartbeat: the worker is sent elsewhere.
+    /// Handles a heartbeat that the leader did not answer: rejects or redirects its worker.
     pub(super) fn heartbeat_forward_failed(&mut self, conn: ConnId, outcome: &Outcome) {
         let Some(leader) = self.leader_name() else {
             return self.respond_error(conn, &ApiError::NoLeader);
@@ -346,7 +350,7 @@
         self.reject_or_redirect_worker(conn, &leader);
     }
 
-    /// A call over this link failed: it is avoided for a while.
+    /// Records that a call over this link failed, so that the link is avoided for some time.
     fn note_link_failure(&mut self, dest: SocketAddr, outcome: &Outcome) {
         let refused = *outcome == Outcome::Refused;
         let leader_ttl = self.properties.leader_ttl;
@@ -369,8 +373,8 @@
             .is_leader_in_doubt(self.now.steady, dest, self.properties.leader_ttl)
     }
 
-    /// Whether a worker that reports to this node, which is short of connections and does not lead, is sent to the
-    /// leader: one at a time, and the leader hands none to a node short of connections.
+    /// Whether to redirect the present worker to the leader because this node is short of connections. This node
+    /// redirects one worker at a time, and the leader hands none over to a node that is short of connections.
     fn should_redirect_to_leader(&mut self) -> bool {
         self.load.connection_pressure == ConnectionPressure::Critical
             && self.peer_links.take_handback(self.now.steady)
@@ -385,22 +389,23 @@
         }
     }
 
-    /// Whether this node was overloaded and the leader was heard so lately that it must be slow where it does not
-    /// answer.
+    /// Whether a leader that does not answer is only slow: this node was overloaded lately, and the leader announced
+    /// itself within the last few seconds.
     fn is_leader_slow(&self) -> bool {
         self.was_overloaded() && self.peer_links.is_leader_heard(self.now.steady)
     }
 
-    /// Whether the leader may answer the next call after one that failed: heartbeats wait for that.
+    /// Whether heartbeats are held after a failed call, because the leader, or its successor, may answer the next
+    /// call.
     fn should_hold_for_leader(&self, dest: SocketAddr) -> bool {
         self.is_leader_in_doubt(dest) || self.is_leader_slow()
     }
 
-    /// Sends a worker away whose heartbeat can't be passed to the leader.
+    /// Answers a worker whose heartbeat can't be forwarded to the leader.
     ///
-    /// While the leader is only slow, no other controller serves the worker either: redirected, it would reconnect
-    /// there at once, be redirected back, and each time cost a new connection. An error without a redirect costs it
-    /// a second, which bounds how many reconnect.
+    /// While the leader is only slow, no other controller can serve the worker either. If redirected, it would
+    /// reconnect there at once and be redirected back, with a new connection each time. An error without a redirect
+    /// makes the worker wait for a second, which limits the rate of new connections.
     fn reject_or_redirect_worker(&mut self, conn: ConnId, leader: &str) {
         if self.is_leader_slow() {
             return self.respond_error(conn, &ApiError::LeaderSlow);
@@ -408,7 +413,8 @@
         self.redirect_worker(conn, leader);
     }
 
-    /// Sends a worker whose heartbeat can't be passed to the leader to another controller.
+    /// Redirects a worker whose heartbeat can't be forwarded to the leader to another controller, if one may
+    /// reach it.
     fn redirect_worker(&mut self, conn: ConnId, leader: &str) {
         let body = match self
             .peer_links
@@ -440,7 +446,7 @@
         Outcome::Reply { status, body }
     }
 
-    /// Applies a batch of heartbeats; each row is answered by a row.
+    /// Applies a batch of heartbeats that another controller forwarded; each row is answered by a row.
     pub(super) fn apply_heartbeat_batch(&mut self, from: &str, body: &[u8]) -> Outcome {
         if !self.is_leader() {
             return not_leading_reply();
@@ -455,11 +461,11 @@
             rest = after;
             let full = answers.len() > ANSWER_FRAME_BYTES_MAX;
             if full && !text.is_empty() {
-                // Not applied: its worker reports elsewhere.
+                // Not applied and not answered: its worker is rejected or redirected.
                 continue;
             }
             let answer = if full {
-                // Not applied: it comes again, in full, in another frame.
+                // Not applied: the sender repeats it in full in another frame.
                 HeartbeatOutcome::FullHeartbeatNeeded
             } else if text.is_empty() {
                 self.apply_repeated_heartbeat(&row, via)
@@ -502,7 +508,7 @@
         }
     }
 
-    /// Applies a heartbeat as its worker sent it; one that repeats the last is not parsed.
+    /// Applies a heartbeat with its whole body. If it repeats the machine's last one, the body is not parsed.
     fn apply_heartbeat(&mut self, body: &[u8], via: Option<SocketAddr>) -> HeartbeatOutcome {
         let row = HeartbeatSummary::of(body).and_then(|summary| summary.row());
         if let Some(row) = &row {
@@ -576,7 +582,7 @@
     serde_json::to_vec(commands).unwrap_or_default()
 }
 
-/// The answer that nearly all heartbeats get.
+/// The answer without commands, which nearly all heartbeats get.
 fn empty_commands(token: u64) -> Vec<u8> {
     format!(r#"{{"baton":{token},"orders":[]}}"#).into_bytes()
 }
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -1,9 +1,8 @@
-//! What a controller holds only while it leads, and the leader's share of each tick.
+//! The state that a controller has only while it is the leader, and the leader's part of each tick.
 //!
-//! [`LeaderState`] is built on election and dropped as a whole on stepping down: nothing of one term
-//! is carried over to the next. The loop acts only while the lease is valid and what is known of
-//! cancellations is fresh; `refresh_cancellations` decides that in one place for everything the
-//! leader does.
+//! [`LeaderState`] is created on election and dropped as a whole on stepping down: no state of one
+//! term is carried over to the next. The leader acts only while its lease is valid and its knowledge
+//! of cancellations is fresh; `refresh_cancellations` decides that in one place for all its work.
 
 use super::Controller;
 use super::dependencies::CascadingCancellation;
@@ -28,70 +27,71 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// How long the state service may hold back the answer to a watch while nothing changes.
+/// How long the state service may keep a watch open while nothing changes.
 const WATCH_BLOCK: Micros = 20 * SECOND;
 
-/// What exists only while this node leads.
+/// The state of the leader for one term, from its election to the end of its leadership.
 pub(super) struct LeaderState {
-    /// The term, which rises with each election.
+    /// The leader's term; each election has a higher one.
     pub(super) term: u64,
-    /// Revision of the leader key: the guard of all writes of this leader.
+    /// Revision of the leader key; a precondition of all writes of this leader.
     pub(super) leader_key_revision: u64,
-    /// The live jobs, and cancelled ones that may still be on machines.
+    /// The live jobs, and the cancelled jobs whose tasks may still be on machines.
     pub(super) jobs: JobTable,
-    /// Which jobs depend on which.
+    /// The jobs that wait for other jobs, and their dependencies.
     pub(super) dependency_graph: DependencyGraph,
-    /// Jobs that are to be cancelled because one that they depend on was.
+    /// Jobs that have to be cancelled because a job that they depend on was cancelled.
     pub(super) cascading_cancellations: VecDeque<CascadingCancellation>,
-    /// The machines and the attempts they hold.
+    /// The machines, and the task attempts on each.
     pub(super) workers: WorkerLedger,
-    /// Chooses which task starts where.
+    /// Decides which task starts on which machine.
     pub(super) scheduler: Scheduler,
-    /// The stored registry of machines.
+    /// The machine registry as stored, and its pending writes.
     pub(super) registry: MachineRegistry,
-    /// Revision of the stored schema version.
+    /// Revision of the key that holds the stored schema version.
     pub(super) schema_key_revision: u64,
-    /// What each controller has registered that it supports, by name.
+    /// The schema versions that each controller has registered as supported, by controller name.
     pub(super) schema_support: BTreeMap<String, SchemaSupport>,
-    /// Something stored could not be read: nothing is started until all leases of the time it
-    /// was loaded have expired.
+    /// No task starts before this time. Set if a stored record could not be read, to the time by
+    /// which all worker leases that existed during the load have expired.
     pub(super) starts_held_until: Micros,
-    /// What has still to be loaded before anything is decided; none once that is done.
+    /// The load of this state while it is under way; the leader makes no decision until it is
+    /// complete (`None`).
     pub(super) pending_load: Option<LeaderLoad>,
-    /// The times of this failover.
+    /// The times and counts of this leader's failover.
     pub(super) failover: Failover,
-    /// What has been learned from the machines since the election.
+    /// The progress of the reconciliation with the machines since the election.
     pub(super) reconciliation: Reconciliation,
-    /// The log line about the reconciliation was written.
+    /// Whether the end of the reconciliation was logged.
     pub(super) reconciliation_logged: bool,
-    /// The store revision up to which changes of the live jobs are known.
+    /// The store revision up to which all changes of the live jobs are applied.
     pub(super) jobs_revision: u64,
-    /// How old what is known of cancellations is.
+    /// How recent this leader's knowledge of cancellations is.
     pub(super) cancellation_freshness: CancellationFreshness,
     /// Revisions of the live jobs' keys at `jobs_revision`.
     pub(super) job_revisions: HashMap<Arc<str>, u64>,
-    /// The checksum over them that standbys compare with their replicas.
+    /// The checksum over `job_revisions`, which standbys compare with that of their replicas.
     pub(super) jobs_checksum: Checksum,
-    /// When the recurring work is due next.
+    /// The times at which recurring work is due.
     pub(super) schedule: LeaderSchedule,
     /// Machines rented by a controller, which are returned when idle.
     pub(super) rented_machines: BTreeSet<Arc<str>>,
-    /// Cancellations that other controllers announced before the state service did.
+    /// Number of cancellations that another controller announced before the watch reported them.
     pub(super) cancellation_hints: u64,
-    /// What became of the work so far.
+    /// Counts of accepted work and of task outcomes in this term.
     pub(super) accounting: WorkloadAccounting,
-    /// How many machines the waiting work would fill, by offer, the cheapest first.
+    /// The number of machines that the waiting work would fill, by cloud offer, the cheapest first.
     pub(super) wanted_machines: Vec<(Offer, u32)>,
     /// When this node was elected.
     pub(super) elected_at: Micros,
-    /// When there last was a job or demand for machines.
+    /// When there was last a job or demand for machines.
     pub(super) last_busy_at: Micros,
-    /// Since when this node has been entitled to act without a break.
+    /// The time since when this leader has been allowed to act without interruption.
     pub(super) valid_since: Micros,
 }
 
 impl Controller {
-    /// The leader's share of a tick: everything that is due, in a fixed order.
+    /// The leader's part of a tick: does all work that is due, in a fixed order.
     pub(super) fn run_leader(&mut self) {
         if self
             .leader_state
@@ -125,8 +125,9 @@
         self.send_due_commands();
     }
 
-    /// Renews what is known of cancellations before it gets too old; false while that is too old
-    /// for this node to act as leader. [`Controller::is_leader`] gives everyone the same answer.
+    /// Reads the changes of the live jobs before the knowledge of cancellations becomes stale.
+    /// Returns whether the lease is valid and that knowledge is fresh, so that the leader may act;
+    /// [`Controller::is_leader`] uses the same rule.
     fn refresh_cancellations(&mut self) -> bool {
         let now = self.now.steady;
         let since = self.election.valid_since();
@@ -181,7 +182,7 @@
         );
     }
 
-    /// Makes a placement pass, if one is asked for and may be made.
+    /// Runs a placement pass if one is due and the leader may start tasks.
     fn place_due_tasks(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -1,9 +1,9 @@
-//! Saves what changed of jobs to the state service.
+//! Saves changed jobs to the state service.
 //!
-//! Every save is one transaction guarded by the leader key and the revision of each job in it. Two
-//! orders hold at this door: a start is sent to its machine only once its placement is stored, and
-//! a worker may drop the record of a finished attempt only once the completion is stored. After a
-//! save with an unknown outcome a job is read again before anything else is written of it.
+//! Every save is one transaction whose preconditions are the revisions of the leader key and of each
+//! job in it. Two rules hold: a start command is sent to its machine only after the placement is
+//! stored, and a worker may drop the record of a finished attempt only after the completion is
+//! stored. After a save with an unknown outcome, the job is read again before its next save.
 
 use super::leader::LeaderState;
 use super::state_replies::job_key;
@@ -25,47 +25,49 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// A change that only says how far a job is may be saved after this, if budget is left over.
+/// A change that only concerns a job's progress is saved after this time if request budget is left.
 const PROGRESS_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
-/// Such a change waits at most this long for budget to be left over.
+/// Such a change is saved after this time at the latest.
 const PROGRESS_SAVE_DELAY_MAX: Micros = 20 * SECOND;
-/// With this many writes of the leader queued, changes are collected instead.
+/// No save is sent while this many of the leader's requests are queued.
 const QUEUED_SAVES_MAX: usize = 2;
 /// Size at which a transaction is full, in bytes.
 const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
-/// The share of a second's changes that one transaction may have.
+/// The largest share of the changes allowed per second that one transaction may have.
 const CHANGE_RATE_SHARE: f64 = 0.25;
-/// The fewest changes a transaction may have: what a final state takes.
+/// Lower bound of that limit, in changes: storing a final state takes two.
 const TRANSACTION_CHANGES_MIN: usize = 2;
 
-/// What a save has written of one job.
+/// The part of a save in flight that concerns one job.
 #[derive(Clone, Debug)]
 pub(super) struct PendingSave {
     /// The job, by its number in the table.
     number: u32,
-    /// The job's final state is written.
+    /// Whether the job's final state is written.
     finished: bool,
     /// The tasks whose completion is written.
     done: RangeSet<u32>,
-    /// The starts that are written, by machine, task and attempt; they may be sent once stored.
+    /// The starts whose placements are written: machine, task and attempt. They may be sent once the
+    /// save is applied.
     starts: Vec<(Arc<str>, TaskId, u64)>,
-    /// How many chunks belong to the header written.
+    /// Number of chunks that belong to the written header.
     chunks: usize,
-    /// The time of day that a final state written gives, in microseconds.
+    /// The time of day that the written final state gives as the job's end, in microseconds.
     finished_at: Micros,
 }
 
-/// A job to be saved; the greatest is saved first.
+/// A job to be saved. The order of the fields is the order of precedence; the greatest is saved
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueSave {
-    /// It is over, and others wait for its end.
+    /// Whether the job has finished and other jobs wait for its end.
     releases_dependents: bool,
-    /// It is over.
+    /// Whether the job has finished.
     finishes: bool,
-    /// Starts or an end wait for the save.
+    /// Whether starts, or the end of the job, wait for the save.
     urgent: bool,
     priority: Priority,
-    /// Since when it has changed.
+    /// Since when the job differs from its stored record.
     since: Reverse<Micros>,
     number: u32,
 }
@@ -75,7 +77,7 @@
     schema: Schema,
     /// The most changes that a transaction of this round may have.
     changes_per_txn: usize,
-    /// Changes that are left over by everything more urgent.
+    /// The changes that the request budget allows beyond more urgent requests.
     spare_changes: f64,
 }
 
@@ -96,16 +98,17 @@
     }
 }
 
-/// What is to be written of one job.
+/// The values to be written for one job.
 struct JobValues {
+    /// Whether the job has finished: its final state is written and its live record deleted.
     finished: bool,
     stored_values: StoredValues,
-    /// Chunks of an earlier, larger record that are deleted along.
+    /// Numbers of the chunks of an earlier, larger record that are deleted in the same transaction.
     surplus_chunks: Range<usize>,
 }
 
 impl JobValues {
-    /// Encodes the job; none if it can't be stored under the limits.
+    /// Encodes the job; `None` if its record does not fit the limits.
     fn encode(job: &Job, schema: &Schema, now: Now) -> Option<Self> {
         let record = job.record();
         let finished = job.is_done();
@@ -116,7 +119,7 @@
             schema.encode_job(&record)?
         };
         let chunks = stored_values.chunks.len();
-        // Surplus chunks beyond the limit are swept up later.
+        // Surplus chunks beyond the transaction's limit are deleted later as orphaned chunks.
         let room = schema.txn_ops - if finished { 2 } else { 1 + chunks };
         let surplus_chunks = chunks..job.chunks.min(chunks + room);
         Some(Self {
@@ -126,7 +129,7 @@
         })
     }
 
-    /// How many changes of a transaction it takes.
+    /// Number of changes that this adds to a transaction.
     fn changes(&self) -> usize {
         let writes = if self.finished {
             2
@@ -136,7 +139,7 @@
         writes + self.surplus_chunks.len()
     }
 
-    /// Adds the changes to a transaction, guarded by the job's revision.
+    /// Adds the changes to a transaction, with the job's revision as a precondition.
     fn add_to(self, txn: Transaction, uid: &str, mod_revision: u64) -> Transaction {
         let mut txn = txn.require_revision(live_key(uid), mod_revision);
         txn = if self.finished {
@@ -157,8 +160,8 @@
 }
 
 impl Controller {
-    /// Saves what changed of jobs: ends first, then starts that wait for it, in the order of
-    /// priority, and what only says how far a job is when budget is left over.
+    /// Saves changed jobs: finished jobs first, then jobs whose starts wait for the save, in the order
+    /// of priority. Changes that only concern progress are saved when request budget is left.
     pub(super) fn save_jobs(&mut self) {
         let now = self.now;
         let spare_changes = self.state.spare_changes();
@@ -166,7 +169,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // While earlier writes wait, more comes together in each record.
+        // While earlier requests are queued, further changes are collected for the next save.
         if self.state.queued(RequestPriority::Leader) >= QUEUED_SAVES_MAX {
             leader_state.schedule.request_save();
             return;
@@ -192,7 +195,7 @@
         self.apply_ledger_events();
     }
 
-    /// The jobs that are to be saved, the most pressing first.
+    /// The jobs that are due to be saved, the most urgent first.
     fn due_saves(leader_state: &LeaderState, limits: &SaveLimits, now: Micros) -> Vec<DueSave> {
         let mut due = Vec::new();
         for job in leader_state.jobs.by_number.values() {
@@ -220,7 +223,7 @@
         due
     }
 
-    /// Fills transactions with the jobs to be saved, as far as the budget goes.
+    /// Builds the transactions that save the due jobs, within the request budget.
     fn build_saves(
         leader_state: &mut LeaderState,
         limits: &SaveLimits,
@@ -275,8 +278,9 @@
         full
     }
 
-    /// The limits have become lower than what the job takes: starts not stored yet are withdrawn,
-    /// and the rest shrinks as its tasks end. Returns whether there were such starts.
+    /// Withdraws the starts of a job that are not stored yet, since its record exceeds the limits of
+    /// the state service, which have become lower. The record shrinks as tasks of the job end.
+    /// Returns whether any start was withdrawn.
     fn withdraw_unsaved_starts(workers: &mut WorkerLedger, job: &mut Job, now: Micros) -> bool {
         job.dirty_since = Some(now);
         job.save_urgent = false;
@@ -316,8 +320,8 @@
             job.chunks = item.chunks;
             job.stored_done = item.done;
             for (machine, task, attempt) in item.starts {
-                // Checked once more where starts are released: nothing runs before everything
-                // that its job depends on is done.
+                // A second check of the rule that no task starts before all dependencies of its job
+                // are done.
                 if !job.waits_for_dependencies() {
                     leader_state.workers.confirm_stored(&machine, task, attempt);
                 }
@@ -338,7 +342,8 @@
         }
     }
 
-    /// A precondition failed: nothing was written. Jobs whose own keys have changed are read again.
+    /// Handles a save of which a precondition failed, so that nothing was written. Jobs whose own keys
+    /// have changed are read again.
     fn save_conflicted(&mut self, saves: Vec<PendingSave>, failed: &[String]) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -363,14 +368,15 @@
             }
         }
         if failed.iter().any(|path| path == LEADER_KEY) {
-            // The watch of the leader key says the same; until then nothing is stored.
-            log::info!("a save found another leader key");
+            // The watch of the leader key reports the change as well; until then every save fails.
+            log::info!("save not applied: the leader key has changed");
         }
         for uid in reread {
             self.reread_job(uid, false);
         }
     }
 
+    /// Makes the jobs of a save that was not sent due again.
     fn save_not_sent(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -384,7 +390,8 @@
         }
     }
 
-    /// The save may have been applied, or be applied later: the jobs' revisions will show it.
+    /// Handles a save whose outcome is unknown: it may have been applied, or may be applied later. The
+    /// jobs are read again, since their revisions show whether it was.
     fn save_outcome_unknown(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -393,7 +400,7 @@
         for item in saves {
             if let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) {
                 job.save_in_flight = false;
-                // As many as may be stored now: the next save removes those in excess.
+                // The largest number of chunks that may be stored; the next save deletes the surplus.
                 job.chunks = job.chunks.max(item.chunks);
                 job.unsaved_starts.extend(item.starts);
                 reread.push(job.spec.uid.clone());
@@ -404,7 +411,8 @@
         }
     }
 
-    /// Reads what is stored of a job; nothing is saved of it until that is known.
+    /// Reads the stored record of a job again; the job is not saved before the reply arrives. If
+    /// `finished` is set, reads its final state instead of its live record.
     pub(super) fn reread_job(&mut self, uid: Arc<str>, finished: bool) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -422,7 +430,7 @@
         self.request_state(request, op, LEADER_REQUEST_TIMEOUT);
     }
 
-    /// Handles what is stored of a job whose save had an unknown outcome.
+    /// Handles the reply to the read of a job after a save that failed or had an unknown outcome.
     pub(super) fn job_reread(&mut self, uid: &Arc<str>, finished: bool, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -441,7 +449,7 @@
                 let end = match serde_json::from_str::<FinalState>(item.value.get()) {
                     Ok(end) => end,
                     Err(error) => {
-                        // It proves nothing; reading it again is all that can be done.
+                        // An unreadable final state does not show how the job ended; it is read again.
                         log::error!(
                             "stored final state unreadable key={} error={error}",
                             item.path
@@ -452,13 +460,14 @@
                 Self::stored_final_state_found(leader_state, now, uid, &end);
             }
             Reply::Absent if !finished => self.reread_job(uid.clone(), true),
-            // Neither live nor over can't be; it is read again.
+            // The read failed, or found neither the live record nor the final state, although every
+            // job has one of the two. The job is read again.
             _ => self.reread_job(uid.clone(), false),
         }
         self.apply_ledger_events();
     }
 
-    /// A job that the leader holds as live turns out to be over.
+    /// Handles the stored final state of a job that the leader holds as live.
     fn stored_final_state_found(
         leader_state: &mut LeaderState,
         now: Micros,
@@ -479,7 +488,8 @@
         }
     }
 
-    /// Lets workers drop the records of attempts whose completion is stored.
+    /// Allows the acknowledgement of attempts whose completion is stored, so that workers drop their
+    /// records of them.
     pub(super) fn acknowledge_stored_completions(workers: &mut WorkerLedger, job: &mut Job) {
         let (number, stored) = (job.number, &job.stored_done);
         job.unacknowledged.retain(|(machine, index, attempt)| {
@@ -495,8 +505,8 @@
         });
     }
 
-    /// Lets workers drop the records of all attempts of a job that is over: nothing depends on
-    /// them any more.
+    /// Allows the acknowledgement of all attempts of a finished job, so that workers drop their
+    /// records of them.
     pub(super) fn acknowledge_all_attempts(workers: &mut WorkerLedger, job: &Job) {
         for (machine, index, attempt) in &job.unacknowledged {
             let task = TaskId {
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -1,10 +1,10 @@
-//! Which schema version is written, and when the stored version rises.
+//! Which schema version is written, and when the stored schema version is raised.
 //!
-//! Each controller registers at the state service which schema versions it supports; the leader
-//! raises the stored version once all of them support the next one. The version only rises, every
-//! version up to the newest is read, and a process that finds a newer one than it knows must end.
-//! [`SchemaMigration`] also remembers lower limits that the state service has shown to be in force
-//! before they were expected.
+//! Each controller registers the newest schema version that it supports at the state service. The
+//! leader raises the stored version once all controllers support the next one. The stored version
+//! never decreases. A controller can read all versions up to the newest that it supports; it ends if
+//! the stored version is newer. [`SchemaMigration`] also records whether the state service already
+//! enforces lower limits that were announced for later.
 
 use super::leader_schedule::CHUNK_SWEEP_INTERVAL;
 use super::state_request::StateRequest;
@@ -22,43 +22,49 @@
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
 /// Interval at which the leader reads whether all controllers support the next schema version.
 const SCHEMA_SUPPORT_CHECK_INTERVAL: Micros = SECOND;
-/// The first schema version whose records are split into chunks and kept within the lower limits.
+/// The first schema version that splits records into chunks, so that they fit the announced lower
+/// limits.
 const CHUNKED_SCHEMA_VERSION: u32 = 2;
-/// Items of a listing, at most.
+/// The most items that one listing returns.
 const LIST_ITEMS_MAX: usize = 500;
-/// What this node knows of the stored schema version and of the limits that go with it.
+
+/// The stored schema version as this node knows it, and the limits for what is written.
 #[derive(Default)]
 pub(super) struct SchemaMigration {
-    /// The stored schema version as last read; 0 before the first read. It only rises.
+    /// The stored schema version as last read; 0 before the first read. It never decreases.
     version: u32,
     next_read_at: Micros,
-    /// The state service holds the record of what this program supports.
+    /// Whether the stored registration of this controller names what this program supports.
     support_registered: bool,
-    /// The state service has shown that the announced lower limits are in force already.
+    /// Whether the state service has refused a value for its size, which shows that the announced lower
+    /// size limit is already in force.
     reduced_value_size: bool,
+    /// Whether the state service has refused changes for their rate, which shows that the announced lower
+    /// rate limit is already in force.
     reduced_write_rate: bool,
-    /// Why this process can't go on, if so.
+    /// Why this process has to end, if it has to.
     fatal_error: Option<String>,
 }
 
 impl SchemaMigration {
-    /// The stored schema version as far as this node knows; 0 before the first read.
+    /// The stored schema version as last read; 0 before the first read.
     pub(super) fn version(&self) -> u32 {
         self.version
     }
 
-    /// Whether the newest schema version that this program knows is the stored one.
+    /// Whether the stored schema version is the newest one that this program supports.
     pub(super) fn is_complete(&self) -> bool {
         self.version >= SCHEMA_VERSION
     }
 }
 
 impl Controller {
-    /// The schema version that is written now, and within which limits.
+    /// The schema version and the limits that records are written with now.
     pub(super) fn schema(&self) -> Schema {
         let state = &self.settings.deployment.state;
         let tightest = state.tightest();
-        // Records of a newer version fit the announced limits, which come into force unannounced.
+        // Records of chunked versions are kept within the announced lower limits from the start, since
+        // the time at which these come into force is not known.
         let limits = if self.schema_migration.version >= CHUNKED_SCHEMA_VERSION
             || self.schema_migration.reduced_value_size
         {
@@ -73,12 +79,12 @@
         }
     }
 
-    /// Why this process must end, if it must: it can't read what is stored.
+    /// Why this process has to end, if it has to: it can't read the stored records.
     pub fn fatal_error(&self) -> Option<&str> {
         self.schema_migration.fatal_error.as_deref()
     }
 
-    /// Reads the stored schema version and registers what this node supports, when due.
+    /// Reads the stored schema version and registers the version that this node supports, when due.
     pub(super) fn check_schema_version(&mut self) {
         let now = self.now.steady;
         self.apply_refused_limits();
@@ -99,8 +105,9 @@
         }
     }
 
-    /// A value refused for its size, or changes refused for their rate, show that the lower limits
-    /// are in force already. Otherwise the same write would be refused again and again.
+    /// Applies the announced lower limits early if the state service has refused a value for its size or
+    /// changes for their rate: the limits are already in force, and the same write would be refused
+    /// each time.
     fn apply_refused_limits(&mut self) {
         let refused = self.state.take_refused();
         let state = &self.settings.deployment.state;
@@ -124,7 +131,7 @@
         }
     }
 
-    /// Handles what was read as the stored schema version.
+    /// Handles the reply to the read of the stored schema version.
     pub(super) fn schema_version_read(&mut self, reply: Reply) {
         match reply {
             Reply::Item(item) => self.handle_stored_schema_version(&item),
@@ -133,7 +140,7 @@
         }
     }
 
-    /// Takes the stored schema version.
+    /// Applies the stored schema version; records a fatal error if this program does not support it.
     pub(super) fn handle_stored_schema_version(&mut self, item: &Item) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
             Ok(stored) if stored.format > SCHEMA_VERSION => {
@@ -145,7 +152,8 @@
             }
             Ok(stored) => self.set_schema_version(stored.format),
             Err(error) => {
-                // Whatever it says, it was raised: all versions are read, the newest is written.
+                // The key exists, so the version was raised. Records of all versions can be read, and
+                // the newest version is written from now on.
                 log::error!(
                     "stored schema version unreadable key={} error={error}",
                     item.path
@@ -155,7 +163,7 @@
         }
     }
 
-    /// Sets the schema version that is written; it only rises.
+    /// Raises the schema version that is written; a lower or equal version has no effect.
     fn set_schema_version(&mut self, version: u32) {
         if version <= self.schema_migration.version {
             return;
@@ -169,7 +177,7 @@
         }
     }
 
-    /// Has everything written in the present schema from now on.
+    /// Applies the present schema to the leader's state, so that all records are rewritten with it.
     fn apply_schema(&mut self) {
         let now = self.now.steady;
         let schema = self.schema();
@@ -178,14 +186,15 @@
         };
         leader_state.scheduler.schema = schema;
         leader_state.registry.set_schema(now, schema);
-        // Live jobs are rewritten in the background, as budget is left over.
+        // Live jobs are rewritten in the background, when request budget is left.
         let jobs = leader_state.jobs.by_number.values_mut();
         for job in jobs.filter(|job| !job.cancelled) {
             job.mark_dirty(now);
         }
     }
 
-    /// Registers what this program supports, unless that is registered already.
+    /// Registers the schema version that this program supports, unless the reply shows that it is
+    /// registered already.
     pub(super) fn register_schema_support(&mut self, reply: Reply) {
         let mod_revision = match reply {
             Reply::Item(item) => {
@@ -216,14 +225,14 @@
         );
     }
 
-    /// The record of what this program supports was written, or not.
+    /// Handles the reply to the write of that registration.
     pub(super) fn schema_support_registered(&mut self, reply: &Reply) {
         self.schema_migration.support_registered = matches!(reply, Reply::Applied { .. });
     }
 
-    /// The leader reads whether all controllers support the next schema version, and looks for
-    /// chunks that belong to no job, when due. What is stored counts, not what the peers announce:
-    /// a zone may be cut off, and a controller down.
+    /// As leader, reads whether all controllers support the next schema version, and lists the chunks
+    /// to find those that belong to no job, when due. The stored registrations decide, not messages
+    /// of the peers, since a peer may be partitioned or down.
     pub(super) fn check_schema_support(&mut self) {
         let now = self.now.steady;
         let version = self.schema_migration.version;
@@ -259,7 +268,8 @@
         }
     }
 
-    /// Handles what the controllers have registered; raises the stored version if all support it.
+    /// Handles the registrations of the controllers; raises the stored version if all of them support
+    /// the newest one.
     pub(super) fn schema_support_read(&mut self, reply: Reply) {
         let Reply::Items { items, .. } = reply else {
             return;
@@ -303,7 +313,7 @@
         );
     }
 
-    /// The controllers of the settings that have not registered support for the newest version.
+    /// The controllers in the settings that have not registered support for the newest version.
     pub(super) fn controllers_without_support(&self) -> Vec<&str> {
         let Some(leader_state) = &self.leader_state else {
             return Vec::new();
@@ -323,14 +333,15 @@
     pub(super) fn schema_version_raised(&mut self, reply: &Reply) {
         match reply {
             Reply::Applied { .. } => self.set_schema_version(SCHEMA_VERSION),
-            // An earlier leader may have raised it, or a write whose reply was lost: it is read now.
+            // An earlier leader, or a write whose reply was lost, may have raised it: it is read at
+            // once.
             _ => self.schema_migration.next_read_at = self.now.steady,
         }
     }
 
-    /// Deletes chunks that belong to no job: ends and shrinking jobs leave some behind when they have
-    /// more than one transaction removes. Each deletion is guarded by the job's header, so that one
-    /// that is applied late can't remove a chunk that has come into use again.
+    /// Deletes chunks that belong to no job. Finished and shrinking jobs leave some if one transaction
+    /// can't delete all of them. Each deletion has the revision of the job's header as a precondition,
+    /// so that a deletion that is applied late can't remove a chunk that is in use again.
     pub(super) fn delete_orphan_chunks(&mut self, reply: Reply) {
         let Reply::Items { items, .. } = reply else {
             return;
@@ -378,7 +389,7 @@
 /// The version of this program.
 pub(super) const PROGRAM_VERSION: &str = env!("CARGO_PKG_VERSION");
 
-/// A listing of the keys with that prefix.
+/// The operation that lists the keys with that prefix.
 fn list_prefix(prefix: &'static str) -> Op {
     Op::List {
         prefix,
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -1,10 +1,11 @@
-//! The standby's replica of what the leader stores, and the steps of a failover up to the new
-//! leader's first decision.
+//! The standby's replica of the stored records, and the steps of a failover up to the new leader's
+//! first placement pass.
 //!
-//! A standby keeps a copy of the stored records and compares its checksum with the leader's. A
-//! replica that was ever wrong is not repaired but discarded, counted and read anew. A new leader
-//! decides nothing before it has seen everything up to the revision of its own election, whether it
-//! starts from its replica (warm) or reads everything anew (cold).
+//! A standby keeps a copy of the stored records and compares its checksum with the leader's. If the
+//! checksums differ, or changes are missing, it discards the replica, counts that, and reads the
+//! records again; it never repairs a replica. A new leader makes no decision before it has applied
+//! all changes up to the revision of its own election, whether it starts from its replica (warm) or
+//! reads all records from the state service (cold).
 
 use super::Controller;
 use super::leader::LeaderState;
@@ -25,22 +26,24 @@
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// A process that shuts down does not stand for election again.
+/// Backoff after the resignation at shutdown; long enough that the process does not take part in an
+/// election again.
 const SHUTDOWN_BACKOFF: Micros = 3600 * SECOND;
 
-/// A failover is logged after this long at the latest, however few machines have reported by then.
+/// The failover is logged after this time at the latest, however few machines have confirmed the
+/// new term by then.
 const FAILOVER_LOG_DELAY_MAX: Micros = 20 * SECOND;
 
-/// The share of the fleet, in parts of twenty, whose reports count as nearly all of it.
+/// The share of the fleet, in twentieths (19 = 95 %), that counts as nearly all of it.
 const MOST_CONFIRMED_TWENTIETHS: usize = 19;
 
-/// What this node replicates, and what it knows about its copy.
+/// This node's replica and its state as a standby.
 #[derive(Default)]
 pub(super) struct Standby {
     replica: Replica,
-    /// Counts the replicas: replies for one that was discarded are dropped.
+    /// Number of replicas so far; replies to reads for an earlier one are dropped.
     generation: u64,
-    /// Reads under way.
+    /// Number of reads without a reply so far.
     reads_in_flight: usize,
     next_read_at: Micros,
     last_read_at: Micros,
@@ -48,30 +51,32 @@
     leader_checksum: Option<LeaderChecksum>,
     /// The revision at which the checksums last agreed.
     verified_revision: Option<u64>,
-    /// The last leader, also after its key is gone.
+    /// The last known leader, kept after its leader key is gone.
     leader: Option<String>,
-    /// This node's place among the standbys of the leader; none if it is not one of them.
+    /// This node's rank among the standbys of the leader; `None` if it is not a standby.
     rank: Option<usize>,
     /// Why the last replica was discarded.
     discard_reason: Option<ColdReason>,
-    /// How many replicas were discarded.
+    /// Number of discarded replicas.
     discard_count: u64,
-    /// The state service does not report changes of all keys: only reading anew is left.
+    /// The state service refuses to report the changes of all keys: a replica can only be filled by
+    /// reading all pages.
     changes_unavailable: bool,
 }
 
-/// What a new leader has still to load before it decides anything.
+/// The load of a new leader's state that has to be complete before the leader makes a decision.
 pub(super) struct LeaderLoad {
-    /// The revision of its own election: nothing older will do.
+    /// The revision of its own election; all changes up to it have to be loaded.
     required_revision: u64,
-    /// Why it does not start from its replica, if so.
+    /// Why the leader does not start from its replica; `None` if it does.
     cold_reason: Option<ColdReason>,
 }
 
-/// The times and counts of a failover, for the log and for operators.
+/// The times and counts of one failover, for the log and for operators.
 pub(super) struct Failover {
     cold_reason: Option<ColdReason>,
-    /// For how long the leader before had not been heard of, as far as this node can tell.
+    /// Time from the last message of the previous leader to the election; 0 if this node never
+    /// received one.
     leader_silence: Micros,
     elected_at: Micros,
     loaded_at: Option<Micros>,
@@ -86,12 +91,12 @@
 }
 
 impl Failover {
-    /// The new leader makes a placement pass; the first one counts.
+    /// Records the time of the new leader's first placement pass; later calls have no effect.
     pub(super) fn note_placement_pass(&mut self, now: Micros) {
         self.first_pass_at = self.first_pass_at.or(Some(now));
     }
 
-    /// So many machines have confirmed the new term.
+    /// Records when half and when nearly all of the machines have confirmed the new term.
     fn note_confirmed(&mut self, now: Micros, confirmed: usize) {
         if 2 * confirmed >= self.machines {
             self.half_confirmed_at = self.half_confirmed_at.or(Some(now));
@@ -101,7 +106,7 @@
         }
     }
 
-    /// Logs how the failover went; `started_at` is when the first task was started.
+    /// Logs the times and counts of the failover; `started_at` is when the first task was started.
     fn log(&self, term: u64, started_at: Option<Micros>) {
         let ms = |at: Option<Micros>| {
             at.map_or("none".to_owned(), |at| {
@@ -125,7 +130,7 @@
     }
 }
 
-/// Logs what the reconciliation with the machines has found.
+/// Logs the result of the reconciliation with the machines.
 fn log_reconciliation(leader_state: &LeaderState, now: Micros) {
     let reconciled = leader_state.workers.reconciled;
     log::info!(
@@ -146,21 +151,22 @@
     );
 }
 
-/// What a new leader was built from.
+/// The stored records that a leader's state was built from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadSource {
     /// The term of the leader.
     pub term: u64,
-    /// From its replica; otherwise everything was read anew.
+    /// Whether the leader started from its replica; otherwise it read all records after its election.
     pub warm: bool,
-    /// The store revision that it was loaded at.
+    /// The store revision of the loaded records.
     pub revision: u64,
-    /// The checksum over the keys and their revisions.
+    /// The checksum over the loaded keys and their revisions.
     pub checksum: Checksum,
 }
 
 impl Controller {
-    /// Reads the next part of the replica, if this node is a standby and one is due.
+    /// Sends the next read for the replica, if this node is a standby and a read is due. Also sets
+    /// how long this node waits before it tries to become leader.
     pub(super) fn replicate(&mut self) {
         self.note_leader_change();
         let standby = &self.standby;
@@ -194,10 +200,10 @@
         self.send_replica_read(read);
     }
 
-    /// Takes note of a new leader among the other controllers.
+    /// Updates this node's rank as a standby when another controller has become leader.
     fn note_leader_change(&mut self) {
-        // The watch may report this node's own election before the answer to it arrives: what it
-        // replicated until then is needed.
+        // The watch may report this node's own election before the reply to the election arrives.
+        // It is ignored here: the new leader needs the replica that it kept as a standby.
         let known = self.standby.leader.as_ref();
         let record = self.election.leader();
         let other = record
@@ -205,14 +211,15 @@
         if let Some(leader) = other.map(|record| record.node.clone()) {
             self.standby.leader = Some(leader);
             self.standby.rank = self.standby_rank();
-            // Checksums of the leader before say nothing about what this one stores.
+            // The previous leader's checksums do not verify what the new leader stores.
             (self.standby.leader_checksum, self.standby.verified_revision) = (None, None);
         }
     }
 
     fn is_replica_read_due(&self, now: Micros) -> bool {
         let standby = &self.standby;
-        // When the leader's announcement is overdue, changes are read once ahead of time.
+        // When the leader's periodic announcement is overdue, the changes are read once ahead of
+        // schedule, so that less is left to read during a failover.
         let announced_at = self.client_requests.progress_at();
         let overdue = announced_at > 0
             && now >= announced_at + LEADER_OVERDUE_AFTER
@@ -224,7 +231,7 @@
             && self.state.has_background_budget(now)
     }
 
-    /// The nodes that replicate what that leader stores.
+    /// The names of the standbys for a leader, in the order of their rank.
     fn standbys_of(&self, leader: &str) -> Vec<&str> {
         let settings = &self.settings;
         let peers = self.peer_links.peers().iter();
@@ -233,14 +240,14 @@
         choose_standbys(leader, &nodes)
     }
 
-    /// This node's place among the standbys of the leader.
+    /// This node's rank among the standbys of the leader; `None` if it is not a standby.
     fn standby_rank(&self) -> Option<usize> {
         let leader = self.standby.leader.as_ref()?;
         let chosen = self.standbys_of(leader);
         chosen.iter().position(|node| *node == self.settings.name)
     }
 
-    /// Sends a read for the replica.
+    /// Sends a read for the replica to the state service.
     fn send_replica_read(&mut self, read: ReplicaRead) {
         let generation = self.standby.generation;
         self.standby.reads_in_flight += 1;
@@ -269,7 +276,7 @@
             .submit(self.now.steady, request, priority, op, SECOND);
     }
 
-    /// Handles the reply to a read for the replica of that generation.
+    /// Handles the reply to a read for the replica of the given generation.
     pub(super) fn replica_read_answered(
         &mut self,
         generation: u64,
@@ -319,7 +326,7 @@
         self.continue_load();
     }
 
-    /// Starts with an empty replica.
+    /// Replaces the replica by an empty one; replies to earlier reads are then dropped.
     fn reset_replica(&mut self) {
         let standby = &mut self.standby;
         standby.replica = Replica::default();
@@ -328,7 +335,8 @@
         (standby.leader_checksum, standby.verified_revision) = (None, None);
     }
 
-    /// Discards a replica that is wrong or can't be kept up: it is not repaired but read anew.
+    /// Discards a replica that is wrong or can't be kept up to date. A standby starts to read it again
+    /// after [`REBUILD_DELAY`], a new leader at once.
     fn discard_replica(&mut self, cold: ColdReason) {
         log::warn!("replica discarded cause={}", cold.as_str());
         self.reset_replica();
@@ -344,7 +352,7 @@
         }
     }
 
-    /// Takes the leader's checksum over the live jobs, from a frame.
+    /// Handles a frame with the leader's checksum over the live jobs.
     pub(super) fn leader_checksum_received(&mut self, body: &[u8]) {
         let Ok(row) = ChecksumRow::read_from_bytes(body) else {
             return;
@@ -360,7 +368,8 @@
         self.compare_checksums();
     }
 
-    /// Compares the checksums once the replica has reached the leader's revision.
+    /// Compares the replica's checksum with the leader's once the replica has reached the leader's
+    /// revision; discards the replica if they differ.
     fn compare_checksums(&mut self) {
         let standby = &mut self.standby;
         let Some(leader) = standby.leader_checksum else {
@@ -377,7 +386,7 @@
         }
     }
 
-    /// Sends the standbys this leader's checksum over the live jobs.
+    /// Sends this leader's checksum over the live jobs to the standbys.
     pub(super) fn announce_checksum(&mut self) {
         let Some(leader_state) = &self.leader_state else {
             return;
@@ -398,8 +407,8 @@
         }
     }
 
-    /// The first step of a failover: decides whether the replica will do, up to which revision of
-    /// the leader key everything has to be loaded.
+    /// The first step of a failover: decides whether the new leader starts from its replica (warm).
+    /// `mod_revision` is the revision of the leader key; all changes up to it have to be loaded.
     pub(super) fn begin_load(&mut self, mod_revision: u64) -> (LeaderLoad, Failover) {
         let now = self.now.steady;
         let standby = &self.standby;
@@ -441,7 +450,8 @@
         (load, failover)
     }
 
-    /// Reads what is still missing, or builds the leader's state once nothing is.
+    /// Sends the reads for the records that are still missing; once the replica is complete and recent
+    /// enough, builds the leader's state from it.
     pub(super) fn continue_load(&mut self) {
         let Some(load) = self
             .leader_state
@@ -458,7 +468,8 @@
             return self.build_leader_state(cold_reason);
         }
         for read in replica.next_reads() {
-            // One read of changes at a time; each page is read once.
+            // At most one read of changes is in flight. Pages need no check: `next_reads` lists a
+            // page only while it is not requested.
             if matches!(read, ReplicaRead::Page { .. }) || self.standby.reads_in_flight == 0 {
                 self.send_replica_read(read);
             }
@@ -483,8 +494,8 @@
         }
     }
 
-    /// Observes how many machines have confirmed the new term, and logs the failover and the end
-    /// of the reconciliation.
+    /// Counts the machines that have confirmed the new term, and logs the failover and the end of
+    /// the reconciliation, each once.
     pub(super) fn track_failover(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -519,8 +530,8 @@
         }
     }
 
-    /// Shuts down: a leader sends the standbys its last checksum and resigns, so that nobody has to
-    /// wait for its lease to expire.
+    /// Starts the shutdown. A leader sends its last checksum to the standbys and resigns, so that its
+    /// successor need not wait for the leader's lease to expire.
     pub fn shut_down(&mut self, now: Now) {
         self.set_now(now);
         if self.is_leader() {
@@ -530,12 +541,13 @@
         self.resign(SHUTDOWN_BACKOFF);
     }
 
-    /// Whether the process may exit: nothing of the election is under way.
+    /// Whether the process may exit: no request of the election is in flight.
     pub fn has_shut_down(&self) -> bool {
         self.election.is_idle()
     }
 
-    /// What the present leader was built from, for tests.
+    /// The records that this leader's state was built from; `None` if this node is not the leader or
+    /// is still loading. For tests.
     pub fn load_source(&self) -> Option<LoadSource> {
         let leader_state = self
             .leader_state
@@ -549,19 +561,20 @@
         })
     }
 
-    /// Skips attempt numbers of a leader, for tests of their exhaustion.
+    /// Advances the leader's next attempt number by `count`, for tests of their exhaustion.
     pub fn skip_attempts(&mut self, count: u64) {
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.workers.skip_attempts(count);
         }
     }
 
-    /// Falsifies one revision in the replica, for tests of what finds that; false if it is empty.
+    /// Changes one revision in the replica, for tests of its verification; returns false if the
+    /// replica is empty.
     pub fn corrupt_replica(&mut self) -> bool {
         self.standby.replica.corrupt()
     }
 
-    /// The state of this node's replica, for operators.
+    /// The state of this node's replica, as a part of `/inspect/status`.
     pub(super) fn inspect_standby(&self) -> Value {
         let standby = &self.standby;
         let cold_reason = if self.leader_state.is_some() {
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -1,8 +1,8 @@
-//! Routes the replies of the state service to what they were asked for.
+//! Routes the replies of the state service to their handlers.
 //!
-//! Nothing is kept here: each reply comes with its [`StateRequest`]. A reply to a leader's request
-//! is dropped when its term is over; a read job is looked for under its live key first and then
-//! under that of its final state, since a job moves only in that direction.
+//! This module holds no state: each reply comes with its [`StateRequest`]. A reply to a leader's
+//! request is dropped if the leader's term has ended. A job is read under its live key first and
+//! then under the key of its final state, since it only moves from the first to the second.
 
 use super::api_error::ApiError;
 use super::state_request::StateRequest;
@@ -16,7 +16,7 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-/// How often a cancellation is tried anew after the job changed in between.
+/// How often a cancellation is retried because the job changed between its read and the write.
 const CANCEL_RETRIES_MAX: u32 = 8;
 
 impl Controller {
@@ -41,7 +41,7 @@
                 Some(term) if self.is_current_term(term) => {
                     self.handle_leader_state_reply(request, reply, sent);
                 }
-                // Of a term that is over.
+                // A reply for a term that has ended.
                 Some(_) => {}
             },
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Replies that a client's request waits for.
+    /// Handles replies to requests that belong to no term, most of them for a client's request.
     fn handle_client_state_reply(&mut self, request: StateRequest, reply: Reply) {
         match request {
             StateRequest::AcceptJob { conn, uid } => self.job_accepted(conn, uid, reply),
@@ -115,12 +115,13 @@
                 finished,
                 reason,
             } => self.reject_submission(conn, uid, finished, reason, reply),
-            // Whether they were answered at all is all that matters.
+            // Of the other requests only whether they are answered matters, which the state client
+            // notes.
             _ => {}
         }
     }
 
-    /// Replies to the leader of the current term.
+    /// Handles replies to requests of the leader in its current term.
     fn handle_leader_state_reply(&mut self, request: StateRequest, reply: Reply, sent: Micros) {
         match request {
             StateRequest::WatchJobs { .. } => self.jobs_watch_answered(reply, sent),
@@ -213,7 +214,7 @@
         match reply {
             Reply::Applied { .. } => {
                 self.client_requests.cache_final_state(&uid, body.clone());
-                // A leader needs no watch to learn what it wrote itself.
+                // A leader applies its own cancellation without waiting for the watch to report it.
                 if let Some(leader_state) = &mut self.leader_state {
                     Self::mark_cancelled(leader_state, &uid);
                     self.apply_ledger_events();
@@ -309,7 +310,7 @@
     }
 }
 
-/// The key of a job: that of its final state if it is `over`, else that of the live job.
+/// The key of a job: that of its final state if `finished` is set, else that of the live job.
 pub(super) fn job_key(uid: &str, finished: bool) -> String {
     if finished {
         finished_key(uid)
@@ -318,12 +319,12 @@
     }
 }
 
-/// What the reply to a conditional write of that key says about the key.
+/// Tells from the reply to a conditional write whether it changed that key.
 fn write_result(key: &str, reply: &Reply) -> WriteResult {
     match reply {
         Reply::Applied { revision } => WriteResult::Applied(*revision),
         Reply::Unavailable => WriteResult::NotApplied,
-        // Another precondition failed: the leader key has changed.
+        // The precondition on the leader key failed, not that on this key.
         Reply::Conflict { failed } if !failed.iter().any(|path| path == key) => {
             WriteResult::NotApplied
         }
--- a/src/controller/state_request.rs
+++ b/src/controller/state_request.rs
@@ -1,8 +1,8 @@
-//! What the controller asks the state service for, and with which priority.
+//! The controller's requests to the state service, and their priorities.
 //!
-//! A [`StateRequest`] travels with each operation and comes back with its reply: it carries what is
-//! needed to go on. Requests of a leader name its term; a reply that arrives after the term is over
-//! is dropped.
+//! A [`StateRequest`] is kept with each operation and returned with its reply: it tells what the
+//! operation is for and holds the data needed to handle the reply. The requests of a leader name its
+//! term; a reply that arrives after the end of that term is dropped.
 
 use super::client_requests::PendingPoll;
 use super::dependencies::CascadingCancellation;
@@ -15,91 +15,93 @@
 use serde_json::Value;
 use std::sync::Arc;
 
-/// Why something is asked of the state service.
+/// The purpose of a request to the state service.
 ///
-/// The field `over` says which of a job's two keys is read: that of its final state if set, that of
-/// the live job otherwise.
+/// A job is stored under one of two keys. The field `finished` tells which one is read: that of the
+/// final state if set, that of the live job otherwise.
 pub(super) enum StateRequest {
     /// A step of the leader election.
     Election(ElectionStep),
-    /// Whether the state service answers again.
+    /// A read that only shows whether the state service answers again.
     AvailabilityProbe,
-    /// Stores a submitted job, if it is new.
+    /// Stores a submitted job that depends on no other, if it is new.
     AcceptJob { conn: ConnId, uid: Arc<str> },
-    /// The job that a submission repeats.
+    /// Reads the job that a submission repeats.
     ReadExistingJob {
         conn: ConnId,
         uid: Arc<str>,
         finished: bool,
     },
-    /// The state of a polled job.
+    /// Reads the state of a polled job.
     PollJob {
         conn: ConnId,
         uid: Arc<str>,
         finished: bool,
     },
-    /// Whether polled jobs are still live.
+    /// Checks which of the polled jobs have finished.
     CheckFinished { polls: Vec<PendingPoll> },
-    /// The job that is to be cancelled.
+    /// Reads the job that is to be cancelled.
     ReadForCancel {
         conn: ConnId,
         uid: Arc<str>,
         finished: bool,
         retries: u32,
     },
-    /// Cancels a job; `body` is what the client is answered.
+    /// Cancels a job; `body` is the answer for the client.
     WriteCancel {
         conn: ConnId,
         uid: Arc<str>,
         retries: u32,
         body: Value,
     },
-    /// The stored record of a job, for operators.
+    /// Reads the stored record of a job, for operators.
     InspectJob {
         conn: ConnId,
         uid: Arc<str>,
         finished: bool,
     },
-    /// Part of the replica that this node keeps, or builds its leader state from. Replies for an
-    /// earlier `generation` of the replica are dropped.
+    /// Reads a part of this node's replica. The reply is dropped if the replica was discarded since and
+    /// now has a later `generation`.
     ReadReplica { generation: u64, read: ReplicaRead },
-    /// Waits for changes of the live jobs.
+    /// Waits for changes of the live jobs, which the state service reports when they occur.
     WatchJobs { term: u64 },
-    /// What has changed of the live jobs so far, at once.
+    /// Reads the changes of the live jobs so far, without waiting for one. The reply proves that the
+    /// leader knows all cancellations up to the send time.
     ReadJobChanges { term: u64 },
     /// Stores changes of jobs.
     SaveJobs { term: u64, saves: Vec<PendingSave> },
-    /// What is stored of a job whose save had an unknown outcome.
+    /// Reads a job again after a save that failed or had an unknown outcome.
     RereadJob {
         term: u64,
         uid: Arc<str>,
         finished: bool,
     },
-    /// Stores a page of the machine registry; `written` names the machines and their silence marks.
+    /// Stores a page of the machine registry. `written` lists the machines in it, each with the time
+    /// since when it is marked as silent, if it is.
     WriteRegistryPage {
         term: u64,
         key: String,
         written: Vec<(Arc<str>, Option<Micros>)>,
     },
-    /// The revision of a page whose write had an unknown outcome.
+    /// Reads the revision of a page whose write had an unknown outcome.
     ReadRegistryPage { term: u64, key: String },
     /// Deletes a page of the machine registry.
     DeleteRegistryPage { term: u64, key: String },
-    /// The stored schema version.
+    /// Reads the stored schema version.
     ReadSchemaVersion,
-    /// The stored machine types.
+    /// Reads the stored machine types.
     ReadMachineTypes,
     /// Stores the machine types.
     StoreMachineTypes,
-    /// What this node has registered that it supports.
+    /// Reads which schema version this node has registered as supported.
     ReadOwnSchemaSupport,
-    /// Registers what this node supports.
+    /// Registers which schema version this node supports.
     WriteOwnSchemaSupport,
-    /// What all controllers have registered that they support.
+    /// Reads which schema versions all controllers have registered as supported.
     ReadSchemaSupport { term: u64 },
     /// Raises the stored schema version.
     RaiseSchemaVersion { term: u64 },
-    /// A job that a submission depends on.
+    /// Reads a job that a submission depends on.
     ReadDependency {
         submission: u64,
         uid: Arc<str>,
@@ -108,33 +110,33 @@
     /// Stores a submitted job that depends on others, or its final state if one of them is
     /// cancelled.
     AcceptDependentJob { submission: u64, cancelled: bool },
-    /// Whether a submission to be rejected repeats a job that was accepted before.
+    /// Checks whether a submission that is to be rejected repeats a job that was accepted before.
     ReadBeforeRejecting {
         conn: ConnId,
         uid: Arc<str>,
         finished: bool,
         reason: String,
     },
-    /// How a job ended that others depend on.
+    /// Reads the final state of a job that others depend on.
     ReadDependencyOutcome { term: u64, uid: Arc<str> },
     /// Cancels jobs that depend on a cancelled one.
     CancelDependents {
         term: u64,
         cancellations: Vec<CascadingCancellation>,
     },
-    /// Chunks, among which those that belong to no job are looked for.
+    /// Lists stored chunks, to find those that belong to no job.
     ListChunks { term: u64 },
-    /// Deletes a chunk that belongs to no job; its outcome does not matter.
+    /// Deletes a chunk that belongs to no job. The reply is ignored.
     DeleteOrphanChunk,
-    /// Deletes the record of a cancelled job that no machine can hold a task of any more.
+    /// Deletes the record of a cancelled job that can have no task on any machine any more.
     DeleteCancelledJob { term: u64, uid: Arc<str> },
 }
 
 impl StateRequest {
-    /// The queue that the request waits in.
+    /// The priority, and with it the queue, of the request.
     pub(super) fn priority(&self) -> RequestPriority {
         match self {
-            // Without their answers no worker is answered with 200.
+            // Without the replies to these, no worker is answered with 200.
             Self::Election(_) | Self::ReadJobChanges { .. } => RequestPriority::Vital,
             Self::AcceptJob { .. }
             | Self::ReadExistingJob { .. }
@@ -157,7 +159,7 @@
         }
     }
 
-    /// The term of the leader that asked, if only a leader asks this.
+    /// The term of the leader that sent the request; `None` for requests that are not a leader's.
     pub(super) fn term(&self) -> Option<u64> {
         match self {
             Self::WatchJobs { term }
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Whether the reply may be held back until something changes, so that its time says nothing
-    /// about how fast the state service answers.
+    /// Whether the request may wait for a change, so that its duration does not show how fast the
+    /// state service answers.
     pub(super) fn waits_for_changes(&self) -> bool {
         matches!(
             self,
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -1,9 +1,9 @@
-//! Applies to the jobs what the watch of the live jobs and the worker ledger report.
+//! Applies the changes of the live jobs and the events of tasks to the leader's job table.
 //!
-//! Changes of the live jobs come from the state service alone, in the order of their revisions;
-//! what two overlapping requests report twice is applied once. Events of tasks come from the
-//! ledger. From the ends of tasks this module also tells machines that fail or slow everything
-//! from jobs that fail everywhere.
+//! Changes of the live jobs come only from the state service, in the order of their revisions; a
+//! change that two overlapping requests report is applied once. Events of tasks come from the
+//! worker ledger. From the results of task attempts this module also tells faulty or slow machines
+//! from jobs that fail on every machine.
 
 use super::Controller;
 use super::failover::StoredJob;
@@ -21,32 +21,34 @@
     LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WITHDRAWN, WorkerLedger,
 };
 
-/// Pause of a job whose tasks fail everywhere, doubled with each further trial, and its limits.
+/// First backoff of a job whose tasks fail on every machine. It doubles with each further failed
+/// trial, up to the two limits below.
 const FAILING_JOB_BACKOFF: Micros = SECOND;
 const FAILING_JOB_BACKOFF_MAX: Micros = 30 * SECOND;
 const FAILING_JOB_DOUBLINGS_MAX: u32 = 5;
-/// A machine that had no room for a task gets no other for this long.
+/// How long a machine that rejected a task for lack of capacity is given no further task.
 const NO_ROOM_QUARANTINE: Micros = SECOND;
-/// Pause of a job of which a worker did not know what to run.
+/// Backoff of a job after a worker rejected one of its tasks as unknown.
 const UNKNOWN_TASK_BACKOFF: Micros = 2 * SECOND;
-/// Weights of the former value and of the newest run time in a machine's slowness.
+/// Weights of the previous value and of the newest sample in the moving average of a machine's
+/// slowness, the ratio of actual to expected run time.
 const SLOWNESS_PREVIOUS_WEIGHT: f64 = 0.7;
 const SLOWNESS_SAMPLE_WEIGHT: f64 = 0.3;
 
-/// How an attempt ended, by the worker's report.
+/// The end of an attempt as its worker reported it.
 struct AttemptEnd<'a> {
     /// The cause as reported: `done`, `stopped`, `error`, ...
     cause: &'a str,
-    /// The task has saved what it did so far.
+    /// Whether the task saved a checkpoint.
     saved: bool,
-    /// How long it ran, in microseconds.
+    /// Its run time, in microseconds.
     ran: Micros,
-    /// Why it was stopped, if it was.
+    /// Why the leader stopped it, if it did.
     stop: Option<StopReason>,
 }
 
 impl Controller {
-    /// Handles the answer to the watch of the live jobs, which was sent at `sent`.
+    /// Handles the reply to the watch of the live jobs, which was sent at `sent`.
     pub(super) fn jobs_watch_answered(&mut self, reply: Reply, sent: Micros) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Handles the answer to a request, sent at `sent`, for the changes so far.
+    /// Handles the reply to a read, sent at `sent`, of the changes of the live jobs so far.
     pub(super) fn job_changes_read(&mut self, reply: Reply, sent: Micros) {
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.cancellation_freshness.refresh_answered();
@@ -67,7 +69,8 @@
         self.apply_job_changes(reply, sent);
     }
 
-    /// Applies all changes of the live jobs up to `sent`, when the request was sent, at least.
+    /// Applies the reported changes of the live jobs. They include all changes stored before `sent`,
+    /// the send time of the request.
     fn apply_job_changes(&mut self, reply: Reply, sent: Micros) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -76,16 +79,16 @@
         let (mut events, revision) = match reply {
             Reply::Events { events, revision } => (events, revision),
             Reply::TooOld => {
-                // Too much has changed unseen: everything is loaded again as by a new leader.
-                // Under a new term, since the ledger starts anew, and with it the attempt numbers
-                // and the fencing tokens: under the old one, a start still in flight could pass
-                // for a new one.
+                // The state service no longer has all changes since the known revision, so the
+                // leader's state has to be loaded again. That needs a new term: the new ledger
+                // starts its attempt numbers and fencing tokens from the beginning, and under the
+                // old term a start command still in flight could be taken for a new one.
                 log::info!("watch of the live jobs fell behind; loading again under a new term");
                 return self.resign(0);
             }
             _ => return,
         };
-        // Two requests may be under way: changes reported by one are dropped from the other.
+        // Two requests may be in flight; changes that both report are applied once.
         let known = leader_state.jobs_revision;
         events.retain(|event| event.mod_revision > known);
         leader_state.jobs_revision = revision.max(known);
@@ -112,7 +115,7 @@
         self.apply_ledger_events();
     }
 
-    /// Keeps the revisions of the live jobs' keys, and the checksum over them.
+    /// Updates the revisions of the live jobs' keys, and the checksum over them.
     fn track_job_revisions(leader_state: &mut LeaderState, events: &[WatchEvent]) {
         for event in events {
             let Some(uid) = event.path.strip_prefix(LIVE_PREFIX) else {
@@ -135,14 +138,14 @@
         }
     }
 
-    /// Takes in a job that another controller has accepted; changes of a job that this leader
-    /// knows are its own.
+    /// Adds a job that a controller has accepted. Changes of a job that this leader already holds
+    /// are its own writes and are ignored.
     fn add_accepted_job(&mut self, uid: &str, event: &WatchEvent) {
         let now = self.now.steady;
         let (Some(leader_state), Some(value)) = (&mut self.leader_state, &event.value) else {
             return;
         };
-        // A job with a known final state is over: its change is reported late.
+        // A job whose final state is known has finished: this change is reported late.
         if leader_state.jobs.get(uid).is_some() || self.client_requests.final_state(uid).is_some() {
             return;
         }
@@ -168,11 +171,13 @@
         Self::add_dependencies(leader_state, &self.cloud, &record.spec.uid);
     }
 
-    /// The live record of a job was deleted: it was cancelled, unless this leader ended it itself.
+    /// Handles the deletion of a job's live record: the job was cancelled, unless this leader has
+    /// stored its completion.
     fn live_job_deleted(leader_state: &mut LeaderState, uid: &str, mod_revision: u64) {
-        // The end may be this leader's own, reported before the answer to the write. A write under
-        // way that does not end the job can't have removed it: were the deletion left to that
-        // write's answer, starts of the job that were stored before would be sent meanwhile.
+        // A save in flight that completes the job deletes the record too, and the watch may report
+        // that before the reply to the save arrives. A save in flight that does not complete the
+        // job can't have deleted the record. Its reply is not waited for, since starts that were
+        // stored earlier would be sent meanwhile.
         if let Some(job) = leader_state.jobs.get_mut(uid)
             && mod_revision > job.mod_revision
             && !(job.save_in_flight && job.is_done())
@@ -181,7 +186,7 @@
         }
     }
 
-    /// The job was cancelled: no task of it may start or stay.
+    /// Marks a job as cancelled and stops its tasks; none may start from now on.
     pub(super) fn mark_cancelled(leader_state: &mut LeaderState, uid: &str) {
         let Some(job) = leader_state.jobs.get_mut(uid) else {
             return;
@@ -190,14 +195,15 @@
             log::info!("job cancelled job={uid}");
             job.cancelled = true;
             Self::stop_all_tasks(&mut leader_state.workers, job);
-            // What its end means for its dependents is read from the state service.
+            // Its dependents are cancelled or released by its stored final state, which is read from
+            // the state service.
             let uid = job.spec.uid.clone();
             leader_state.dependency_graph.forget(&uid);
             leader_state.dependency_graph.request_outcome(&uid);
         }
     }
 
-    /// Stops everything of a job that may be on machines.
+    /// Stops all attempts of a job that may be on machines.
     pub(super) fn stop_all_tasks(workers: &mut WorkerLedger, job: &Job) {
         for (index, placements) in &job.placements {
             let task = TaskId {
@@ -210,7 +216,7 @@
         }
     }
 
-    /// Applies to the jobs what the ledger has learned.
+    /// Applies the events of the worker ledger to the jobs.
     pub(super) fn apply_ledger_events(&mut self) {
         let now = self.now;
         let Some(leader_state) = &mut self.leader_state else {
@@ -231,7 +237,7 @@
         event: &TaskEvent,
     ) {
         if !leader_state.jobs.by_number.contains_key(&event.task.job) {
-            // The job is over: nothing depends on how an attempt of it ended.
+            // The job has finished, so the end of this attempt need not be stored.
             if matches!(event.kind, TaskEventKind::Ended { .. }) {
                 Self::acknowledge_attempt(leader_state, event);
             }
@@ -271,14 +277,14 @@
         }
     }
 
-    /// Lets the worker drop its record of the attempt.
+    /// Allows the acknowledgement that lets the worker drop its record of the attempt.
     fn acknowledge_attempt(leader_state: &mut LeaderState, event: &TaskEvent) {
         leader_state
             .workers
             .allow_acknowledge(&event.machine, event.task, event.attempt);
     }
 
-    /// An attempt is on its machine; one that is not needed is stopped.
+    /// Records that an attempt is on its machine, and stops it if it is not needed.
     fn attempt_observed(leader_state: &mut LeaderState, now: Now, event: &TaskEvent) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
@@ -304,7 +310,7 @@
         job.mark_dirty(now.steady);
     }
 
-    /// An attempt is surely not on its machine any more, or never was.
+    /// Handles an attempt that certainly is no longer on its machine, or never was.
     fn attempt_lost(leader_state: &mut LeaderState, now: Now, event: &TaskEvent, why: &str) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
@@ -334,7 +340,7 @@
         job.mark_dirty(now.steady);
     }
 
-    /// Keeps how an attempt ended in the job's record.
+    /// Adds the end of an attempt to the job's record.
     fn note_ending(job: &mut Job, event: &TaskEvent, cause: &str, now: Now) {
         job.note_ending(TaskEnding {
             part: event.task.index,
@@ -344,7 +350,7 @@
         });
     }
 
-    /// A worker reported the end of an attempt.
+    /// Handles the end of an attempt that its worker reported.
     fn attempt_ended(
         leader_state: &mut LeaderState,
         now: Now,
@@ -386,13 +392,13 @@
         if done {
             Self::task_done(leader_state, event);
         } else {
-            // Nothing depends on this attempt any more, and its number is never used again.
+            // The leader no longer needs the worker's record: an attempt number is never reused.
             Self::acknowledge_attempt(leader_state, event);
         }
     }
 
-    /// A task is done: the worker keeps its record until that is stored, and other attempts of the
-    /// task are stopped.
+    /// Handles the completion of a task: the worker keeps its record of the attempt until the
+    /// completion is stored, and other attempts of the task are stopped.
     fn task_done(leader_state: &mut LeaderState, event: &TaskEvent) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
@@ -422,7 +428,7 @@
         }
     }
 
-    /// Tells machines that fail or slow everything from jobs that fail everywhere.
+    /// Updates the health of the machine and of the job after the end of an attempt.
     fn assess_task_end(
         leader_state: &mut LeaderState,
         cloud: &Cloud,
@@ -447,7 +453,8 @@
         }
     }
 
-    /// A completion clears the machine of suspicion and shows how fast it is.
+    /// Clears the machine's failures after a completion, and updates its speed and the expected run
+    /// time of such tasks.
     fn assess_completion(
         leader_state: &mut LeaderState,
         cloud: &Cloud,
@@ -470,7 +477,7 @@
         let ran_log = (ran as f64).ln();
         let (log_sum, log_count) = job.run_time_logs;
         if log_count > 0.0 {
-            // The fewer siblings, the less their mean says.
+            // The mean over few other tasks of the job is less reliable, so it has less weight.
             let weight = log_count / (log_count + 1.0);
             machine.run_time_bias.0 += weight * (ran_log - log_sum / log_count).clamp(-1.0, 1.0);
             machine.run_time_bias.1 += weight;
@@ -488,7 +495,7 @@
         }
     }
 
-    /// A failure counts against the machine, or, if the job fails wherever it goes, the job.
+    /// Counts a failure against the machine, or against the job if it fails on every machine.
     fn assess_failure(leader_state: &mut LeaderState, now: Micros, event: &TaskEvent, ran: Micros) {
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
@@ -496,8 +503,8 @@
         *job.errors.entry(event.machine.clone()).or_default() += 1;
         job.failed_after = job.failed_after.max(ran);
         if job.is_suspect() {
-            // The job is at fault: it waits longer and longer, and the machines that it failed on
-            // are not to blame.
+            // The job is faulty: its backoff grows, and its failures no longer count against the
+            // machines that it failed on.
             if now >= job.not_before {
                 job.failed_trials += 1;
                 let doublings = job.failed_trials.min(FAILING_JOB_DOUBLINGS_MAX);
