--- a/crates/drill/src/controller.rs
+++ b/crates/drill/src/controller.rs
@@ -353,11 +353,11 @@
             local.steady,
             c.lanes.longest_wait().max(scaled(spent, share)),
         );
-        node.set_loop_load(c.load);
+        node.update_load(c.load);
         let effort = node.machines_examined();
         let mut outputs = node.tick(local);
         let own = (node.machines_examined().saturating_sub(effort)) as f64 * cost::LOOKED;
-        node.note_tick_cost(scaled(own, share));
+        node.record_tick_duration(scaled(own, share));
         spent += own + outputs.len() as f64 * cost::SEND;
         let retry = c.load.retry_after(0);
         c.refused += refused.len() as u64;
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -73,7 +73,7 @@
 /// A node whose inputs wait for longer than this is overloaded.
 const OVERLOAD_LAG: Micros = 100 * MILLISECOND;
 /// The rules against workers that reconnect hold for this long after an overload.
-const OVERLOADED_FOR: Micros = 30 * SECOND;
+const OVERLOAD_COOLDOWN: Micros = 30 * SECOND;
 
 /// One controller process, without its I/O.
 pub struct Controller {
@@ -83,7 +83,7 @@
     /// The time of the input or tick in hand.
     now: Now,
     /// The last ticket given to a call.
-    tickets: Ticket,
+    last_ticket: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
     cloud: Cloud,
@@ -94,9 +94,9 @@
     startup: Startup,
     worker_probe: WorkerProbe,
     /// How often a tick came far too late: the process was stopped, or starved of processor time.
-    stalls: u64,
+    stall_count: u64,
     /// How long the last of these gaps was.
-    last_stall: Micros,
+    last_stall_duration: Micros,
     /// How long this node last stayed out of the election after resigning for cause.
     resign_backoff: Micros,
     peer_links: PeerLinks,
@@ -106,7 +106,7 @@
     schema_migration: SchemaMigration,
     /// How far this node is behind its inputs.
     load: LoadMonitor,
-    /// Until then this node counts as overloaded, see [`Controller::was_overloaded`].
+    /// Until then this node counts as overloaded, see [`Controller::was_recently_overloaded`].
     overloaded_until: Micros,
     /// What ticks with a placement pass have cost lately, as a moving average.
     placement_pass_cost: Micros,
@@ -138,8 +138,8 @@
             standby: Standby::default(),
             startup: Startup::default(),
             worker_probe: WorkerProbe::default(),
-            stalls: 0,
-            last_stall: 0,
+            stall_count: 0,
+            last_stall_duration: 0,
             resign_backoff: 0,
             peer_links: PeerLinks::new(settings.peers.clone()),
             heartbeat_batch: HeartbeatBatch::default(),
@@ -153,7 +153,7 @@
             now: Now::default(),
             // A process may restart before all calls of its former incarnation are answered: no
             // ticket of one is used by another.
-            tickets: if fault_injected(InjectedFault::TicketsReused) {
+            last_ticket: if fault_injected(InjectedFault::TicketsReused) {
                 0
             } else {
                 run << TICKET_BITS_PER_INCARNATION
@@ -164,7 +164,7 @@
     }
 
     /// Sets how far behind its inputs this node is, and with that what it refuses.
-    pub fn set_loop_load(&mut self, load: LoadMonitor) {
+    pub fn update_load(&mut self, load: LoadMonitor) {
         if load.shed_level() != self.load.shed_level() {
             let (lag_ms, level) = (load.lag() / MILLISECOND, load.shed_level());
             let severity = if level > self.load.shed_level() {
@@ -180,19 +180,19 @@
         self.election.note_pause(self.now.steady, load.lag());
         self.load = load;
         if load.lag() > OVERLOAD_LAG || load.connection_pressure != ConnectionPressure::Low {
-            self.overloaded_until = self.now.steady + OVERLOADED_FOR;
+            self.overloaded_until = self.now.steady + OVERLOAD_COOLDOWN;
         }
     }
 
-    /// Whether this node was behind its inputs or short of connections within [`OVERLOADED_FOR`]. Each worker that
+    /// Whether this node was behind its inputs or short of connections within [`OVERLOAD_COOLDOWN`]. Each worker that
     /// reconnects costs more than a late answer then.
-    fn was_overloaded(&self) -> bool {
+    fn was_recently_overloaded(&self) -> bool {
         self.now.steady < self.overloaded_until
     }
 
     /// Tells what the last `tick` took, in microseconds. Where processor time is short, a placement
     /// pass takes many times what it would otherwise, and the next one waits accordingly longer.
-    pub fn note_tick_cost(&mut self, took: Micros) {
+    pub fn record_tick_duration(&mut self, took: Micros) {
         if std::mem::take(&mut self.placement_pass_ran) {
             self.placement_pass_cost = (3 * self.placement_pass_cost + took) / 4;
         }
@@ -235,8 +235,8 @@
     fn set_now(&mut self, now: Now) {
         let gap = now.steady.saturating_sub(self.now.steady);
         if self.now.steady > 0 && gap > STALL_THRESHOLD {
-            self.stalls += 1;
-            self.last_stall = gap;
+            self.stall_count += 1;
+            self.last_stall_duration = gap;
             log::warn!("process stalled stall_ms={}", gap / MILLISECOND);
         }
         self.now = now;
@@ -265,8 +265,8 @@
                     conn,
                     ticket,
                     kind,
-                    patience,
-                    addr,
+                    timeout: patience,
+                    subject: addr,
                     body,
                 });
             }
@@ -306,7 +306,7 @@
         self.check_schema_version();
         let is_leader = self.is_leader();
         self.cloud
-            .tick(steady, is_leader, &mut self.tickets, &mut self.outputs);
+            .tick(steady, is_leader, &mut self.last_ticket, &mut self.outputs);
         self.run_leader();
         self.send_heartbeat_batches();
         self.flush_polls();
@@ -314,7 +314,7 @@
         for _ in 0..2 {
             for (request, reply) in
                 self.state
-                    .send_queued(steady, &mut self.tickets, &mut self.outputs)
+                    .send_queued(steady, &mut self.last_ticket, &mut self.outputs)
             {
                 self.handle_state_reply(request, reply, steady);
             }
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -42,9 +42,9 @@
 impl Controller {
     /// The state service does not answer this node, but may answer another controller: a single node
     /// can be refused or cut off while the others are served.
-    pub(super) fn state_unavailable(&mut self, conn: ConnId) {
+    pub(super) fn handle_state_unavailable(&mut self, conn: ConnId) {
         let request = self.client_requests.take(conn);
-        if let (Some(request), Some(peer)) = (request, self.pick_helper_peer()) {
+        if let (Some(request), Some(peer)) = (request, self.pick_forwarding_peer()) {
             self.forward_client_request(conn, peer, request);
         } else {
             self.respond_error(conn, &ApiError::StateUnavailable);
@@ -52,10 +52,10 @@
     }
 
     /// A controller that may answer a client request for this node.
-    fn pick_helper_peer(&mut self) -> Option<SocketAddr> {
+    fn pick_forwarding_peer(&mut self) -> Option<SocketAddr> {
         let leader = self.leader_name();
         self.peer_links
-            .pick_helper(self.now.steady, leader.as_deref())
+            .pick_forwarding_target(self.now.steady, leader.as_deref())
     }
 
     /// Has another controller serve a client's request.
@@ -86,7 +86,7 @@
     }
 
     /// Refuses a request if this node is isolated; returns whether it is.
-    pub(super) fn refused_as_isolated(&mut self, conn: ConnId) -> bool {
+    pub(super) fn reject_if_isolated(&mut self, conn: ConnId) -> bool {
         let isolated = self.is_isolated();
         if isolated {
             self.respond_error(conn, &ApiError::Isolated);
@@ -123,13 +123,13 @@
         if ClientRequests::is_proxied(conn) {
             return false;
         }
-        if self.refused_as_isolated(conn) {
+        if self.reject_if_isolated(conn) {
             return true;
         }
         let body = body.to_vec();
         let request = ClientRequest { method, path, body };
         if self.state.is_failing()
-            && let Some(peer) = self.pick_helper_peer()
+            && let Some(peer) = self.pick_forwarding_peer()
         {
             self.forward_client_request(conn, peer, request);
             return true;
@@ -171,7 +171,7 @@
         if self.cloud.types.is_empty() {
             return self.respond_error(conn, &ApiError::Starting);
         }
-        if self.refused_as_isolated(conn) {
+        if self.reject_if_isolated(conn) {
             return;
         }
         if self.peers_serve_clients() {
@@ -202,13 +202,13 @@
             return;
         }
         // Whether jobs are over is checked for many at once; how far they are, the leader announces.
-        if self.job_counts(uid).is_some() {
+        if self.task_counts(uid).is_some() {
             let now = self.now.steady;
             let uid = uid.into();
             let poll = PendingPoll {
                 conn,
                 uid,
-                asked_at: now,
+                arrived_at: now,
             };
             return self.client_requests.queue_poll(now, poll);
         }
@@ -233,14 +233,14 @@
     }
 
     /// A poll could not be answered here.
-    pub(super) fn poll_failed(&mut self, conn: ConnId, uid: &str) {
+    pub(super) fn handle_failed_poll(&mut self, conn: ConnId, uid: &str) {
         self.client_requests.note_failure(self.now.steady, uid);
-        self.state_unavailable(conn);
+        self.handle_state_unavailable(conn);
     }
 
     /// Tasks done and placed of a live job, by the leader's last announcement. While there is no
     /// leader nobody knows anything newer, and the stored counts are older still.
-    fn job_counts(&self, uid: &str) -> Option<(u64, u64)> {
+    fn task_counts(&self, uid: &str) -> Option<(u64, u64)> {
         if self.is_leader() {
             let job = self.leader_state.as_ref()?.jobs.get(uid)?;
             return Some((
@@ -263,7 +263,7 @@
         let starved = self.client_requests.has_starved_polls(now);
         if !starved && !self.state.has_background_budget(now) {
             for poll in self.client_requests.postpone_polls(now) {
-                self.poll_failed(poll.conn, &poll.uid);
+                self.handle_failed_poll(poll.conn, &poll.uid);
             }
             return;
         }
@@ -290,7 +290,7 @@
     }
 
     /// Handles which of the polled jobs are over.
-    pub(super) fn polls_checked(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
+    pub(super) fn handle_finished_check_reply(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
         let ended: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
@@ -309,7 +309,7 @@
                         Some(poll)
                     };
                     if let Some(poll) = failed {
-                        self.poll_failed(poll.conn, &poll.uid);
+                        self.handle_failed_poll(poll.conn, &poll.uid);
                     }
                 }
                 return;
@@ -320,7 +320,7 @@
                 self.read_for_poll(conn, uid, true);
                 continue;
             }
-            if let Some((done, running)) = self.job_counts(&uid) {
+            if let Some((done, running)) = self.task_counts(&uid) {
                 self.client_requests.note_answer(&uid);
                 self.respond(conn, 200, &live_body(&uid, done, running));
             } else {
@@ -408,7 +408,7 @@
     /// Another controller announced that the job was cancelled. What is stored decides, and is
     /// reported by the watch; until then its tasks are stopped and none is started, which costs some
     /// work at most if the announcement was wrong.
-    pub(super) fn cancellation_hinted(&mut self, uid: &str) {
+    pub(super) fn handle_cancellation_hint(&mut self, uid: &str) {
         let now = self.now.steady;
         let Some(leader_state) = self.leader_state.as_mut().filter(|l| l.load.is_none()) else {
             return;
@@ -443,7 +443,7 @@
     }
 
     /// Handles what is stored of a job that is to be cancelled.
-    pub(super) fn cancel_job_read(
+    pub(super) fn handle_read_for_cancel_reply(
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
@@ -456,13 +456,13 @@
                 self.overwrite_final_state(conn, uid, tries, &item);
             }
             Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
-            Reply::Item(item) => match self.cancellation_of(&uid, item) {
+            Reply::Item(item) => match self.cancellation_transaction(&uid, item) {
                 Ok((txn, body)) => self.write_cancel(conn, uid, tries, body, txn),
                 Err(error) => self.respond_error(conn, &error),
             },
             Reply::Absent if !over => self.read_for_cancel(conn, uid, true, tries),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -498,7 +498,11 @@
     /// # Errors
     /// [`ApiError::StoredJobUnreadable`], and [`ApiError::JobTooWideToCancel`] if the record has to
     /// be rewritten under smaller limits and one transaction does not hold it.
-    fn cancellation_of(&self, uid: &str, item: Item) -> Result<(Transaction, Value), ApiError> {
+    fn cancellation_transaction(
+        &self,
+        uid: &str,
+        item: Item,
+    ) -> Result<(Transaction, Value), ApiError> {
         let (record, chunks) = schema::decode_job(&item.value).map_err(|error| {
             log::error!("stored job unreadable key={} error={error}", item.path);
             ApiError::StoredJobUnreadable
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -67,9 +67,9 @@
     /// One autoscaling pass: gives up machines that will not come back, and rents or returns others.
     pub(super) fn autoscale(&mut self) {
         let now = self.now.steady;
-        self.return_stuck_boots();
+        self.release_stuck_boots();
         self.forget_vanished_machines();
-        self.return_unreachable_machines();
+        self.release_unreachable_machines();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -89,7 +89,7 @@
     }
 
     /// Returns rented machines that have not come up in time.
-    fn return_stuck_boots(&mut self) {
+    fn release_stuck_boots(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &self.leader_state else {
             return;
@@ -136,7 +136,7 @@
 
     /// Returns machines that answer nobody, if others like them can be had. This proves that their
     /// tasks are gone long before their leases would, at the price of the machine.
-    fn return_unreachable_machines(&mut self) {
+    fn release_unreachable_machines(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -244,7 +244,7 @@
                 .max(0.0)
                 .ceil() as u32;
         }
-        let (tickets, out) = (&mut self.tickets, &mut self.outputs);
+        let (tickets, out) = (&mut self.last_ticket, &mut self.outputs);
         self.cloud.rent(now, offer, number, tickets, out);
     }
 
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -6,7 +6,7 @@
 //! controller does both. A final state never changes, so one that is cached here may be served at
 //! any time; progress is a hint, shown only beside a fresh check that the job is still live.
 
-use super::peer_links::SERVING_FRESH_FOR;
+use super::peer_links::SERVING_STATUS_TTL;
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::jobs::{FinalCache, Progress};
 use crate::messages::{ConnId, Ticket};
@@ -27,7 +27,7 @@
 /// How long a poll waits for request budget; clients give a poll 2 s.
 const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
 /// Without an announcement by the leader for this long, the stored counts are shown instead.
-const PROGRESS_KEPT_FOR: Micros = 60 * SECOND;
+const PROGRESS_TTL: Micros = 60 * SECOND;
 
 /// A client's request, kept until it is answered: another controller may be able to answer it.
 pub(super) struct ClientRequest {
@@ -46,7 +46,7 @@
     /// The job asked about.
     pub(super) uid: Arc<str>,
     /// When the poll arrived.
-    pub(super) asked_at: Micros,
+    pub(super) arrived_at: Micros,
 }
 
 /// Where the answer to a request goes that another controller forwarded.
@@ -140,7 +140,7 @@
 
     /// Whether the load balancer checked this node a moment ago; otherwise it may not reach it.
     pub(super) fn is_health_checked(&self, now: Micros) -> bool {
-        now < self.health_checked_at + SERVING_FRESH_FOR
+        now < self.health_checked_at + SERVING_STATUS_TTL
     }
 
     /// Takes the leader's announcement of how far the live jobs are.
@@ -150,13 +150,13 @@
     }
 
     /// This node has just accepted the job: it is live until the leader's next announcement.
-    pub(super) fn add_progress(&mut self, uid: &str) {
+    pub(super) fn mark_job_live(&mut self, uid: &str) {
         self.progress.add(uid);
     }
 
     /// Tasks done and placed of a job by the leader's last announcement, while that is usable.
     pub(super) fn progress_of(&self, now: Micros, uid: &str) -> Option<(u64, u64)> {
-        let fresh = now < self.progress_at + PROGRESS_KEPT_FOR;
+        let fresh = now < self.progress_at + PROGRESS_TTL;
         self.progress.get(uid).filter(|_| fresh)
     }
 
@@ -205,7 +205,7 @@
         now: Micros,
         poll: PendingPoll,
     ) -> Result<(), PendingPoll> {
-        if now >= poll.asked_at + POLL_TIMEOUT {
+        if now >= poll.arrived_at + POLL_TIMEOUT {
             return Err(poll);
         }
         self.queue_poll(now, poll);
@@ -229,7 +229,7 @@
         let waiting = std::mem::take(&mut self.polls);
         let (kept, expired) = waiting
             .into_iter()
-            .partition(|poll| now < poll.asked_at + POLL_TIMEOUT);
+            .partition(|poll| now < poll.arrived_at + POLL_TIMEOUT);
         self.polls = kept;
         expired
     }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -45,7 +45,7 @@
 impl Controller {
     /// Handles a heartbeat that a worker sent to this node.
     pub(super) fn handle_heartbeat(&mut self, conn: ConnId, body: Vec<u8>) {
-        if self.refused_as_isolated(conn) {
+        if self.reject_if_isolated(conn) {
             return;
         }
         self.worker_probe.note_heartbeat(self.now.steady, &body);
@@ -131,7 +131,7 @@
         }
         let lag = self.load.lag();
         self.worker_probe
-            .tick(now, lag, &mut self.tickets, &mut self.outputs);
+            .tick(now, lag, &mut self.last_ticket, &mut self.outputs);
     }
 
     /// Divides the workers that have not reported to a new leader among all controllers for probing.
@@ -220,7 +220,7 @@
         let Some(incarnation) = record.map(|record| record.incarnation) else {
             return false;
         };
-        if self.peer_links.takes_batches(incarnation) {
+        if self.peer_links.accepts_batches(incarnation) {
             return true;
         }
         if self.peer_links.take_batch_support_query(now) {
@@ -281,12 +281,12 @@
             return;
         }
         while self.heartbeat_batch.due_at().is_some_and(|due| due <= now) {
-            self.tickets += 1;
-            let Some(body) = self.heartbeat_batch.next_frame(now, self.tickets) else {
+            self.last_ticket += 1;
+            let Some(body) = self.heartbeat_batch.next_frame(now, self.last_ticket) else {
                 return;
             };
             self.outputs.push(Output::PeerCall {
-                ticket: self.tickets,
+                ticket: self.last_ticket,
                 dest,
                 kind: KIND_HEARTBEAT_BATCH,
                 addr: self.settings.name.clone(),
@@ -361,24 +361,27 @@
     }
 
     fn is_link_avoided(&self, dest: SocketAddr) -> bool {
-        self.peer_links.is_link_avoided(self.now.steady, dest)
+        self.peer_links.is_link_in_backoff(self.now.steady, dest)
     }
 
     fn is_leader_in_doubt(&self, dest: SocketAddr) -> bool {
-        self.peer_links
-            .is_leader_in_doubt(self.now.steady, dest, self.properties.leader_ttl)
+        self.peer_links.is_leader_liveness_uncertain(
+            self.now.steady,
+            dest,
+            self.properties.leader_ttl,
+        )
     }
 
     /// Whether a worker that reports to this node, which is short of connections and does not lead, is sent to the
     /// leader: one at a time, and the leader hands none to a node short of connections.
     fn hands_worker_back(&mut self) -> bool {
         self.load.connection_pressure == ConnectionPressure::Critical
-            && self.peer_links.take_handback(self.now.steady)
+            && self.peer_links.try_return_to_leader(self.now.steady)
     }
 
     /// How long a forwarded heartbeat waits for the leader's answer.
     fn heartbeat_timeout(&self) -> Micros {
-        if self.was_overloaded() {
+        if self.was_recently_overloaded() {
             OVERLOADED_HEARTBEAT_TIMEOUT
         } else {
             PEER_CALL_TIMEOUT
@@ -388,7 +391,10 @@
     /// Whether this node was overloaded and the leader was heard so lately that it must be slow where it does not
     /// answer.
     fn is_leader_slow(&self) -> bool {
-        self.was_overloaded() && self.peer_links.is_leader_heard(self.now.steady)
+        self.was_recently_overloaded()
+            && self
+                .peer_links
+                .is_leader_recently_announced(self.now.steady)
     }
 
     /// Whether the leader may answer the next call after one that failed: heartbeats wait for that.
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -248,6 +248,6 @@
         leader_state.workers.loop_lag = self.load.lag();
         leader_state
             .workers
-            .send_due(now, &mut self.tickets, &mut self.outputs);
+            .send_due(now, &mut self.last_ticket, &mut self.outputs);
     }
 }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -61,9 +61,9 @@
         self.apply_ledger_events();
         self.watch_failover();
         self.share_probes();
-        self.forget_cancelled_jobs();
+        self.delete_cancelled_jobs();
         self.announce_progress();
-        self.drain_noticed_machines();
+        self.drain_machines_to_be_reclaimed();
         self.write_registry();
         self.watch_schema_support();
         let Some(leader_state) = &mut self.leader_state else {
@@ -122,7 +122,7 @@
     }
 
     /// Deletes the records of cancelled jobs of which nothing can be on a machine any more.
-    fn forget_cancelled_jobs(&mut self) {
+    fn delete_cancelled_jobs(&mut self) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -156,7 +156,7 @@
 
     /// Drains machines that are about to be reclaimed: tasks that can save their state do so in
     /// time, and tasks that can't finish are moved now.
-    fn drain_noticed_machines(&mut self) {
+    fn drain_machines_to_be_reclaimed(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
--- a/src/controller/peer_links.rs
+++ b/src/controller/peer_links.rs
@@ -18,24 +18,24 @@
 pub(super) const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
 /// An announcement that a peer serves clients, or a health check of this node by the load
 /// balancer, counts for this long.
-pub(super) const SERVING_FRESH_FOR: Micros = 3 * SECOND;
+pub(super) const SERVING_STATUS_TTL: Micros = 3 * SECOND;
 /// The leader's announcement of itself takes precedence over the leader key for this long.
-const LEADER_HINT_FRESH_FOR: Micros = 2_500 * MILLISECOND;
+const LEADER_HINT_TTL: Micros = 2_500 * MILLISECOND;
 /// A leader that announced itself within this time is up and reachable: where it does not answer, it is slow.
-const LEADER_HEARD_FOR: Micros = 4 * SECOND;
+const LEADER_ALIVE_WINDOW: Micros = 4 * SECOND;
 /// A peer that could not answer a client request for this node is not asked again for this long.
-const HELPER_BACKOFF: Micros = SECOND;
+const FORWARDING_BACKOFF: Micros = SECOND;
 /// With neither the state service nor another controller answering for this long, a node serves
 /// nobody.
 const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 /// Interval of the calls that only check whether another controller can be reached.
 const LIVENESS_CHECK_INTERVAL: Micros = SECOND;
 /// A link over which a call failed is avoided for this long.
-const LINK_AVOIDED_FOR: Micros = 4 * SECOND;
+const LINK_BACKOFF: Micros = 4 * SECOND;
 /// The same while it is in doubt whether the leader at its other end is still alive.
-const DOUBTFUL_LINK_AVOIDED_FOR: Micros = 400 * MILLISECOND;
+const LINK_BACKOFF_LEADER_UNCERTAIN: Micros = 400 * MILLISECOND;
 /// Beyond the leader's lease, a failing link leaves the leader's life in doubt for this long.
-const LEADER_DOUBT_MARGIN: Micros = SECOND / 2;
+const LEADER_LIVENESS_MARGIN: Micros = SECOND / 2;
 /// While the leader's host refuses connections from here, one in this many workers is sent to
 /// another controller instead of straight to the leader.
 const DIRECT_REDIRECT_PERIOD: usize = 4;
@@ -75,7 +75,7 @@
     /// What the frame asks for, one of the `KIND_` constants of [`crate::wire`].
     pub(super) kind: u16,
     /// What it is about; most frames carry the name of the sender.
-    pub(super) addr: String,
+    pub(super) subject: String,
     /// The payload, in the format of the kind.
     pub(super) body: Vec<u8>,
     /// How long the answer is waited for, in microseconds.
@@ -84,10 +84,10 @@
 
 impl PeerRequest {
     /// A frame whose answer is waited for as long as [`PEER_CALL_TIMEOUT`].
-    pub(super) fn new(kind: u16, addr: impl Into<String>, body: Vec<u8>) -> Self {
+    pub(super) fn new(kind: u16, subject: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
             kind,
-            addr: addr.into(),
+            subject: subject.into(),
             body,
             timeout: PEER_CALL_TIMEOUT,
         }
@@ -102,7 +102,7 @@
 /// What one link has shown, by the address of the peer at its other end.
 #[derive(Default)]
 struct LinkHealth {
-    avoided_until: HashMap<SocketAddr, Micros>,
+    backoff_until: HashMap<SocketAddr, Micros>,
     /// When the peer's host last refused a connection from here.
     refused_at: HashMap<SocketAddr, Micros>,
     /// Since when calls have failed; absent while they succeed.
@@ -120,18 +120,18 @@
     peers: Vec<Peer>,
     health: LinkHealth,
     /// Peers that could not answer a client request for this node a moment ago.
-    unhelpful_until: HashMap<SocketAddr, Micros>,
+    forwarding_backoff_until: HashMap<SocketAddr, Micros>,
     /// When each peer last announced that it can serve clients.
     serving_at: HashMap<SocketAddr, Micros>,
     /// Counts choices between peers, so that they take turns.
-    turn: usize,
+    round_robin_counter: usize,
     leader_hint: Option<LeaderHint>,
     /// When any controller last answered or called.
     seen_at: Micros,
     liveness_checked_at: Micros,
     next_handover_at: Micros,
     /// The process incarnation of a leader known to accept heartbeat batches.
-    batching_leader: Option<u64>,
+    batch_accepting_incarnation: Option<u64>,
     batch_support_asked_at: Micros,
     calls: HashMap<Ticket, PeerCallPurpose>,
 }
@@ -142,14 +142,14 @@
         Self {
             peers,
             health: LinkHealth::default(),
-            unhelpful_until: HashMap::default(),
+            forwarding_backoff_until: HashMap::default(),
             serving_at: HashMap::default(),
-            turn: 0,
+            round_robin_counter: 0,
             leader_hint: None,
             seen_at: 0,
             liveness_checked_at: 0,
             next_handover_at: 0,
-            batching_leader: None,
+            batch_accepting_incarnation: None,
             batch_support_asked_at: 0,
             calls: HashMap::default(),
         }
@@ -211,28 +211,33 @@
             return None;
         }
         self.liveness_checked_at = now;
-        self.turn += 1;
-        Some(self.peers[self.turn % self.peers.len()].address)
+        self.round_robin_counter += 1;
+        Some(self.peers[self.round_robin_counter % self.peers.len()].address)
     }
 
     /// A controller that may answer a client request for this node: the leader, or else another
     /// one, taking turns.
-    pub(super) fn pick_helper(&mut self, now: Micros, leader: Option<&str>) -> Option<SocketAddr> {
+    pub(super) fn pick_forwarding_target(
+        &mut self,
+        now: Micros,
+        leader: Option<&str>,
+    ) -> Option<SocketAddr> {
         let is_over = |until: Option<&Micros>| until.is_none_or(|until| *until <= now);
         let able = |peer: &&Peer| {
-            is_over(self.health.avoided_until.get(&peer.address))
-                && is_over(self.unhelpful_until.get(&peer.address))
+            is_over(self.health.backoff_until.get(&peer.address))
+                && is_over(self.forwarding_backoff_until.get(&peer.address))
         };
         let able: Vec<&Peer> = self.peers.iter().filter(able).collect();
         let first = able.iter().find(|peer| Some(&*peer.name) == leader);
-        self.turn += 1;
-        let any = able.get(self.turn % able.len().max(1));
+        self.round_robin_counter += 1;
+        let any = able.get(self.round_robin_counter % able.len().max(1));
         first.or(any).map(|peer| peer.address)
     }
 
     /// The peer could not answer a client request for this node.
-    pub(super) fn note_unhelpful(&mut self, now: Micros, peer: SocketAddr) {
-        self.unhelpful_until.insert(peer, now + HELPER_BACKOFF);
+    pub(super) fn note_forwarding_failure(&mut self, now: Micros, peer: SocketAddr) {
+        self.forwarding_backoff_until
+            .insert(peer, now + FORWARDING_BACKOFF);
     }
 
     /// The peer announced that it can serve clients.
@@ -243,7 +248,7 @@
     /// Whether that peer announced a moment ago that it can serve clients.
     pub(super) fn is_serving(&self, now: Micros, peer: SocketAddr) -> bool {
         let at = self.serving_at.get(&peer);
-        at.is_some_and(|at| now < at + SERVING_FRESH_FOR)
+        at.is_some_and(|at| now < at + SERVING_STATUS_TTL)
     }
 
     /// How many peers announced a moment ago that they can serve clients.
@@ -261,14 +266,14 @@
     /// The leader by its own announcement, while that is fresh.
     pub(super) fn leader_hint(&self, now: Micros) -> Option<&str> {
         let hint = self.leader_hint.as_ref();
-        let fresh = hint.filter(|hint| now < hint.at + LEADER_HINT_FRESH_FOR);
+        let fresh = hint.filter(|hint| now < hint.at + LEADER_HINT_TTL);
         fresh.map(|hint| &*hint.name)
     }
 
     /// Whether a leader announced itself so lately that it must be slow where it does not answer.
-    pub(super) fn is_leader_heard(&self, now: Micros) -> bool {
+    pub(super) fn is_leader_recently_announced(&self, now: Micros) -> bool {
         self.leader_hint_at()
-            .is_some_and(|at| now < at + LEADER_HEARD_FOR)
+            .is_some_and(|at| now < at + LEADER_ALIVE_WINDOW)
     }
 
     /// When a leader last announced itself, if one ever did.
@@ -290,12 +295,13 @@
             self.health.refused_at.insert(peer, now);
         }
         self.health.failing_since.entry(peer).or_insert(now);
-        let avoided_for = if is_leader_slow || self.is_leader_in_doubt(now, peer, leader_ttl) {
-            DOUBTFUL_LINK_AVOIDED_FOR
-        } else {
-            LINK_AVOIDED_FOR
-        };
-        self.health.avoided_until.insert(peer, now + avoided_for);
+        let avoided_for =
+            if is_leader_slow || self.is_leader_liveness_uncertain(now, peer, leader_ttl) {
+                LINK_BACKOFF_LEADER_UNCERTAIN
+            } else {
+                LINK_BACKOFF
+            };
+        self.health.backoff_until.insert(peer, now + avoided_for);
     }
 
     /// A call over this link was answered.
@@ -306,22 +312,22 @@
     }
 
     /// Whether the link is avoided after a failure.
-    pub(super) fn is_link_avoided(&self, now: Micros, peer: SocketAddr) -> bool {
-        let until = self.health.avoided_until.get(&peer);
+    pub(super) fn is_link_in_backoff(&self, now: Micros, peer: SocketAddr) -> bool {
+        let until = self.health.backoff_until.get(&peer);
         until.is_some_and(|until| *until > now)
     }
 
     /// Whether a leader behind this link may have ended: the link has failed for no longer than a
     /// lease lives, so its successor will be known in a moment. After that the link is at fault,
     /// and another controller may reach the leader.
-    pub(super) fn is_leader_in_doubt(
+    pub(super) fn is_leader_liveness_uncertain(
         &self,
         now: Micros,
         leader: SocketAddr,
         leader_ttl: Micros,
     ) -> bool {
         let since = self.health.failing_since.get(&leader);
-        since.is_some_and(|since| now < since + leader_ttl + LEADER_DOUBT_MARGIN)
+        since.is_some_and(|since| now < since + leader_ttl + LEADER_LIVENESS_MARGIN)
     }
 
     /// Where a worker goes whose heartbeat this node can't pass to the leader; none if no
@@ -335,15 +341,16 @@
     pub(super) fn take_redirect_target(&mut self, now: Micros, leader: &str) -> Option<String> {
         let address = self.peer_named(leader).map(|peer| peer.address);
         let refused_at = address.and_then(|address| self.health.refused_at.get(&address));
-        let refuses = refused_at.is_some_and(|at| now < at + 2 * LINK_AVOIDED_FOR);
-        self.turn += 1;
-        if refuses && self.turn % DIRECT_REDIRECT_PERIOD != 0 {
+        let refuses = refused_at.is_some_and(|at| now < at + 2 * LINK_BACKOFF);
+        self.round_robin_counter += 1;
+        if refuses && self.round_robin_counter % DIRECT_REDIRECT_PERIOD != 0 {
             return Some(leader.to_owned());
         }
-        let able = |peer: &&Peer| peer.name != leader && !self.is_link_avoided(now, peer.address);
+        let able =
+            |peer: &&Peer| peer.name != leader && !self.is_link_in_backoff(now, peer.address);
         let others: Vec<&Peer> = self.peers.iter().filter(able).collect();
         // Taking turns, so that not all workers crowd at one controller.
-        let target = others.get(self.turn % others.len().max(1));
+        let target = others.get(self.round_robin_counter % others.len().max(1));
         target.map(|peer| peer.name.clone())
     }
 
@@ -353,7 +360,7 @@
     }
 
     /// Whether a worker may be handed back to the leader now; counts as a handover.
-    pub(super) fn take_handback(&mut self, now: Micros) -> bool {
+    pub(super) fn try_return_to_leader(&mut self, now: Micros) -> bool {
         let due = self.is_handover_due(now);
         if due {
             self.next_handover_at = now + HANDOVER_INTERVAL;
@@ -364,26 +371,29 @@
     /// The peer that the next worker is handed to, if enough peers can take workers.
     pub(super) fn take_handover_target(&mut self, now: Micros) -> Option<String> {
         let able = |peer: &&Peer| {
-            self.is_serving(now, peer.address) && !self.is_link_avoided(now, peer.address)
+            self.is_serving(now, peer.address) && !self.is_link_in_backoff(now, peer.address)
         };
         let others: Vec<&Peer> = self.peers.iter().filter(able).collect();
         if others.len() < HANDOVER_PEERS_MIN {
             return None;
         }
-        let name = others.get(self.turn % others.len())?.name.clone();
-        self.turn += 1;
+        let name = others
+            .get(self.round_robin_counter % others.len())?
+            .name
+            .clone();
+        self.round_robin_counter += 1;
         self.next_handover_at = now + HANDOVER_INTERVAL;
         Some(name)
     }
 
     /// Whether the leader of that process incarnation is known to accept heartbeat batches.
-    pub(super) fn takes_batches(&self, incarnation: u64) -> bool {
-        self.batching_leader == Some(incarnation)
+    pub(super) fn accepts_batches(&self, incarnation: u64) -> bool {
+        self.batch_accepting_incarnation == Some(incarnation)
     }
 
     /// The leader of that process incarnation accepts heartbeat batches.
     pub(super) fn note_batch_support(&mut self, incarnation: u64) {
-        self.batching_leader = Some(incarnation);
+        self.batch_accepting_incarnation = Some(incarnation);
     }
 
     /// Whether the leader should be asked now if it accepts heartbeat batches; counts as asked.
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -32,9 +32,9 @@
     /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
     pub(super) kind: u16,
     /// How long the sender waits for the answer, in microseconds.
-    pub(super) patience: Micros,
+    pub(super) timeout: Micros,
     /// What it is about; most frames carry the name of the sender.
-    pub(super) addr: String,
+    pub(super) subject: String,
     /// The payload, in the format of the kind.
     pub(super) body: Vec<u8>,
 }
@@ -57,16 +57,16 @@
 
     /// Sends a frame to another controller; its answer is ignored unless the ticket is registered.
     pub(super) fn send_to_peer(&mut self, dest: SocketAddr, request: PeerRequest) -> Ticket {
-        self.tickets += 1;
+        self.last_ticket += 1;
         self.outputs.push(Output::PeerCall {
-            ticket: self.tickets,
+            ticket: self.last_ticket,
             dest,
             kind: request.kind,
-            addr: request.addr,
+            addr: request.subject,
             body: request.body,
             timeout: request.timeout,
         });
-        self.tickets
+        self.last_ticket
     }
 
     /// Handles a frame of another controller.
@@ -87,27 +87,27 @@
             conn, ticket, body, ..
         } = &frame;
         match frame.kind {
-            KIND_HEARTBEAT => return Some(self.take_forwarded_heartbeat(&frame.addr, body)),
-            KIND_HEARTBEAT_BATCH => return Some(self.take_heartbeat_batch(&frame.addr, body)),
+            KIND_HEARTBEAT => return Some(self.take_forwarded_heartbeat(&frame.subject, body)),
+            KIND_HEARTBEAT_BATCH => return Some(self.take_heartbeat_batch(&frame.subject, body)),
             KIND_DELIVER_COMMANDS => return self.deliver_commands(frame),
             KIND_CLIENT_REQUEST => {
                 let proxied = self.client_requests.insert_proxied(*conn, *ticket);
-                let addr = &frame.addr;
-                let (method, path) = addr.split_once(' ').unwrap_or((addr, ""));
+                let subject = &frame.subject;
+                let (method, path) = subject.split_once(' ').unwrap_or((subject, ""));
                 self.handle_request(proxied, method, path, frame.body);
                 return None;
             }
-            KIND_PROGRESS => return Some(self.progress_announced(&frame)),
+            KIND_PROGRESS => return Some(self.handle_progress_announcement(&frame)),
             KIND_PROBE_ANSWER => self.take_probe_answer(body),
             KIND_PROBE_WORKERS => self.accept_probe_assignment(body),
             KIND_CHECKSUM => self.leader_checksum_received(body),
             KIND_CANCELLED => {
                 if let Ok(uid) = std::str::from_utf8(body) {
-                    self.cancellation_hinted(uid);
+                    self.handle_cancellation_hint(uid);
                 }
             }
             KIND_ADMIN_QUERY => {
-                return Some(self.proxied_admin_report(&frame.addr, body));
+                return Some(self.proxied_admin_report(&frame.subject, body));
             }
             _ => return Some(Outcome::NotSent),
         }
@@ -117,16 +117,16 @@
     /// Delivers commands to a worker that their sender can't reach; the worker's answer is passed
     /// back.
     fn deliver_commands(&mut self, frame: PeerFrame) -> Option<Outcome> {
-        let Ok(dest) = frame.addr.parse() else {
+        let Ok(dest) = frame.subject.parse() else {
             return Some(Outcome::NotSent);
         };
         // Its sender must have the answer before its own patience ends.
         let timeout = frame
-            .patience
-            .saturating_sub(frame.patience / 4)
+            .timeout
+            .saturating_sub(frame.timeout / 4)
             .clamp(DELIVERY_TIMEOUT_MIN, DELIVERY_TIMEOUT_MAX);
         let call = HttpCall::post(COMMANDS_PATH.to_owned(), frame.body, timeout);
-        let call_ticket = call.send(dest, &mut self.tickets, &mut self.outputs);
+        let call_ticket = call.send(dest, &mut self.last_ticket, &mut self.outputs);
         let (conn, ticket) = (frame.conn, frame.ticket);
         let purpose = PeerCallPurpose::CommandDelivery { conn, ticket };
         self.peer_links.register_call(call_ticket, purpose);
@@ -135,10 +135,10 @@
 
     /// Takes a leader's announcement of progress; the answer says whether this node can serve
     /// clients.
-    fn progress_announced(&mut self, frame: &PeerFrame) -> Outcome {
+    fn handle_progress_announcement(&mut self, frame: &PeerFrame) -> Outcome {
         let now = self.now.steady;
         if !self.is_leader() {
-            self.peer_links.note_leader_hint(now, &frame.addr);
+            self.peer_links.note_leader_hint(now, &frame.subject);
         }
         self.client_requests.replace_progress(now, &frame.body);
         // Only a node that is health-checked gets clients: others may be cut off from the load
@@ -165,7 +165,7 @@
         match purpose {
             PeerCallPurpose::LivenessCheck => {}
             PeerCallPurpose::ClientRequest { conn, peer } => {
-                self.client_request_forwarded(conn, peer, outcome);
+                self.handle_forwarded_request_reply(conn, peer, outcome);
             }
             PeerCallPurpose::CommandDelivery { conn, ticket } => {
                 self.outputs.push(Output::PeerRespond {
@@ -203,7 +203,7 @@
             }
             PeerCallPurpose::Heartbeat { conn } | PeerCallPurpose::AdminQuery { conn } => {
                 match outcome {
-                    Outcome::Reply { status, body } => self.pass_answer(conn, *status, body),
+                    Outcome::Reply { status, body } => self.relay_response(conn, *status, body),
                     other => self.heartbeat_failed(conn, other),
                 }
             }
@@ -211,20 +211,26 @@
     }
 
     /// Passes the peer's answer to the client, unless the peer could not serve it either.
-    fn client_request_forwarded(&mut self, conn: ConnId, peer: SocketAddr, outcome: &Outcome) {
+    fn handle_forwarded_request_reply(
+        &mut self,
+        conn: ConnId,
+        peer: SocketAddr,
+        outcome: &Outcome,
+    ) {
         match outcome {
             Outcome::Reply { status, body } if *status != 503 => {
-                self.pass_answer(conn, *status, body);
+                self.relay_response(conn, *status, body);
             }
             _ => {
-                self.peer_links.note_unhelpful(self.now.steady, peer);
+                self.peer_links
+                    .note_forwarding_failure(self.now.steady, peer);
                 self.respond_error(conn, &ApiError::StateUnavailable);
             }
         }
     }
 
     /// Answers with what another controller answered.
-    fn pass_answer(&mut self, conn: ConnId, status: u16, body: &[u8]) {
+    fn relay_response(&mut self, conn: ConnId, status: u16, body: &[u8]) {
         self.outputs.push(Output::Respond {
             conn,
             status,
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -30,7 +30,7 @@
     request_in_flight: bool,
     next_check_at: Micros,
     /// Where the machine types first came from, and when.
-    types_known_from: Option<(&'static str, Micros)>,
+    types_source: Option<(&'static str, Micros)>,
     first_health_check_at: Option<Micros>,
     first_accepted_at: Option<Micros>,
     first_polled_at: Option<Micros>,
@@ -58,8 +58,8 @@
     /// Reads the stored machine types at the start; a leader stores what the cloud reports.
     pub(super) fn tick_startup(&mut self) {
         let now = self.now.steady;
-        if self.startup.types_known_from.is_none() && !self.cloud.types.is_empty() {
-            self.startup.types_known_from = Some(("cloud", now));
+        if self.startup.types_source.is_none() && !self.cloud.types.is_empty() {
+            self.startup.types_source = Some(("cloud", now));
         }
         self.log_startup();
         // While controllers of the version before run, nothing is written that they don't know.
@@ -111,7 +111,7 @@
     }
 
     /// Handles what was read as the stored machine types.
-    pub(super) fn machine_types_read(&mut self, reply: Reply) {
+    pub(super) fn handle_machine_types_read(&mut self, reply: Reply) {
         let now = self.now.steady;
         self.startup.request_in_flight = false;
         let (types, mod_revision) = match reply {
@@ -130,13 +130,13 @@
         if let Some(types) = &types
             && self.cloud.assume_types(&types.types)
         {
-            self.startup.types_known_from = self.startup.types_known_from.or(Some(("stored", now)));
+            self.startup.types_source = self.startup.types_source.or(Some(("stored", now)));
         }
         self.startup.stored = Some((types, mod_revision));
     }
 
     /// Handles the reply to the write of the machine types.
-    pub(super) fn machine_types_stored(&mut self, reply: &Reply) {
+    pub(super) fn handle_machine_types_write(&mut self, reply: &Reply) {
         self.startup.request_in_flight = false;
         // Written or not, they are read again.
         if !matches!(reply, Reply::Unavailable) {
@@ -175,8 +175,8 @@
         };
         log::info!(
             "started types={} types_ms={} up_ms={} accepted_ms={} polled_ms={}",
-            startup.types_known_from.map_or("none", |a| a.0),
-            ms(startup.types_known_from.map(|a| a.1)),
+            startup.types_source.map_or("none", |a| a.0),
+            ms(startup.types_source.map(|a| a.1)),
             ms(startup.first_health_check_at),
             ms(startup.first_accepted_at),
             ms(startup.first_polled_at)
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -30,8 +30,8 @@
             StateRequest::Election(step) => self.handle_election_reply(step, reply, sent),
             StateRequest::ReadReplica { round, want } => self.replica_answered(round, want, reply),
             StateRequest::ReadSchemaVersion => self.schema_version_read(reply),
-            StateRequest::ReadMachineTypes => self.machine_types_read(reply),
-            StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
+            StateRequest::ReadMachineTypes => self.handle_machine_types_read(reply),
+            StateRequest::StoreMachineTypes => self.handle_machine_types_write(&reply),
             StateRequest::ReadOwnSchemaSupport => self.register_schema_support(reply),
             StateRequest::WriteOwnSchemaSupport => self.schema_support_registered(&reply),
             request => match request.term() {
@@ -70,13 +70,15 @@
             StateRequest::PollJob { conn, uid, over } => {
                 self.polled_job_read(conn, uid, over, reply);
             }
-            StateRequest::CheckFinished { polls } => self.polls_checked(polls, &reply),
+            StateRequest::CheckFinished { polls } => {
+                self.handle_finished_check_reply(polls, &reply)
+            }
             StateRequest::ReadForCancel {
                 conn,
                 uid,
                 over,
                 tries,
-            } => self.cancel_job_read(conn, uid, over, tries, reply),
+            } => self.handle_read_for_cancel_reply(conn, uid, over, tries, reply),
             StateRequest::WriteCancel {
                 conn,
                 uid,
@@ -90,17 +92,17 @@
                 submission,
                 uid,
                 over,
-            } => self.dependency_read(submission, uid, over, reply),
+            } => self.handle_dependency_reply(submission, uid, over, reply),
             StateRequest::AcceptDependentJob {
                 submission,
                 cancelled,
-            } => self.dependent_job_accepted(submission, cancelled, reply),
+            } => self.handle_accept_dependent_job_reply(submission, cancelled, reply),
             StateRequest::ReadBeforeRejecting {
                 conn,
                 uid,
                 over,
                 reason,
-            } => self.reject_submission(conn, uid, over, reason, reply),
+            } => self.handle_resubmission_check_reply(conn, uid, over, reason, reply),
             // Whether they were answered at all is all that matters.
             _ => {}
         }
@@ -139,7 +141,7 @@
     fn job_accepted(&mut self, conn: ConnId, uid: Arc<str>, reply: Reply) {
         match reply {
             Reply::Applied { .. } => {
-                self.client_requests.add_progress(&uid);
+                self.client_requests.mark_job_live(&uid);
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { .. } => self.read_existing_job(conn, uid, false),
@@ -147,7 +149,7 @@
                 log::error!("the state service refused a job job={uid} reason={reason}");
                 self.respond_error(conn, &ApiError::StateRefusedJob);
             }
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -165,7 +167,7 @@
                 self.respond_stored_state(conn, &uid, over, item);
             }
             Reply::Absent if !over => self.read_existing_job(conn, uid, true),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -180,7 +182,7 @@
                 self.respond_error(conn, &ApiError::NoSuchJob);
             }
             Reply::Absent => self.read_for_poll(conn, uid, true),
-            _ => self.poll_failed(conn, &uid),
+            _ => self.handle_failed_poll(conn, &uid),
         }
     }
 
@@ -207,7 +209,7 @@
             Reply::Conflict { .. } if tries < CANCEL_RETRIES_MAX => {
                 self.read_for_cancel(conn, uid, false, tries + 1);
             }
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -227,7 +229,7 @@
             ),
             Reply::Absent if !over => self.read_inspected_job(conn, uid, true),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -68,7 +68,7 @@
 }
 
 /// The guards of a write that accepts a job: it is neither live nor over.
-fn accept_guards(uid: &str) -> Transaction {
+fn acceptance_preconditions(uid: &str) -> Transaction {
     Transaction::default()
         .require_revision(live_key(uid), 0)
         .require_revision(finished_key(uid), 0)
@@ -123,7 +123,7 @@
                 return self.respond_error(conn, &ApiError::MachineTypesUnconfirmed);
             }
             // What was accepted when the cloud offered more stays accepted.
-            return self.reject_unless_known(conn, uid, false, reason);
+            return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
         let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
         if let Some(dependency) = spec.waits_on.iter().find(is_invalid) {
@@ -136,7 +136,7 @@
         }
         if let Some(reason) = self.size_violation(&spec) {
             // A job accepted under larger limits stays accepted.
-            return self.reject_unless_known(conn, uid, false, reason);
+            return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
         if spec.waits_on.is_empty() {
             return self.accept_job(conn, uid, spec);
@@ -228,7 +228,13 @@
     }
 
     /// Handles what is stored of a dependency.
-    pub(super) fn dependency_read(&mut self, id: u64, uid: Arc<str>, over: bool, reply: Reply) {
+    pub(super) fn handle_dependency_reply(
+        &mut self,
+        id: u64,
+        uid: Arc<str>,
+        over: bool,
+        reply: Reply,
+    ) {
         let Some(submission) = self.submissions.get_mut(id) else {
             return;
         };
@@ -242,7 +248,7 @@
                 Ok(_) => {}
                 Err(error) => {
                     log::error!("stored job unreadable key={} error={error}", item.path);
-                    return self.abandon_submission(id, &ApiError::DependencyUnreadable);
+                    return self.fail_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
@@ -257,7 +263,7 @@
                 }
                 Err(error) => {
                     log::error!("stored job unreadable key={} error={error}", item.path);
-                    return self.abandon_submission(id, &ApiError::DependencyUnreadable);
+                    return self.fail_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             // Live first, then over: a job moves only in that direction.
@@ -277,7 +283,7 @@
             _ => {
                 let conn = submission.conn;
                 self.submissions.remove(id);
-                return self.state_unavailable(conn);
+                return self.handle_state_unavailable(conn);
             }
         }
         if let Some(submission) = self.submissions.get_mut(id) {
@@ -286,7 +292,7 @@
         self.continue_submission(id);
     }
 
-    fn abandon_submission(&mut self, id: u64, error: &ApiError) {
+    fn fail_submission(&mut self, id: u64, error: &ApiError) {
         if let Some(submission) = self.submissions.remove(id) {
             self.respond_error(submission.conn, error);
         }
@@ -303,7 +309,7 @@
         if let Some(reason) = submission.rejection.clone() {
             let (conn, uid) = (submission.conn, submission.spec.uid.clone());
             self.submissions.remove(id);
-            return self.reject_unless_known(conn, uid, false, reason);
+            return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
         let cancelled_with = submission.depends_on(DependencyState::Cancelled);
         let cancelled = cancelled_with.is_some();
@@ -324,13 +330,13 @@
         let record = JobRecord::new(spec.clone(), self.now.wall, &self.settings.name);
         let mut end = record.finish("cancelled", self.now.wall);
         end.cancelled_with = Some(root.to_owned());
-        accept_guards(&spec.uid).set(finished_key(&spec.uid), &end)
+        acceptance_preconditions(&spec.uid).set(finished_key(&spec.uid), &end)
     }
 
     /// The write that accepts a job whose dependencies are live or done.
     fn store_as_live(&self, submission: &Submission) -> Transaction {
         let uid = &submission.spec.uid;
-        let mut txn = accept_guards(uid);
+        let mut txn = acceptance_preconditions(uid);
         // Of this write and a cancellation in between, the later one sees the other and fails.
         for (dependency, state) in &submission.dependencies {
             if *state == DependencyState::Live {
@@ -341,7 +347,12 @@
     }
 
     /// Handles the reply to the write that accepts a job with dependencies.
-    pub(super) fn dependent_job_accepted(&mut self, id: u64, cancelled: bool, reply: Reply) {
+    pub(super) fn handle_accept_dependent_job_reply(
+        &mut self,
+        id: u64,
+        cancelled: bool,
+        reply: Reply,
+    ) {
         let Some(mut submission) = self.submissions.remove(id) else {
             return;
         };
@@ -351,7 +362,7 @@
                 self.respond(conn, 201, &json!({"uid": uid, "status": "cancelled"}));
             }
             Reply::Applied { .. } => {
-                self.client_requests.add_progress(&uid);
+                self.client_requests.mark_job_live(&uid);
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { failed } => {
@@ -362,19 +373,25 @@
                     submission.attempts += 1;
                     self.read_dependencies(submission);
                 } else {
-                    self.state_unavailable(conn);
+                    self.handle_state_unavailable(conn);
                 }
             }
             Reply::Refused(reason) => {
                 log::error!("the state service refused a job job={uid} reason={reason}");
                 self.respond_error(conn, &ApiError::StateRefusedJob);
             }
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
     /// Reads whether a submission to be refused repeats one that was accepted.
-    fn reject_unless_known(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reason: String) {
+    fn reject_unless_resubmitted(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        over: bool,
+        reason: String,
+    ) {
         let key = job_key(&uid, over);
         let request = StateRequest::ReadBeforeRejecting {
             conn,
@@ -386,7 +403,7 @@
     }
 
     /// Refuses a submission, unless it repeats one that was accepted.
-    pub(super) fn reject_submission(
+    pub(super) fn handle_resubmission_check_reply(
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
@@ -396,9 +413,9 @@
     ) {
         match reply {
             Reply::Item(item) => self.respond_stored_state(conn, &uid, over, item),
-            Reply::Absent if !over => self.reject_unless_known(conn, uid, true, reason),
+            Reply::Absent if !over => self.reject_unless_resubmitted(conn, uid, true, reason),
             Reply::Absent => self.respond_error(conn, &ApiError::JobRejected(reason)),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -197,12 +197,12 @@
             );
             net.set_shed(load.shed_level(), load.retry_after(0));
             load.connection_pressure = net.connection_pressure();
-            node.set_loop_load(load);
+            node.update_load(load);
             now = before;
             let outputs = node.tick(now);
             net.set_isolated(node.is_isolated());
             took(&mut spent, LoopPhase::Internal);
-            node.note_tick_cost(clock.now().steady - before.steady);
+            node.record_tick_duration(clock.now().steady - before.steady);
             if let Some(reason) = node.fatal_error() {
                 return Err(reason.to_owned());
             }
--- a/tests/suite/overload.rs
+++ b/tests/suite/overload.rs
@@ -174,7 +174,7 @@
     w.slow_reports = true;
     for _ in 0..30 {
         for node in w.nodes.iter_mut().flatten() {
-            node.set_loop_load(load);
+            node.update_load(load);
         }
         w.run(1.0);
     }
--- a/tests/suite/world.rs
+++ b/tests/suite/world.rs
@@ -292,7 +292,7 @@
         let slow = &mut self.desks[n];
         slow.lanes.set_now(now);
         slow.load.note_wait(now, slow.lanes.longest_wait());
-        node.set_loop_load(slow.load);
+        node.update_load(slow.load);
         // A user who has given up is gone; a worker too.
         slow.busy_until = slow.busy_until.max(now.saturating_sub(20_000));
         let mut refused = Vec::new();
