--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -32,8 +32,8 @@
                 self.replica_read_answered(generation, read, reply);
             }
             StateRequest::ReadSchemaVersion => self.schema_version_read(reply),
-            StateRequest::ReadMachineTypes => self.machine_types_read(reply),
-            StateRequest::StoreMachineTypes => self.machine_types_stored(&reply),
+            StateRequest::ReadMachineTypes => self.handle_machine_types_read(reply),
+            StateRequest::StoreMachineTypes => self.handle_machine_types_write(&reply),
             StateRequest::ReadOwnSchemaSupport => self.register_schema_support(reply),
             StateRequest::WriteOwnSchemaSupport => self.schema_support_registered(&reply),
             request => match request.term() {
@@ -80,13 +80,15 @@
             } => {
                 self.polled_job_read(conn, uid, finished, reply);
             }
-            StateRequest::CheckFinished { polls } => self.polls_checked(polls, &reply),
+            StateRequest::CheckFinished { polls } => {
+                self.handle_finished_check_reply(polls, &reply)
+            }
             StateRequest::ReadForCancel {
                 conn,
                 uid,
                 finished,
                 retries,
-            } => self.cancel_job_read(conn, uid, finished, retries, reply),
+            } => self.handle_read_for_cancel_reply(conn, uid, finished, retries, reply),
             StateRequest::WriteCancel {
                 conn,
                 uid,
@@ -104,17 +106,17 @@
                 submission,
                 uid,
                 finished,
-            } => self.dependency_read(submission, uid, finished, reply),
+            } => self.handle_dependency_reply(submission, uid, finished, reply),
             StateRequest::AcceptDependentJob {
                 submission,
                 cancelled,
-            } => self.dependent_job_accepted(submission, cancelled, reply),
+            } => self.handle_accept_dependent_job_reply(submission, cancelled, reply),
             StateRequest::ReadBeforeRejecting {
                 conn,
                 uid,
                 finished,
                 reason,
-            } => self.reject_submission(conn, uid, finished, reason, reply),
+            } => self.handle_resubmission_check_reply(conn, uid, finished, reason, reply),
             // Of the other requests only whether they are answered matters, which the state client
             // notes.
             _ => {}
@@ -154,7 +156,7 @@
     fn job_accepted(&mut self, conn: ConnId, uid: Arc<str>, reply: Reply) {
         match reply {
             Reply::Applied { .. } => {
-                self.client_requests.add_progress(&uid);
+                self.client_requests.mark_job_live(&uid);
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { .. } => self.read_existing_job(conn, uid, false),
@@ -162,7 +164,7 @@
                 log::error!("the state service refused a job job={uid} reason={reason}");
                 self.respond_error(conn, &ApiError::StateRefusedJob);
             }
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -184,7 +186,7 @@
                 self.respond_stored_state(conn, &uid, finished, item);
             }
             Reply::Absent if !finished => self.read_existing_job(conn, uid, true),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -199,7 +201,7 @@
                 self.respond_error(conn, &ApiError::NoSuchJob);
             }
             Reply::Absent => self.read_for_poll(conn, uid, true),
-            _ => self.poll_failed(conn, &uid),
+            _ => self.handle_failed_poll(conn, &uid),
         }
     }
 
@@ -226,7 +228,7 @@
             Reply::Conflict { .. } if retries < CANCEL_RETRIES_MAX => {
                 self.read_for_cancel(conn, uid, false, retries + 1);
             }
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
@@ -250,7 +252,7 @@
             ),
             Reply::Absent if !finished => self.read_inspected_job(conn, uid, true),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
-            _ => self.state_unavailable(conn),
+            _ => self.handle_state_unavailable(conn),
         }
     }
 
