--- a/benches/actors.rs
+++ b/benches/actors.rs
@@ -133,7 +133,7 @@
             let report: Heartbeat = serde_json::from_slice(&body).expect("a report");
             let digest = Some(row(&body).digest.get());
             w.workers
-                .take_heartbeat(w.now, report, digest, None, &mut w.table);
+                .handle_heartbeat(w.now, report, digest, None, &mut w.table);
             if let Some(m) = w.workers.machines.get_mut(&name(n)) {
                 m.registered = true;
             }
@@ -178,7 +178,7 @@
         sequence += 1;
         black_box(
             w.workers
-                .take_repeated_heartbeat(w.now, &row, None, &mut w.table),
+                .handle_repeated_heartbeat(w.now, &row, None, &mut w.table),
         )
     });
 }
@@ -196,7 +196,7 @@
         at = (at + 7919) % machines;
         sequence += 1;
         let report: Heartbeat = serde_json::from_slice(&text).expect("a report");
-        let answer = w.workers.take_heartbeat(w.now, report, None, None, &mut w.table);
+        let answer = w.workers.handle_heartbeat(w.now, report, None, None, &mut w.table);
         w.workers.events.clear();
         black_box(answer)
     });
@@ -279,7 +279,7 @@
                 }
             }
             for r in reports {
-                workers.take_heartbeat(2 * SECOND, r, None, None, &mut table);
+                workers.handle_heartbeat(2 * SECOND, r, None, None, &mut table);
             }
             black_box(workers.events.len())
         });
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -93,7 +93,7 @@
 /// it is not known.
 pub fn free_resources(machine: &Machine, types: &[MachineType]) -> Option<Resources> {
     let mut free = type_of(machine, types).map(Resources::of)?;
-    for (_, entry) in machine.held_tasks() {
+    for (_, entry) in machine.tasks_holding_resources() {
         free.subtract(entry.spec.as_ref()?);
     }
     Some(free)
@@ -159,7 +159,7 @@
             cores: machine_type.map_or(0.0, |t| t.cores),
             ..Self::default()
         };
-        for (_, entry) in machine.held_tasks() {
+        for (_, entry) in machine.tasks_holding_resources() {
             // Beside a task of unknown size nothing may be placed.
             let Some(spec) = &entry.spec else {
                 free = None;
@@ -232,7 +232,7 @@
         silence: Micros,
         whole: bool,
     ) {
-        let mut changed = workers.take_changed();
+        let mut changed = workers.take_changed_machines();
         if now >= self.rebuild_at {
             self.rebuild_at = now + REBUILD_INTERVAL;
             self.rebuild(now, workers, types, silence);
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -375,7 +375,7 @@
             self.handle_cloud_events(events);
         } else if let Some(purpose) = self.peer_links.take_call(ticket) {
             self.handle_peer_reply(purpose, outcome);
-        } else if self.worker_probe.answered(ticket) {
+        } else if self.worker_probe.finish_probe(ticket) {
             self.forward_probe_answer(outcome);
         } else if self.heartbeat_batch.owns(ticket) {
             self.heartbeat_batch_answered(ticket, outcome);
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -159,7 +159,7 @@
         json!({"type": machine.machine_type, "zone": machine.zone, "spot": machine.spot, "session": machine.agent_epoch,
                "heard": machine.term_confirmed, "in_doubt": machine.is_in_doubt(), "silent_ms": silent_ms,
                "quarantined": machine.quarantined_until > now,
-               "held_for": machine.unavailable_reason(now, silence_limit(&self.settings)),
+               "held_for": machine.unavailable_reason_name(now, silence_limit(&self.settings)),
                "notice": machine.reclaim_at.is_some(), "tasks": tasks})
     }
 
@@ -199,7 +199,7 @@
             "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
             "missing_for_next_format": self.leader_state.as_ref().filter(|_| !self.schema_migration.is_complete()).map(|_| self.controllers_without_support()),
             "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
-                "squared": l.workers.reconciled})),
+                "squared": l.workers.reconciliation_counts})),
             "work": self.leader_state.as_ref().map(|l| &l.accounting),
             "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
         })
@@ -213,7 +213,7 @@
         let (t, silence_limit) = (self.now.steady, silence_limit(&self.settings));
         let mut held = BTreeMap::new();
         for m in leader_state.workers.machines.values() {
-            if let Some(reason) = m.unavailable_reason(t, silence_limit) {
+            if let Some(reason) = m.unavailable_reason_name(t, silence_limit) {
                 *held.entry(reason).or_default() += 1;
             }
         }
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -121,7 +121,7 @@
             .values()
             .filter(|machine| {
                 is_silent(machine)
-                    && leader_state.workers.is_surely_empty(machine, now)
+                    && leader_state.workers.is_provably_empty(machine, now)
                     && !self.cloud.listed.contains_key(&machine.id)
             })
             .map(|machine| machine.id.clone())
@@ -129,7 +129,7 @@
         for id in &vanished {
             leader_state.registry.remove(now, id);
             log::info!("machine vanished machine={id}");
-            leader_state.workers.forget(now, id);
+            leader_state.workers.remove_vanished(now, id);
             leader_state.rented.remove(id);
         }
     }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -24,7 +24,7 @@
 use crate::seeded_hash::HashMap;
 use crate::state_client::Reply;
 use crate::task_id::TaskId;
-use crate::worker_ledger::{PROXY_PROBE_HEAD_START, WorkerLedger};
+use crate::worker_ledger::{LEADER_PROBE_DELAY, WorkerLedger};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
@@ -380,7 +380,7 @@
         leader_state.schedule.share_probes_at(if cold_start {
             now
         } else {
-            now + PROXY_PROBE_HEAD_START
+            now + LEADER_PROBE_DELAY
         });
         let machines = leader_state.workers.machines.len();
         leader_state.reconciliation =
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -17,7 +17,7 @@
     AnswerRow, Commands, FRAME_MAX, Heartbeat, HeartbeatRow, HeartbeatSummary, KIND_HEARTBEAT,
     KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, ProbeRow, SEND_FULL_HEARTBEAT,
 };
-use crate::worker_ledger::{RepeatOutcome, first_fencing_token};
+use crate::worker_ledger::{RepeatedHeartbeatOutcome, first_fencing_token};
 use serde_json::json;
 use std::net::SocketAddr;
 use zerocopy::{FromBytes, IntoBytes};
@@ -143,7 +143,7 @@
         if !leader_state.schedule.take_probe_sharing(now) {
             return;
         }
-        for (dest, rows) in leader_state.workers.share_unconfirmed(now) {
+        for (dest, rows) in leader_state.workers.assign_probes_to_peers(now) {
             for rows in rows.chunks(PROBE_ROWS_PER_FRAME) {
                 let hosts = rows.iter().map(|r| r.machine().into()).collect();
                 let body = rows.as_bytes().to_vec();
@@ -198,7 +198,7 @@
         if let Ok(heartbeat) = serde_json::from_slice::<Heartbeat>(body) {
             leader_state
                 .workers
-                .take_probe_answer(now, &heartbeat, &mut leader_state.jobs);
+                .handle_probe_answer(now, &heartbeat, &mut leader_state.jobs);
             self.apply_ledger_events();
         }
     }
@@ -529,7 +529,7 @@
             return HeartbeatOutcome::Refused;
         };
         self.cloud.booting.remove(&heartbeat.machine);
-        let commands = leader_state.workers.take_heartbeat(
+        let commands = leader_state.workers.handle_heartbeat(
             now,
             heartbeat,
             digest,
@@ -552,12 +552,12 @@
         let repeat =
             leader_state
                 .workers
-                .take_repeated_heartbeat(now, row, via, &mut leader_state.jobs);
+                .handle_repeated_heartbeat(now, row, via, &mut leader_state.jobs);
         self.apply_ledger_events();
         match repeat {
-            RepeatOutcome::Unknown => HeartbeatOutcome::Unknown,
-            RepeatOutcome::Refused => HeartbeatOutcome::Refused,
-            RepeatOutcome::Answer(commands) => HeartbeatOutcome::Commands(commands),
+            RepeatedHeartbeatOutcome::FullHeartbeatNeeded => HeartbeatOutcome::Unknown,
+            RepeatedHeartbeatOutcome::Refused => HeartbeatOutcome::Refused,
+            RepeatedHeartbeatOutcome::Answer(commands) => HeartbeatOutcome::Commands(commands),
         }
     }
 }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -96,7 +96,7 @@
             if !machine.is_usable(now, UNUSABLE_SILENCE) {
                 out += cores;
             }
-            for (_, held) in machine.held_tasks() {
+            for (_, held) in machine.tasks_holding_resources() {
                 let cores = held.spec.as_ref().map_or(0.0, |spec| spec.cores);
                 match held.state {
                     _ if held.is_stopping() => stopping += cores,
@@ -162,14 +162,14 @@
             return;
         };
         let mut stops = Vec::new();
-        for machine in leader_state.workers.noticed_machines() {
+        for machine in leader_state.workers.machines_with_reclaim_notice() {
             // A duplicate of an old heartbeat may be the first to report the notice; running tasks
             // are not stopped for that.
             let Some(until) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
                 continue;
             };
             let left = until.saturating_sub(now);
-            for ((task, attempt), held) in machine.held_tasks() {
+            for ((task, attempt), held) in machine.tasks_holding_resources() {
                 let Some(spec) = &held.spec else { continue };
                 if held.is_stopping() {
                     continue;
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -181,7 +181,7 @@
             }
             PeerCallPurpose::ProbeAssignment { hosts } => {
                 if !accepted && let Some(leader_state) = &mut self.leader_state {
-                    leader_state.workers.reclaim_probes(&hosts);
+                    leader_state.workers.take_back_probes(&hosts);
                 }
             }
             PeerCallPurpose::BatchSupport { incarnation } => {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -484,7 +484,7 @@
                     job: number,
                     index: *index,
                 };
-                workers.allow_acknowledge(machine, task, *attempt);
+                workers.allow_acknowledgement(machine, task, *attempt);
             }
             waits
         });
@@ -498,7 +498,7 @@
                 job: job.number,
                 index: *index,
             };
-            workers.allow_acknowledge(machine, task, *attempt);
+            workers.allow_acknowledgement(machine, task, *attempt);
         }
     }
 }
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -127,7 +127,7 @@
 
 /// Logs what the reconciliation with the machines has found.
 fn log_reconciliation(leader_state: &LeaderState, now: Micros) {
-    let reconciled = leader_state.workers.reconciled;
+    let reconciled = leader_state.workers.reconciliation_counts;
     log::info!(
         "reconciled term={} stored={} confirmed={} machines={} agreed={} finished_meanwhile={} missing={} \
          unknown={} stale={} commands={} commands_per_s_max={} elapsed_ms={}",
@@ -493,7 +493,7 @@
             leader_state.reconciliation_logged = true;
             log_reconciliation(leader_state, now);
         }
-        let started_at = leader_state.workers.first_start_at;
+        let started_at = leader_state.workers.first_direct_start_at;
         let failover = &mut leader_state.failover;
         if failover.logged {
             return;
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -18,7 +18,7 @@
 use crate::state_client::{Reply, WatchEvent};
 use crate::task_id::TaskId;
 use crate::worker_ledger::{
-    LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WITHDRAWN, WorkerLedger,
+    LEASE_EXPIRED, MACHINE_GONE, NOT_ON_MACHINE, TaskEvent, TaskEventKind, WITHDRAWN, WorkerLedger,
 };
 
 /// Pause of a job whose tasks fail everywhere, doubled with each further trial, and its limits.
@@ -252,17 +252,17 @@
                     job.remove_placement(event.task.index, &event.machine, 0);
                 }
             }
-            TaskEventKind::Lost { why } => Self::attempt_lost(leader_state, now, event, why),
+            TaskEventKind::Lost { reason } => Self::attempt_lost(leader_state, now, event, reason),
             TaskEventKind::Ended {
                 cause,
                 saved,
-                ran,
+                run_time,
                 stop,
             } => {
                 let end = AttemptEnd {
                     cause,
                     saved: *saved,
-                    ran: *ran,
+                    ran: *run_time,
                     stop: *stop,
                 };
                 Self::attempt_ended(leader_state, now, event, &end);
@@ -275,7 +275,7 @@
     fn acknowledge_attempt(leader_state: &mut LeaderState, event: &TaskEvent) {
         leader_state
             .workers
-            .allow_acknowledge(&event.machine, event.task, event.attempt);
+            .allow_acknowledgement(&event.machine, event.task, event.attempt);
     }
 
     /// An attempt is on its machine; one that is not needed is stopped.
@@ -314,7 +314,7 @@
         let outcome = match why {
             _ if event.attempt == 0 || job.cancelled || job.done.contains(&index) => None,
             LEASE_EXPIRED => Some(TaskOutcome::LeaseExpired),
-            MACHINE_GONE | NOT_THERE => Some(TaskOutcome::MachineLost),
+            MACHINE_GONE | NOT_ON_MACHINE => Some(TaskOutcome::MachineLost),
             _ => None,
         };
         if let Some(outcome) = outcome {
@@ -401,7 +401,7 @@
         if job.stored_done.contains(&index) || fault_injected(InjectedFault::ReapedEarly) {
             leader_state
                 .workers
-                .allow_acknowledge(&event.machine, event.task, event.attempt);
+                .allow_acknowledgement(&event.machine, event.task, event.attempt);
         } else {
             job.unacknowledged
                 .push((event.machine.clone(), index, event.attempt));
@@ -462,7 +462,7 @@
             return;
         };
         leader_state.scheduler.note_completion(now, job.spec.cores);
-        machine.error_streak = 0;
+        machine.failures_since_success = 0;
         machine.failed_jobs.clear();
         if ran == 0 || job.checkpointed_tasks.contains(&event.task.index) {
             return;
@@ -506,7 +506,7 @@
             }
             for id in job.errors.keys() {
                 if let Some(machine) = leader_state.workers.machines.get_mut(id) {
-                    machine.forgive_failure(event.task.job, now);
+                    machine.retract_failures_of_job(event.task.job, now);
                 }
             }
         } else if let Some(machine) = leader_state.workers.machines.get_mut(&event.machine)
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -363,7 +363,7 @@
         self.by_number.get(&number).is_some_and(|job| job.cancelled)
     }
 
-    fn number_unknown_job(&mut self, uid: &str) -> u32 {
+    fn number_for_unknown_job(&mut self, uid: &str) -> u32 {
         if let Some(number) = self.unknown_numbers.get(uid) {
             return *number;
         }
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -182,7 +182,7 @@
         let held = workers
             .machines
             .values()
-            .flat_map(|machine| machine.held_tasks());
+            .flat_map(|machine| machine.tasks_holding_resources());
         let specs = held.filter_map(|(_, entry)| entry.spec.as_ref());
         let rates = specs.map(|spec| spec.cores / to_secs(self.expected_run(spec)));
         self.completion_rate = rates.sum();
--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -186,7 +186,7 @@
             return None;
         }
         let mut ends = Vec::new();
-        for (_, entry) in machine.held_tasks() {
+        for (_, entry) in machine.tasks_holding_resources() {
             let held = entry.spec.as_ref()?;
             free.subtract(held);
             let run = self.expected_run(held);
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -356,7 +356,7 @@
     let mut cores: HashMap<Arc<str>, f64> = HashMap::default();
     for machine in workers.machines.values() {
         let stopping = machine
-            .held_tasks()
+            .tasks_holding_resources()
             .filter(|(_, entry)| entry.is_stopping());
         for spec in stopping.filter_map(|(_, entry)| entry.spec.as_ref()) {
             *cores.entry(spec.team.clone()).or_default() += spec.cores;
--- a/src/scheduler/preempt/prospects.rs
+++ b/src/scheduler/preempt/prospects.rs
@@ -108,7 +108,7 @@
                 continue;
             }
             let mut candidates: Vec<PreemptionCandidate> = machine
-                .held_tasks()
+                .tasks_holding_resources()
                 .filter_map(|((task, attempt), entry)| {
                     // Jobs that are being cancelled have no tier.
                     let tier = *tiers.get(&task.job)?;
@@ -269,7 +269,7 @@
     fn assumed_start(&self, entry: &TaskEntry) -> Option<Micros> {
         let since = entry.running_since?;
         let before = match &entry.spec {
-            Some(spec) if !entry.started_here() => self.expected_run(spec) / 2,
+            Some(spec) if !entry.started_by_this_leader() => self.expected_run(spec) / 2,
             _ => 0,
         };
         Some(since.saturating_sub(before))
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -80,7 +80,7 @@
         return ImageStatus::Cached;
     }
     let is_fetching = machine.tasks.values().any(|entry| {
-        let held = entry.spec.as_ref().filter(|_| entry.occupies());
+        let held = entry.spec.as_ref().filter(|_| entry.holds_resources());
         held.is_some_and(|held| held.image == spec.image)
     });
     if is_fetching {
@@ -92,7 +92,10 @@
 
 /// How many different images the machine is fetching.
 fn fetches_in_flight(machine: &Machine) -> usize {
-    let entries = machine.tasks.values().filter(|entry| entry.occupies());
+    let entries = machine
+        .tasks
+        .values()
+        .filter(|entry| entry.holds_resources());
     let mut images: Vec<&str> = entries
         .filter_map(|entry| entry.spec.as_ref().map(|spec| &*spec.image))
         .filter(|image| !machine.images.contains_key(*image))
@@ -199,7 +202,7 @@
         | (ImagePreference::CachedLast, ImageStatus::Cached) => 2,
     };
     Some(MachineRank {
-        has_failures: job.errors.contains_key(&machine.id) || machine.error_streak > 0,
+        has_failures: job.errors.contains_key(&machine.id) || machine.failures_since_success > 0,
         is_slow: machine.slowness > SLOW_MACHINE_FACTOR,
         image,
         fetches_in_flight: if status == ImageStatus::Missing {
@@ -207,6 +210,6 @@
         } else {
             0
         },
-        run_time_bias: machine.run_time_bias_step(),
+        run_time_bias: machine.quantized_run_time_bias(),
     })
 }
--- a/src/task_id.rs
+++ b/src/task_id.rs
@@ -22,5 +22,5 @@
     fn is_cancelled(&self, job: u32) -> bool;
     /// The number of a job that is finished or not known, so that its reported tasks can be tracked. The same
     /// for each call with this id; a new one for the first.
-    fn number_unknown_job(&mut self, uid: &str) -> u32;
+    fn number_for_unknown_job(&mut self, uid: &str) -> u32;
 }
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -44,13 +44,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub use departed::{Departed, REMEMBERED_FOR};
+pub use departed::{DEPARTED_RETENTION, DepartedMachines};
 use direct_calls::DirectPathHealth;
-pub use event::{LEASE_EXPIRED, MACHINE_GONE, NOT_THERE, TaskEvent, TaskEventKind, WITHDRAWN};
-pub use heartbeat::RepeatOutcome;
+pub use event::{LEASE_EXPIRED, MACHINE_GONE, NOT_ON_MACHINE, TaskEvent, TaskEventKind, WITHDRAWN};
+pub use heartbeat::RepeatedHeartbeatOutcome;
 use machine::FENCE_COUNTER_BITS;
 pub use machine::{Machine, UnavailableReason};
-pub use probes::PROXY_PROBE_HEAD_START;
+pub use probes::LEADER_PROBE_DELAY;
 use task_entry::StopRequest;
 pub use task_entry::{TaskEntry, TaskState};
 
@@ -76,9 +76,9 @@
     heartbeat_period: Micros,
     /// The machines by name.
     pub machines: BTreeMap<Arc<str>, Machine>,
-    tombstones: Departed<()>,
+    tombstones: DepartedMachines<()>,
     /// Agent epoch and sequence number of the last heartbeat of machines that vanished.
-    last_observed: Departed<(u64, u64)>,
+    last_observed: DepartedMachines<(u64, u64)>,
     calls: HashMap<Ticket, Arc<str>>,
     /// The other controllers.
     peers: Vec<SocketAddr>,
@@ -93,7 +93,7 @@
     /// Machines that may have something to be sent now.
     machines_to_send: BTreeSet<Arc<str>>,
     /// Machines whose provider announced that it will reclaim them.
-    noticed_machines: BTreeSet<Arc<str>>,
+    machines_with_reclaim_notice: BTreeSet<Arc<str>>,
     /// Machines whose stored entry may have to be written (again).
     registry_updates: BTreeSet<Arc<str>>,
     next_scan_at: Micros,
@@ -103,11 +103,11 @@
     /// When anything was last received from any machine.
     pub any_machine_seen_at: Micros,
     /// How the stored placements agreed with the first heartbeats of the machines under this term.
-    pub reconciled: ReconciliationCounts,
+    pub reconciliation_counts: ReconciliationCounts,
     /// Commands sent in direct calls.
     pub commands_sent: u64,
     /// When the first start of this term was sent in a direct call.
-    pub first_start_at: Option<Micros>,
+    pub first_direct_start_at: Option<Micros>,
     /// How far this node is behind its inputs.
     pub loop_lag: Micros,
     /// How many machines `send_due` has examined: the cost of an event must not grow with the fleet.
@@ -130,8 +130,8 @@
             lease_duration,
             heartbeat_period,
             machines: BTreeMap::new(),
-            tombstones: Departed::new("machines returned or failed"),
-            last_observed: Departed::new("machines gone without a word"),
+            tombstones: DepartedMachines::new("machines returned or failed"),
+            last_observed: DepartedMachines::new("machines gone without a word"),
             calls: HashMap::default(),
             peers,
             // An attempt number is used once: the term makes it new, the count keeps it so.
@@ -144,35 +144,35 @@
             events: Vec::new(),
             changed_machines: BTreeSet::new(),
             machines_to_send: BTreeSet::new(),
-            noticed_machines: BTreeSet::new(),
+            machines_with_reclaim_notice: BTreeSet::new(),
             registry_updates: BTreeSet::new(),
             next_scan_at: now,
             scan_position: None,
             direct_path: DirectPathHealth::default(),
             any_machine_seen_at: now,
-            reconciled: ReconciliationCounts::default(),
+            reconciliation_counts: ReconciliationCounts::default(),
             commands_sent: 0,
-            first_start_at: None,
+            first_direct_start_at: None,
             loop_lag: 0,
             machines_examined: 0,
         }
     }
 
     /// The machines whose tasks or availability changed since the last call.
-    pub fn take_changed(&mut self) -> BTreeSet<Arc<str>> {
+    pub fn take_changed_machines(&mut self) -> BTreeSet<Arc<str>> {
         std::mem::take(&mut self.changed_machines)
     }
 
     /// Machines whose provider announced that it will reclaim them, as far as they are still there.
-    pub fn noticed_machines(&mut self) -> impl Iterator<Item = &Machine> {
+    pub fn machines_with_reclaim_notice(&mut self) -> impl Iterator<Item = &Machine> {
         let machines = &self.machines;
         let is_noticed = |id: &Arc<str>| {
             machines
                 .get(id)
                 .is_some_and(|machine| machine.reclaim_at.is_some())
         };
-        self.noticed_machines.retain(is_noticed);
-        self.noticed_machines
+        self.machines_with_reclaim_notice.retain(is_noticed);
+        self.machines_with_reclaim_notice
             .iter()
             .filter_map(|id| machines.get(id))
     }
@@ -349,21 +349,21 @@
     }
 
     /// Allows the worker to drop its record of an attempt: its end is stored or of no use.
-    pub fn allow_acknowledge(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
+    pub fn allow_acknowledgement(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
         if let Some(entry) = self.entry_mut(machine, task, attempt) {
             entry.acknowledge_allowed = true;
         }
     }
 
     /// Removes all attempts of a machine, with an event for each that was not known to have ended.
-    fn clear_machine(&mut self, id: &Arc<str>, why: &'static str) {
+    fn clear_machine(&mut self, id: &Arc<str>, reason: &'static str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
         self.changed_machines.insert(id.clone());
         for ((task, attempt), entry) in std::mem::take(&mut machine.tasks) {
-            if entry.occupies() {
-                self.events.push(TaskEvent::lost(id, task, attempt, why));
+            if entry.holds_resources() {
+                self.events.push(TaskEvent::lost(id, task, attempt, reason));
             }
         }
     }
@@ -378,7 +378,7 @@
 
     /// A machine that nobody lists and whose lease is long over leaves the ledger. Were it to come back, it
     /// would be taken as a new one, by what it says from now on.
-    pub fn forget(&mut self, now: Micros, id: &Arc<str>) {
+    pub fn remove_vanished(&mut self, now: Micros, id: &Arc<str>) {
         let fleet = self.machines.len();
         if let Some(machine) = self.machines.remove(id) {
             let last = (machine.agent_epoch, machine.sequence);
--- a/src/worker_ledger/departed.rs
+++ b/src/worker_ledger/departed.rs
@@ -1,7 +1,7 @@
 //! Memory of machines that left the ledger, so that late copies of their heartbeats, and what delayed commands
 //! lead to, are recognized.
 //!
-//! [`Departed`] drops nothing while messages of a machine can still arrive: it keeps each for [`REMEMBERED_FOR`],
+//! [`DepartedMachines`] drops nothing while messages of a machine can still arrive: it keeps each for [`DEPARTED_RETENTION`],
 //! and a number of them that follows the size of the fleet at any age. Its bound is far above what a fleet loses in
 //! that time, and is logged when reached.
 
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 /// Messages can arrive minutes late; no machine is forgotten before this time.
-pub const REMEMBERED_FOR: Micros = 3600 * SECOND;
+pub const DEPARTED_RETENTION: Micros = 3600 * SECOND;
 /// This many machines are remembered at any age, or as many as the largest fleet had.
 const REMEMBERED_MIN: usize = 4096;
 /// The most machines remembered: this many, or [`REMEMBERED_FLEETS_MAX`] times the largest fleet.
@@ -28,7 +28,7 @@
 }
 
 /// The machines that left, by name, each with the last that is known of it.
-pub struct Departed<T> {
+pub struct DepartedMachines<T> {
     /// What they are called in the log.
     kind: &'static str,
     known: HashMap<Arc<str>, Departure<T>>,
@@ -40,7 +40,7 @@
     pub dropped_early: u64,
 }
 
-impl<T> Departed<T> {
+impl<T> DepartedMachines<T> {
     /// An empty memory; `kind` is what its machines are called in the log.
     pub fn new(kind: &'static str) -> Self {
         Self {
@@ -68,10 +68,10 @@
         self.largest_fleet = self.largest_fleet.max(fleet);
         self.order.push_back((now, id.clone()));
         self.known.insert(id, Departure { at: now, last });
-        self.forget(now);
+        self.evict(now);
     }
 
-    fn forget(&mut self, now: Micros) {
+    fn evict(&mut self, now: Micros) {
         let kept_at_any_age = REMEMBERED_MIN.max(self.largest_fleet);
         let bound = REMEMBERED_MAX.max(REMEMBERED_FLEETS_MAX * self.largest_fleet);
         while let Some((at, id)) = self.order.front() {
@@ -79,7 +79,7 @@
                 .known
                 .get(id)
                 .is_some_and(|departure| departure.at == *at);
-            let is_old = now > *at + REMEMBERED_FOR;
+            let is_old = now > *at + DEPARTED_RETENTION;
             let is_full = self.order.len() > bound;
             if is_latest && !(is_full || is_old && self.known.len() > kept_at_any_age) {
                 return;
@@ -106,7 +106,7 @@
         log::error!(
             "more than {bound} {} within {} min: the oldest are forgotten, {} so far",
             self.kind,
-            REMEMBERED_FOR / (60 * SECOND),
+            DEPARTED_RETENTION / (60 * SECOND),
             self.dropped_early
         );
     }
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -133,7 +133,7 @@
             starts = machine.collect_starts(delivery, &mut commands);
         }
         if !starts.is_empty() {
-            self.first_start_at = self.first_start_at.or(Some(now));
+            self.first_direct_start_at = self.first_direct_start_at.or(Some(now));
         }
         if commands.is_empty() && !is_probe {
             return None;
@@ -345,7 +345,7 @@
     /// Whether something may have to be sent to it now.
     fn has_due_command(&self, now: Micros, elected_at: Micros, period: Micros) -> bool {
         let is_open = |entry: &TaskEntry| {
-            entry.state == TaskState::Ready || (entry.stop.is_some() && entry.occupies())
+            entry.state == TaskState::Ready || (entry.stop.is_some() && entry.holds_resources())
         };
         self.in_flight.is_none()
             && !self.releasing
--- a/src/worker_ledger/event.rs
+++ b/src/worker_ledger/event.rs
@@ -14,7 +14,7 @@
 /// Why an attempt was lost: its machine was released or has failed.
 pub const MACHINE_GONE: &str = "its machine is gone";
 /// Why an attempt was lost: its machine has proven that it does not hold it.
-pub const NOT_THERE: &str = "not on its machine";
+pub const NOT_ON_MACHINE: &str = "not on its machine";
 /// Why an attempt was lost: its placement was taken back before its start was sent.
 pub const WITHDRAWN: &str = "withdrawn";
 
@@ -33,12 +33,17 @@
 
 impl TaskEvent {
     /// The event that an attempt is surely not on the machine, or never was.
-    pub(super) fn lost(machine: &Arc<str>, task: TaskId, attempt: u64, why: &'static str) -> Self {
+    pub(super) fn lost(
+        machine: &Arc<str>,
+        task: TaskId,
+        attempt: u64,
+        reason: &'static str,
+    ) -> Self {
         Self {
             machine: machine.clone(),
             task,
             attempt,
-            kind: TaskEventKind::Lost { why },
+            kind: TaskEventKind::Lost { reason },
         }
     }
 }
@@ -59,13 +64,13 @@
         /// Whether its state was saved.
         saved: bool,
         /// How long it ran; 0 unless this leader started it.
-        ran: Micros,
+        run_time: Micros,
         /// Why it was commanded to stop, if it was.
         stop: Option<StopReason>,
     },
     /// The attempt is surely not there any more, or never was.
     Lost {
         /// What is the proof of it.
-        why: &'static str,
+        reason: &'static str,
     },
 }
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -20,16 +20,16 @@
 
 /// What a heartbeat that repeats an earlier one leads to.
 #[derive(Debug)]
-pub enum RepeatOutcome {
+pub enum RepeatedHeartbeatOutcome {
     /// The earlier heartbeat is not held here: the sender must send this one whole.
-    Unknown,
+    FullHeartbeatNeeded,
     /// This worker must get no successful answer.
     Refused,
     /// The answer for the worker.
     Answer(Commands),
 }
 
-impl RepeatOutcome {
+impl RepeatedHeartbeatOutcome {
     fn from_answer(answer: Option<Commands>) -> Self {
         answer.map_or(Self::Refused, Self::Answer)
     }
@@ -40,7 +40,7 @@
     /// must get no successful answer: its machine is gone, or its silence is stored. `digest`, if
     /// there is one, is of the heartbeat without its sequence number; `via` is the peer that
     /// forwarded it.
-    pub fn take_heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         now: Micros,
         heartbeat: Heartbeat,
@@ -89,7 +89,7 @@
     }
 
     /// Takes what a worker answered to a peer that probed it for this leader.
-    pub fn take_probe_answer(
+    pub fn handle_probe_answer(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
@@ -105,29 +105,31 @@
     /// what that heartbeat would lead to now, without being parsed again; where the machine is
     /// settled its tasks are not even looked through. At any fleet size most heartbeats are of
     /// that kind.
-    pub fn take_repeated_heartbeat(
+    pub fn handle_repeated_heartbeat(
         &mut self,
         now: Micros,
         row: &HeartbeatRow,
         via: Option<SocketAddr>,
         jobs: &mut dyn JobDirectory,
-    ) -> RepeatOutcome {
+    ) -> RepeatedHeartbeatOutcome {
         if self.is_tombstoned(row.machine()) {
-            return RepeatOutcome::Refused;
+            return RepeatedHeartbeatOutcome::Refused;
         }
         let term_base = self.base_fencing_token();
         let silence = self.silence_timeout();
         let digest = row.digest.get();
         let Some(machine) = self.machines.get_mut(row.machine()) else {
-            return RepeatOutcome::Unknown;
+            return RepeatedHeartbeatOutcome::FullHeartbeatNeeded;
         };
         if fault_injected(InjectedFault::FormerDigestsTrusted) && machine.last_heartbeat.is_none() {
             let assumed = machine.idle_heartbeat(row, term_base);
-            return RepeatOutcome::from_answer(self.take_heartbeat(now, assumed, None, via, jobs));
+            return RepeatedHeartbeatOutcome::from_answer(
+                self.handle_heartbeat(now, assumed, None, via, jobs),
+            );
         }
         let is_held = |held: &DigestedHeartbeat| held.digest == digest;
         if !machine.last_heartbeat.as_ref().is_some_and(is_held) {
-            return RepeatOutcome::Unknown;
+            return RepeatedHeartbeatOutcome::FullHeartbeatNeeded;
         }
         if machine.is_settled_repeat(row) {
             if now >= machine.last_seen_at + silence {
@@ -136,18 +138,24 @@
             }
             self.any_machine_seen_at = now;
             machine.record_settled_repeat(now, row.sequence.get(), via);
-            return RepeatOutcome::Answer(Commands {
+            return RepeatedHeartbeatOutcome::Answer(Commands {
                 fencing_token: term_base + machine.fence_counter,
                 agent_epoch: None,
                 commands: Vec::new(),
             });
         }
         let Some(held) = machine.last_heartbeat.take() else {
-            return RepeatOutcome::Unknown;
+            return RepeatedHeartbeatOutcome::FullHeartbeatNeeded;
         };
         let mut heartbeat = *held.heartbeat;
         heartbeat.sequence = row.sequence.get();
-        RepeatOutcome::from_answer(self.take_heartbeat(now, heartbeat, Some(digest), via, jobs))
+        RepeatedHeartbeatOutcome::from_answer(self.handle_heartbeat(
+            now,
+            heartbeat,
+            Some(digest),
+            via,
+            jobs,
+        ))
     }
 
     /// Takes a heartbeat into the ledger; false when a newer one was taken before.
@@ -173,7 +181,7 @@
         machine.record_contact(now, heartbeat, source);
         self.any_machine_seen_at = now;
         if machine.reclaim_at.is_some() {
-            self.noticed_machines.insert(id.clone());
+            self.machines_with_reclaim_notice.insert(id.clone());
         }
         let first_under_term = machine.confirm_fencing_token(heartbeat.fencing_token, term_base);
         self.highest_fence_counter = self.highest_fence_counter.max(machine.fence_counter);
@@ -188,8 +196,11 @@
         let events = &mut self.events;
         let reported = machine.apply_reported_tasks(now, heartbeat, unproven, jobs, events);
         if unproven {
-            self.reconciled
-                .reconcile(&stored, &reported.newly_reported, first_under_term);
+            self.reconciliation_counts.reconcile(
+                &stored,
+                &reported.newly_reported,
+                first_under_term,
+            );
         }
         events.extend(reported.confirmed_placements.iter().map(|task| TaskEvent {
             machine: id.clone(),
@@ -199,7 +210,7 @@
         }));
         machine.drop_unlisted_tasks(heartbeat, source, &reported.listed, agent_restarted, events);
 
-        if machine.held_tasks().next().is_some() {
+        if machine.tasks_holding_resources().next().is_some() {
             machine.idle_since = now;
         }
         let is_new = !had_address && !machine.registered;
@@ -304,7 +315,7 @@
         self.last_answered_at = now;
         self.heartbeat_proxy = proxy;
         self.use_proxy &= proxy.is_some();
-        if self.held_tasks().next().is_some() {
+        if self.tasks_holding_resources().next().is_some() {
             self.idle_since = now;
         }
     }
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -166,7 +166,7 @@
     }
 
     /// Whether nothing can run there: the ledger holds nothing of it, and its lease is surely over.
-    pub fn is_surely_empty(&self, machine: &Machine, now: Micros) -> bool {
+    pub fn is_provably_empty(&self, machine: &Machine, now: Micros) -> bool {
         machine.tasks.is_empty() && now > self.lease_end(machine)
     }
 }
--- a/src/worker_ledger/machine.rs
+++ b/src/worker_ledger/machine.rs
@@ -2,7 +2,7 @@
 //! may be, on it.
 //!
 //! A machine decides nothing by itself: it answers what it may be used for
-//! ([`Machine::unavailable_reason`]) and keeps its record of failures (quarantine). What heartbeats,
+//! ([`Machine::unavailable_reason_name`]) and keeps its record of failures (quarantine). What heartbeats,
 //! commands, probes and leases change in it stands in the sibling module of that name.
 
 use super::event::TaskEvent;
@@ -189,11 +189,11 @@
     /// [`Machine::is_in_doubt`].
     pub(super) in_doubt: bool,
     /// A peer probes it; until then it is not probed from here.
-    pub(super) probed_elsewhere_until: Micros,
+    pub(super) probed_by_peer_until: Micros,
     /// Images in its cache: when each was last used, and its size in GB.
     pub images: BTreeMap<Arc<str>, (Micros, f64)>,
     /// Failures since a task last ended well here.
-    pub error_streak: u32,
+    pub failures_since_success: u32,
     /// The jobs that those failures were of.
     pub failed_jobs: BTreeSet<u32>,
     /// It gets no new tasks until then.
@@ -251,9 +251,9 @@
             proxied_at: 0,
             heartbeat_proxy: None,
             in_doubt: false,
-            probed_elsewhere_until: 0,
+            probed_by_peer_until: 0,
             images: BTreeMap::new(),
-            error_streak: 0,
+            failures_since_success: 0,
             failed_jobs: BTreeSet::new(),
             quarantined_until: 0,
             quarantines: 0,
@@ -293,15 +293,15 @@
 
     /// How much longer than elsewhere tasks run here, in steps of 4 %, shrunk towards none
     /// while little is known.
-    pub fn run_time_bias_step(&self) -> i32 {
+    pub fn quantized_run_time_bias(&self) -> i32 {
         let (sum, count) = self.run_time_bias;
         (sum / (count + RUN_TIME_BIAS_PRIOR) / RUN_TIME_BIAS_STEP).round() as i32
     }
 
     /// What takes resources here, each task once: a stored placement stands for its task until the
     /// machine has shown this term's token, unless an earlier heartbeat has listed an attempt of it.
-    pub fn held_tasks(&self) -> impl Iterator<Item = (&(TaskId, u64), &TaskEntry)> {
-        let held = |(_, entry): &(&(TaskId, u64), &TaskEntry)| entry.occupies();
+    pub fn tasks_holding_resources(&self) -> impl Iterator<Item = (&(TaskId, u64), &TaskEntry)> {
+        let held = |(_, entry): &(&(TaskId, u64), &TaskEntry)| entry.holds_resources();
         self.tasks.iter().filter(held).filter(|((task, _), entry)| {
             entry.state != TaskState::Unconfirmed || !self.has_known_attempt(*task)
         })
@@ -309,7 +309,7 @@
 
     /// Whether an attempt of the task is known to take resources here.
     fn has_known_attempt(&self, task: TaskId) -> bool {
-        self.attempts(task).any(TaskEntry::occupies)
+        self.attempts(task).any(TaskEntry::holds_resources)
     }
 
     /// The known attempts of the task here, without the entry of a stored placement.
@@ -323,20 +323,21 @@
         &mut self,
         task: TaskId,
         attempt: u64,
-        why: &'static str,
+        reason: &'static str,
         events: &mut Vec<TaskEvent>,
     ) {
         self.tasks.remove(&(task, attempt));
-        events.push(TaskEvent::lost(&self.id, task, attempt, why));
+        events.push(TaskEvent::lost(&self.id, task, attempt, reason));
     }
 
     /// Records that a task failed here. Two jobs that fail in a row, or two tasks of a job that
     /// does well elsewhere (`does_well`), quarantine the machine, longer each time; true when it
     /// was quarantined now.
     pub fn record_failure(&mut self, job: u32, does_well: bool, now: Micros) -> bool {
-        self.error_streak += 1;
+        self.failures_since_success += 1;
         self.failed_jobs.insert(job);
-        let is_proven = self.failed_jobs.len() >= 2 || (does_well && self.error_streak >= 2);
+        let is_proven =
+            self.failed_jobs.len() >= 2 || (does_well && self.failures_since_success >= 2);
         // The failure of a task that was started before the quarantine says nothing new.
         if !is_proven || self.quarantined_until > now {
             return false;
@@ -349,12 +350,12 @@
 
     /// Takes back the failures of a job that turned out to fail everywhere. Without this, each job
     /// submitted with a mistake took machines out of use for minutes.
-    pub fn forgive_failure(&mut self, job: u32, now: Micros) {
+    pub fn retract_failures_of_job(&mut self, job: u32, now: Micros) {
         if !self.failed_jobs.remove(&job) {
             return;
         }
         if self.failed_jobs.is_empty() {
-            self.error_streak = 0;
+            self.failures_since_success = 0;
         }
         if self.failed_jobs.len() < 2 && self.quarantined_until > now {
             self.quarantined_until = now;
@@ -365,17 +366,17 @@
     /// Whether it may take new tasks now. `silence` is the time after which a machine that sends
     /// nothing counts as unresponsive.
     pub fn is_usable(&self, now: Micros, silence: Micros) -> bool {
-        self.unavailable_reason(now, silence).is_none()
+        self.unavailable_reason_name(now, silence).is_none()
     }
 
-    /// The name of [`Machine::unavailability`], as operators see it.
-    pub fn unavailable_reason(&self, now: Micros, silence: Micros) -> Option<&'static str> {
-        self.unavailability(now, silence)
+    /// The name of [`Machine::unavailable_reason`], as operators see it.
+    pub fn unavailable_reason_name(&self, now: Micros, silence: Micros) -> Option<&'static str> {
+        self.unavailable_reason(now, silence)
             .map(UnavailableReason::as_str)
     }
 
     /// Why it may take no new tasks now; `None` when it may.
-    pub fn unavailability(&self, now: Micros, silence: Micros) -> Option<UnavailableReason> {
+    pub fn unavailable_reason(&self, now: Micros, silence: Micros) -> Option<UnavailableReason> {
         if !self.term_confirmed {
             Some(UnavailableReason::Unconfirmed)
         } else if self.silence_stored {
--- a/src/worker_ledger/probes.rs
+++ b/src/worker_ledger/probes.rs
@@ -15,7 +15,7 @@
 
 /// After a failover the controllers that forward workers' heartbeats probe those; the leader
 /// probes the rest after this time.
-pub const PROXY_PROBE_HEAD_START: Micros = SECOND;
+pub const LEADER_PROBE_DELAY: Micros = SECOND;
 
 /// A controller that was assigned machines to probe gets this long before the leader probes them
 /// itself.
@@ -41,7 +41,7 @@
 impl WorkerLedger {
     /// Shares the machines that have not reported under this term among the controllers, by
     /// rendezvous hashing; returns what each peer is to probe. The rest stays here.
-    pub fn share_unconfirmed(&mut self, now: Micros) -> BTreeMap<SocketAddr, Vec<ProbeRow>> {
+    pub fn assign_probes_to_peers(&mut self, now: Micros) -> BTreeMap<SocketAddr, Vec<ProbeRow>> {
         let mut shares: BTreeMap<SocketAddr, Vec<ProbeRow>> = BTreeMap::new();
         let (term_base, peers) = (self.base_fencing_token(), &self.peers);
         for (id, machine) in &mut self.machines {
@@ -63,7 +63,7 @@
                 continue;
             };
             if let Some(row) = ProbeRow::new(term_base + machine.fence_counter, id, address) {
-                machine.probed_elsewhere_until = now + PROBE_ASSIGNMENT_TTL;
+                machine.probed_by_peer_until = now + PROBE_ASSIGNMENT_TTL;
                 shares.entry(*peer).or_default().push(row);
             }
         }
@@ -72,10 +72,10 @@
 
     /// Takes back machines that a controller was assigned and does not probe: they are probed from
     /// here.
-    pub fn reclaim_probes(&mut self, assigned: &[Arc<str>]) {
+    pub fn take_back_probes(&mut self, assigned: &[Arc<str>]) {
         for id in assigned {
             if let Some(machine) = self.machines.get_mut(id) {
-                machine.probed_elsewhere_until = 0;
+                machine.probed_by_peer_until = 0;
             }
         }
     }
@@ -99,8 +99,8 @@
         // Most are probed by the controllers that forward their heartbeats; were the leader to probe them
         // too, those that no controller is assigned would have to wait.
         let probed_here_from = self
-            .probed_elsewhere_until
-            .max(elected_at + PROXY_PROBE_HEAD_START);
+            .probed_by_peer_until
+            .max(elected_at + LEADER_PROBE_DELAY);
         let is_unconfirmed = !self.term_confirmed && now >= probed_here_from;
         let is_overdue = silence > period * PROBE_SILENCE_TENTHS / 10;
         (is_unconfirmed || self.in_doubt || is_overdue) && now >= self.last_call_at + PROBE_INTERVAL
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -4,7 +4,7 @@
 //! entry that the heartbeat does not list is removed only on proof that its start can no longer
 //! be executed: that a task is missing from one heartbeat proves nothing by itself.
 
-use super::event::{LEASE_EXPIRED, NOT_THERE, TaskEvent, TaskEventKind};
+use super::event::{LEASE_EXPIRED, NOT_ON_MACHINE, TaskEvent, TaskEventKind};
 use super::machine::{HeartbeatSource, Machine};
 use super::task_entry::{Delivery, StopRequest, TaskEntry, TaskState};
 use crate::accounting::StopReason;
@@ -114,10 +114,10 @@
         agent_restarted: bool,
         events: &mut Vec<TaskEvent>,
     ) {
-        let why = if agent_restarted {
+        let reason = if agent_restarted {
             LEASE_EXPIRED
         } else {
-            NOT_THERE
+            NOT_ON_MACHINE
         };
         let (machine, term_confirmed) = (&self.id, self.term_confirmed);
         self.tasks.retain(|(task, attempt), entry| {
@@ -126,8 +126,8 @@
             {
                 return true;
             }
-            if entry.occupies() {
-                events.push(TaskEvent::lost(machine, *task, *attempt, why));
+            if entry.holds_resources() {
+                events.push(TaskEvent::lost(machine, *task, *attempt, reason));
             }
             false
         });
@@ -143,7 +143,7 @@
     let (uid, index) = split_task_name(&reported.task)?;
     let (job, spec) = match jobs.find(uid) {
         Some((job, spec)) => (job, Some(spec)),
-        None => (jobs.number_unknown_job(uid), None),
+        None => (jobs.number_for_unknown_job(uid), None),
     };
     Some((uid, TaskId { job, index }, spec))
 }
--- a/src/worker_ledger/task_entry.rs
+++ b/src/worker_ledger/task_entry.rs
@@ -128,7 +128,7 @@
     pub added_at: Micros,
     /// When a heartbeat first listed it as running, by this leader's clock.
     pub running_since: Option<Micros>,
-    started_here: bool,
+    started_by_this_leader: bool,
 }
 
 impl TaskEntry {
@@ -146,7 +146,7 @@
             acknowledge_sent_at: None,
             added_at: now,
             running_since: None,
-            started_here: state == TaskState::Planned,
+            started_by_this_leader: state == TaskState::Planned,
         }
     }
 
@@ -168,13 +168,13 @@
             acknowledge_sent_at: None,
             added_at: now,
             running_since: None,
-            started_here: false,
+            started_by_this_leader: false,
         }
     }
 
     /// Whether this leader started it, so that its run time is known.
-    pub fn started_here(&self) -> bool {
-        self.started_here
+    pub fn started_by_this_leader(&self) -> bool {
+        self.started_by_this_leader
     }
 
     /// Whether a stop has been requested.
@@ -185,11 +185,11 @@
     /// Whether a start or a first stop waits to be sent.
     pub(super) fn has_unsent_command(&self) -> bool {
         self.state == TaskState::Ready
-            || (self.occupies() && self.stop.is_some_and(|stop| stop.sent_at.is_none()))
+            || (self.holds_resources() && self.stop.is_some_and(|stop| stop.sent_at.is_none()))
     }
 
     /// Whether it takes resources on its machine.
-    pub fn occupies(&self) -> bool {
+    pub fn holds_resources(&self) -> bool {
         self.state != TaskState::Ended
     }
 
@@ -251,7 +251,7 @@
 
     fn record_end(&mut self, now: Micros, reported: &ReportedTask) -> TaskEventKind {
         self.state = TaskState::Ended;
-        let started_at = self.running_since.filter(|_| self.started_here);
+        let started_at = self.running_since.filter(|_| self.started_by_this_leader);
         let cause = reported
             .cause
             .clone()
@@ -264,7 +264,7 @@
         TaskEventKind::Ended {
             cause,
             saved: reported.saved == Some(true),
-            ran: started_at.map_or(0, |started_at| now.saturating_sub(started_at)),
+            run_time: started_at.map_or(0, |started_at| now.saturating_sub(started_at)),
             stop: self.stop.map(|stop| stop.reason),
         }
     }
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -218,7 +218,7 @@
     }
 
     /// Records that a call has ended. Returns whether it was a probe.
-    pub fn answered(&mut self, ticket: Ticket) -> bool {
+    pub fn finish_probe(&mut self, ticket: Ticket) -> bool {
         self.in_flight.remove(&ticket)
     }
 }
--- a/src/worker_probe/tests.rs
+++ b/src/worker_probe/tests.rs
@@ -24,7 +24,7 @@
             else {
                 panic!("a call")
             };
-            assert!(probe.answered(ticket) && !probe.answered(ticket));
+            assert!(probe.finish_probe(ticket) && !probe.finish_probe(ticket));
             sent.push((dest, String::from_utf8(body).expect("a text")));
         }
         now += BATCH_INTERVAL;
--- a/tests/suite/copies.rs
+++ b/tests/suite/copies.rs
@@ -194,17 +194,17 @@
     };
     let old = 1 << 24;
     let held = |w: &WorkerLedger| -> Vec<(u64, TaskState)> {
-        let held = w.machines[&id].held_tasks();
+        let held = w.machines[&id].tasks_holding_resources();
         held.map(|((_, attempt), e)| (*attempt, e.state)).collect()
     };
-    workers.take_heartbeat(now, said(1, old, "running"), None, None, &mut table);
+    workers.handle_heartbeat(now, said(1, old, "running"), None, None, &mut table);
     assert_eq!(held(&workers), [(7, TaskState::Running)]);
-    workers.take_heartbeat(now, said(2, old, "ended"), None, None, &mut table);
+    workers.handle_heartbeat(now, said(2, old, "ended"), None, None, &mut table);
     assert_eq!(
         held(&workers),
         [(0, TaskState::Unconfirmed)],
         "another attempt may be there"
     );
-    workers.take_heartbeat(now, said(3, 2 * old, "ended"), None, None, &mut table);
+    workers.handle_heartbeat(now, said(3, 2 * old, "ended"), None, None, &mut table);
     assert_eq!(held(&workers), [], "its word under this term");
 }
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -12,7 +12,7 @@
     AnswerRow, FRAME_MAX, Heartbeat, HeartbeatSummary, JobSpec, KIND_ADMIN_QUERY,
     KIND_HEARTBEAT_BATCH, Priority, ProgressRow, SEND_FULL_HEARTBEAT,
 };
-use dewramp::worker_ledger::{Departed, REMEMBERED_FOR, WorkerLedger};
+use dewramp::worker_ledger::{DEPARTED_RETENTION, DepartedMachines, WorkerLedger};
 use dewramp::worker_probe::WorkerProbe;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -35,7 +35,7 @@
 fn heard_fleet(table: &mut JobTable) -> WorkerLedger {
     let mut workers = WorkerLedger::new(1, SECOND, LEASE, 3 * SECOND, Vec::new());
     for n in 0..FLEET {
-        workers.take_heartbeat(SECOND, said(&name(n), 9), None, None, table);
+        workers.handle_heartbeat(SECOND, said(&name(n), 9), None, None, table);
     }
     assert_eq!(workers.machines.len(), FLEET);
     workers
@@ -48,10 +48,10 @@
     let mut workers = heard_fleet(&mut table);
     let gone = 200 * SECOND;
     for n in 0..FLEET {
-        workers.forget(gone, &name(n));
+        workers.remove_vanished(gone, &name(n));
     }
     for n in 0..FLEET {
-        workers.take_heartbeat(gone + SECOND, said(&name(n), 8), None, None, &mut table);
+        workers.handle_heartbeat(gone + SECOND, said(&name(n), 8), None, None, &mut table);
         let machine = &workers.machines[&name(n)];
         assert_eq!((machine.agent_epoch, machine.sequence), (3, 9), "{n}");
         assert!(
@@ -72,11 +72,12 @@
     // And as many again that were rented in their place.
     for n in FLEET..2 * FLEET {
         let later = 300 * SECOND;
-        workers.take_heartbeat(later, said(&name(n), 9), None, None, &mut table);
+        workers.handle_heartbeat(later, said(&name(n), 9), None, None, &mut table);
         workers.add_tombstone(later, &name(n));
     }
     for n in 0..2 * FLEET {
-        let copy = workers.take_heartbeat(400 * SECOND, said(&name(n), 8), None, None, &mut table);
+        let copy =
+            workers.handle_heartbeat(400 * SECOND, said(&name(n), 8), None, None, &mut table);
         assert!(copy.is_none() && workers.is_tombstoned(&name(n)), "{n}");
     }
 }
@@ -84,12 +85,12 @@
 /// What is old goes once there is more than a fleet of it; what is young goes only at the bound, which is counted.
 #[test]
 fn departed_machines_are_forgotten_by_age_and_the_bound_is_told() {
-    let mut departed: Departed<u64> = Departed::new("machines");
+    let mut departed: DepartedMachines<u64> = DepartedMachines::new("machines");
     for n in 0..2 * FLEET {
         departed.insert(SECOND, FLEET, name(n), n as u64);
     }
     assert!(departed.contains(&name(0)));
-    let old = 2 * SECOND + REMEMBERED_FOR;
+    let old = 2 * SECOND + DEPARTED_RETENTION;
     departed.insert(old, FLEET, name(2 * FLEET), 0);
     assert!(!departed.contains(&name(FLEET)), "old, and a fleet is left");
     assert!(departed.contains(&name(FLEET + 1)));
@@ -391,7 +392,7 @@
         asked += out.len();
         for output in out {
             if let Output::Call { ticket, .. } = output {
-                hearing.answered(ticket);
+                hearing.finish_probe(ticket);
             }
         }
     }
--- a/tests/suite/load.rs
+++ b/tests/suite/load.rs
@@ -12,7 +12,7 @@
 use dewramp::wire::{
     AnswerRow, Heartbeat, HeartbeatRow, HeartbeatSummary, JobSpec, MachineType, SEND_FULL_HEARTBEAT,
 };
-use dewramp::worker_ledger::{RepeatOutcome, WorkerLedger};
+use dewramp::worker_ledger::{RepeatedHeartbeatOutcome, WorkerLedger};
 use serde_json::{Value, json};
 use std::sync::Arc;
 use zerocopy::{FromBytes, IntoBytes};
@@ -89,12 +89,12 @@
             let parts = json!([{"part": "wk-1/0", "try": 5, "status": status, "cause": "done"}]);
             let first = report(1, parts.clone());
             let digest = Some(row(&first).digest.get());
-            w.take_heartbeat(SECOND, parsed(&first), digest, None, &mut table);
+            w.handle_heartbeat(SECOND, parsed(&first), digest, None, &mut table);
             let shown = table.by_number[&job].spec.clone();
             let mut tally = 2;
             match case {
                 1 => w.stop_task(&id, key, 5, 0.0, StopReason::Preempted),
-                2 => w.allow_acknowledge(&id, key, 5),
+                2 => w.allow_acknowledgement(&id, key, 5),
                 3 => {
                     let attempt = w.new_attempt();
                     w.machines.get_mut(&id).unwrap().registered = true;
@@ -117,12 +117,14 @@
             let again = report(tally, parts);
             let now = 4 * SECOND;
             let answer = if by_row {
-                match w.take_repeated_heartbeat(now, &row(&again), None, &mut table) {
-                    RepeatOutcome::Answer(orders) => serde_json::to_string(&orders).unwrap(),
+                match w.handle_repeated_heartbeat(now, &row(&again), None, &mut table) {
+                    RepeatedHeartbeatOutcome::Answer(orders) => {
+                        serde_json::to_string(&orders).unwrap()
+                    }
                     other => format!("{other:?}"),
                 }
             } else {
-                match w.take_heartbeat(now, parsed(&again), digest, None, &mut table) {
+                match w.handle_heartbeat(now, parsed(&again), digest, None, &mut table) {
                     Some(orders) => serde_json::to_string(&orders).unwrap(),
                     None => "Refused".to_owned(),
                 }
@@ -147,7 +149,7 @@
             let body = json!({"host": format!("m-{n:06}"), "addr": format!("10.1.{}.{}:9000", n / 200, n % 200 + 1),
                               "build": "small", "paddock": "a", "stint": 1, "tally": 1, "baton": 1 << 24,
                               "parts": []});
-            w.take_heartbeat(
+            w.handle_heartbeat(
                 from,
                 parsed(body.to_string().as_bytes()),
                 None,
@@ -185,8 +187,11 @@
     let mut table = JobTable::default();
     let mut w = WorkerLedger::new(1, SECOND, 30 * SECOND, 3 * SECOND, Vec::new());
     let body = report(4, json!([]));
-    let repeat = w.take_repeated_heartbeat(SECOND, &row(&body), None, &mut table);
-    assert!(matches!(repeat, RepeatOutcome::Unknown));
+    let repeat = w.handle_repeated_heartbeat(SECOND, &row(&body), None, &mut table);
+    assert!(matches!(
+        repeat,
+        RepeatedHeartbeatOutcome::FullHeartbeatNeeded
+    ));
 
     let mut desk = HeartbeatBatch::default();
     let answer = |status: u16, slot: u32, token: u64| {
@@ -251,7 +256,7 @@
     let job = table.add(&JobRecord::new(spec, 0, "n-1"), 1);
     let spec = table.by_number[&job].spec.clone();
     let mut w = WorkerLedger::new(1, SECOND, 30 * SECOND, 3 * SECOND, Vec::new());
-    w.take_heartbeat(
+    w.handle_heartbeat(
         SECOND,
         parsed(&report(1, json!([]))),
         None,
--- a/tests/suite/recovery.rs
+++ b/tests/suite/recovery.rs
@@ -139,7 +139,7 @@
         );
         workers.add_registered_machine(id.into(), &addr, "small", "a", false, 0);
     }
-    let shares = workers.share_unconfirmed(SECOND);
+    let shares = workers.assign_probes_to_peers(SECOND);
     let mut named: Vec<&str> = shares.values().flatten().map(|r| r.machine()).collect();
     let all = named.len();
     named.sort_unstable();
@@ -165,6 +165,6 @@
     };
     assert_eq!(probed(&mut workers, 2 * SECOND, 5), 1_000 - all);
     let given: Vec<Arc<str>> = named.iter().map(|n| (*n).into()).collect();
-    workers.reclaim_probes(&given[..50]);
+    workers.take_back_probes(&given[..50]);
     assert_eq!(probed(&mut workers, 3 * SECOND + 250 * MILLISECOND, 1), 50);
 }
--- a/tests/suite/rules.rs
+++ b/tests/suite/rules.rs
@@ -540,7 +540,7 @@
     };
     let first = 1 << 24;
     workers
-        .take_heartbeat(SECOND, report(1, first), None, None, &mut table)
+        .handle_heartbeat(SECOND, report(1, first), None, None, &mut table)
         .expect("answered");
     let id: Arc<str> = "m-1".into();
     workers.machines.get_mut(&id).unwrap().registered = true;
@@ -555,13 +555,13 @@
         "the start goes out directly"
     );
     workers.handle_outcome(3 * SECOND, tickets, &Outcome::Lost, &mut table);
-    workers.take_heartbeat(4 * SECOND, report(2, first), None, None, &mut table);
+    workers.handle_heartbeat(4 * SECOND, report(2, first), None, None, &mut table);
     assert!(
         workers.events.is_empty(),
         "the start may yet be executed: {:?}",
         workers.events
     );
-    workers.take_heartbeat(7 * SECOND, report(3, first + 1), None, None, &mut table);
+    workers.handle_heartbeat(7 * SECOND, report(3, first + 1), None, None, &mut table);
     assert!(matches!(
         &workers.events[..],
         [TaskEvent {
