--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -96,7 +96,7 @@
             if !machine.is_usable(now, UNUSABLE_SILENCE) {
                 unusable += cores;
             }
-            for (_, entry) in machine.held_tasks() {
+            for (_, entry) in machine.tasks_holding_resources() {
                 let cores = entry.spec.as_ref().map_or(0.0, |spec| spec.cores);
                 match entry.state {
                     _ if entry.is_stopping() => stopping += cores,
@@ -162,14 +162,14 @@
             return;
         };
         let mut stops = Vec::new();
-        for machine in leader_state.workers.noticed_machines() {
+        for machine in leader_state.workers.machines_with_reclaim_notice() {
             // A duplicate of an old heartbeat may be the first to report the notice. Tasks are not
             // stopped because of it until the machine has confirmed the term.
             let Some(reclaim_at) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
                 continue;
             };
             let time_left = reclaim_at.saturating_sub(now);
-            for ((task, attempt), entry) in machine.held_tasks() {
+            for ((task, attempt), entry) in machine.tasks_holding_resources() {
                 let Some(spec) = &entry.spec else { continue };
                 if entry.is_stopping() {
                     continue;
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -499,7 +499,7 @@
                     job: number,
                     index: *index,
                 };
-                workers.allow_acknowledge(machine, task, *attempt);
+                workers.allow_acknowledgement(machine, task, *attempt);
             }
             waits
         });
@@ -513,7 +513,7 @@
                 job: job.number,
                 index: *index,
             };
-            workers.allow_acknowledge(machine, task, *attempt);
+            workers.allow_acknowledgement(machine, task, *attempt);
         }
     }
 }
