--- a/src/controller.rs
+++ b/src/controller.rs
@@ -177,7 +177,7 @@
                 "load shedding changed level={level} lag_ms={lag_ms}"
             );
         }
-        self.election.note_pause(self.now.steady, load.lag());
+        self.election.record_pause(self.now.steady, load.lag());
         self.load = load;
         if load.lag() > OVERLOAD_LAG || load.connection_pressure != ConnectionPressure::Low {
             self.overloaded_until = self.now.steady + OVERLOADED_FOR;
@@ -225,10 +225,10 @@
         let now = self.now.steady;
         self.leader_state.as_ref().is_some_and(|leader_state| {
             leader_state.load.is_none()
-                && self.election.is_valid(now)
+                && self.election.has_valid_lease(now)
                 && leader_state
                     .cancellation_freshness
-                    .is_fresh(now, self.election.valid_since())
+                    .is_fresh(now, self.election.lease_valid_since())
         })
     }
 
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -177,7 +177,7 @@
             "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
             "booting": self.cloud.booting.len(),
             "types": self.cloud.types.len(),
-            "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
+            "may_act_for_ms": self.election.lease_time_left(t) / MILLISECOND,
             "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
             "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
             "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -14,12 +14,13 @@
 use crate::clock::{Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{
-    FINISHED_PREFIX, FinalState, final_body, finished_key, live_body, live_key, stopping_key,
+    FINISHED_PREFIX, FinalState, final_status_body, finished_key, live_key, live_status_body,
+    stopping_key,
 };
 use crate::jobs::Progress;
 use crate::messages::ConnId;
 use crate::schema::{self, Schema, chunk_key};
-use crate::state_client::{Item, Op, Raw, Reply, RequestPriority, Transaction};
+use crate::state_client::{KeyValue, Op, RawJson, Reply, RequestPriority, Transaction};
 use crate::wire::{
     KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
 };
@@ -322,7 +323,7 @@
             }
             if let Some((done, running)) = self.job_counts(&uid) {
                 self.client_requests.note_answer(&uid);
-                self.respond(conn, 200, &live_body(&uid, done, running));
+                self.respond(conn, 200, &live_status_body(&uid, done, running));
             } else {
                 self.read_for_poll(conn, uid, false);
             }
@@ -423,11 +424,17 @@
     }
 
     /// Answers with the state of a stored job; `over` says that the item is its final state.
-    pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
+    pub(super) fn respond_stored_state(
+        &mut self,
+        conn: ConnId,
+        uid: &str,
+        over: bool,
+        item: KeyValue,
+    ) {
         let body = if over {
             serde_json::from_str::<FinalState>(item.value.get())
                 .ok()
-                .map(|end| final_body(uid, &end))
+                .map(|end| final_status_body(uid, &end))
         } else {
             schema::decode_job(&item.value)
                 .ok()
@@ -452,16 +459,16 @@
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
+            Reply::KeyValue(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
                 self.overwrite_final_state(conn, uid, tries, &item);
             }
-            Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
-            Reply::Item(item) => match self.cancellation_of(&uid, item) {
+            Reply::KeyValue(item) if over => self.respond_stored_state(conn, &uid, true, item),
+            Reply::KeyValue(item) => match self.cancellation_of(&uid, item) {
                 Ok((txn, body)) => self.write_cancel(conn, uid, tries, body, txn),
                 Err(error) => self.respond_error(conn, &error),
             },
-            Reply::Absent if !over => self.read_for_cancel(conn, uid, true, tries),
-            Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
+            Reply::NotFound if !over => self.read_for_cancel(conn, uid, true, tries),
+            Reply::NotFound => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.state_unavailable(conn),
         }
     }
@@ -484,10 +491,10 @@
     }
 
     /// The injected fault: a final state is written over.
-    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &Item) {
+    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &KeyValue) {
         if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
             end.status = "cancelled".to_owned();
-            let body = final_body(&uid, &end);
+            let body = final_status_body(&uid, &end);
             let txn = Transaction::default().set(finished_key(&uid), &end);
             self.write_cancel(conn, uid, tries, body, txn);
         }
@@ -498,15 +505,15 @@
     /// # Errors
     /// [`ApiError::StoredJobUnreadable`], and [`ApiError::JobTooWideToCancel`] if the record has to
     /// be rewritten under smaller limits and one transaction does not hold it.
-    fn cancellation_of(&self, uid: &str, item: Item) -> Result<(Transaction, Value), ApiError> {
+    fn cancellation_of(&self, uid: &str, item: KeyValue) -> Result<(Transaction, Value), ApiError> {
         let (record, chunks) = schema::decode_job(&item.value).map_err(|error| {
-            log::error!("stored job unreadable key={} error={error}", item.path);
+            log::error!("stored job unreadable key={} error={error}", item.key);
             ApiError::StoredJobUnreadable
         })?;
         let schema = self.schema();
-        let end = record.finish("cancelled", self.now.wall);
-        let end = end.fit(schema.usable_bytes());
-        let body = final_body(uid, &end);
+        let end = record.to_final_state("cancelled", self.now.wall);
+        let end = end.truncate_to_fit(schema.usable_bytes());
+        let body = final_status_body(uid, &end);
         let mut txn = Transaction::default()
             .require_revision(live_key(uid), item.mod_revision)
             .require_revision(finished_key(uid), 0)
@@ -533,6 +540,6 @@
 }
 
 /// Whether a stored value may be written again as it is.
-pub(super) fn fits_value_limit(value: &Raw, schema: &Schema) -> bool {
+pub(super) fn fits_value_limit(value: &RawJson, schema: &Schema) -> bool {
     value.get().len() <= schema.value_bytes
 }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -82,19 +82,19 @@
         };
         leader_state.pipelines.outcome_answered(uid);
         match reply {
-            Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
+            Reply::KeyValue(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
                 Err(error) => {
                     // It proves nothing: its dependents go on waiting.
                     log::error!(
                         "stored final state unreadable key={} error={error}",
-                        item.path
+                        item.key
                     );
                     leader_state.pipelines.retry_outcome(now, uid);
                 }
             },
             // Live after all: its end will be reported.
-            Reply::Absent if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
+            Reply::NotFound if leader_state.jobs.get(uid).is_some_and(|j| !j.cancelled) => {}
             _ => leader_state.pipelines.retry_outcome(now, uid),
         }
     }
@@ -170,13 +170,16 @@
                 continue;
             }
             job.save_in_flight = true;
-            let mut end = job.record().finish("cancelled", wall);
+            let mut end = job.record().to_final_state("cancelled", wall);
             end.cancelled_with = Some(root.to_string());
             txn = txn
                 .require_revision(live_key(uid), job.mod_revision)
                 .require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
-                .set(finished_key(uid), &end.fit(schema.usable_bytes()));
+                .set(
+                    finished_key(uid),
+                    &end.truncate_to_fit(schema.usable_bytes()),
+                );
             items.push(cascade);
         }
         leader_state.cascading_cancellations = later;
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -70,7 +70,7 @@
     /// This node was elected, by a request sent at `sent`: it starts to load the leader's state.
     pub(super) fn become_leader(&mut self, term: u64, mod_revision: u64, sent: Micros) {
         log::info!("elected leader term={term}");
-        self.state.set_leading(true);
+        self.state.set_is_leader(true);
         self.cloud.reset();
         self.leader_state = Some(self.new_leader_state(term, mod_revision, sent));
         self.continue_load();
@@ -175,7 +175,7 @@
     /// Resigns if its lease is renewed but its reads of cancellations are not answered: it can't
     /// act for long, and another controller may be answered.
     pub(super) fn resign_if_cancellations_stale(&mut self) -> bool {
-        let (now, since) = (self.now.steady, self.election.valid_since());
+        let (now, since) = (self.now.steady, self.election.lease_valid_since());
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
@@ -194,7 +194,7 @@
         if let Some(leader_state) = self.leader_state.take() {
             log::info!("no longer leader term={}", leader_state.term);
         }
-        self.state.set_leading(false);
+        self.state.set_is_leader(false);
     }
 
     /// Builds the leader's state from what is stored; returns how many placements are held as
@@ -260,7 +260,7 @@
                     leader_state.schema_key_revision = item.mod_revision;
                 }
             }
-            None => self.schema_version_read(Reply::Absent),
+            None => self.schema_version_read(Reply::NotFound),
         }
     }
 
@@ -277,7 +277,7 @@
         for item in replica.registry_pages() {
             let page = leader_state
                 .registry
-                .load_page(&item.path, &item.value, item.mod_revision);
+                .load_page(&item.key, &item.value, item.mod_revision);
             let Some(entries) = page else {
                 unreadable = true;
                 continue;
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -125,11 +125,11 @@
     /// for this node to act as leader. [`Controller::is_leader`] gives everyone the same answer.
     fn refresh_cancellations(&mut self) -> bool {
         let now = self.now.steady;
-        let since = self.election.valid_since();
+        let since = self.election.lease_valid_since();
         let Some(leader_state) = &mut self.leader_state else {
             return false;
         };
-        if !self.election.is_valid(now) {
+        if !self.election.has_valid_lease(now) {
             return false;
         }
         let fresh = leader_state.cancellation_freshness.is_fresh(now, since);
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -207,14 +207,17 @@
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for request in
-            leader_state
-                .registry
-                .take_due(now, &mut leader_state.workers, &leader_state.rented)
-        {
+        for request in leader_state.registry.take_due_requests(
+            now,
+            &mut leader_state.workers,
+            &leader_state.rented,
+        ) {
             // Hundreds of machines may wait for a few changes: these are queued with those of clients.
             let priority = match request {
-                RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
+                RegistryRequest::Write {
+                    registers_machines: true,
+                    ..
+                } => RequestPriority::Client,
                 _ => RequestPriority::Leader,
             };
             let (state_request, op) = match request {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -12,11 +12,11 @@
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::election::LEADER_KEY;
 use crate::job_record::{
-    FINISHED_PREFIX, FinalState, LIVE_PREFIX, final_body, finished_key, live_key,
+    FINISHED_PREFIX, FinalState, LIVE_PREFIX, final_status_body, finished_key, live_key,
 };
 use crate::jobs::Job;
 use crate::schema::{Schema, StoredValues, chunk_key};
-use crate::state_client::{Op, Reply, RequestPriority, Transaction, raw};
+use crate::state_client::{Op, Reply, RequestPriority, Transaction, to_raw_json};
 use crate::task_id::TaskId;
 use crate::wire::Priority;
 use crate::worker_ledger::WorkerLedger;
@@ -110,8 +110,10 @@
         let record = job.record();
         let over = job.is_done();
         let values = if over {
-            let end = record.finish("done", now.wall).fit(schema.usable_bytes());
-            StoredValues::single(raw(&end))
+            let end = record
+                .to_final_state("done", now.wall)
+                .truncate_to_fit(schema.usable_bytes());
+            StoredValues::single(to_raw_json(&end))
         } else {
             schema.encode_job(&record)?
         };
@@ -161,7 +163,7 @@
     /// priority, and what only says how far a job is when budget is left over.
     pub(super) fn save_jobs(&mut self) {
         let now = self.now;
-        let spare_changes = self.state.spare_changes();
+        let spare_changes = self.state.available_changes();
         let schema = self.schema();
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -171,7 +173,7 @@
             leader_state.schedule.request_save();
             return;
         }
-        let changes = (self.state.change_rate() * CHANGE_RATE_SHARE) as usize;
+        let changes = (self.state.write_rate() * CHANGE_RATE_SHARE) as usize;
         let changes_max = schema.txn_ops.max(TRANSACTION_CHANGES_MIN);
         let limits = SaveLimits {
             changes_per_txn: changes.clamp(TRANSACTION_CHANGES_MIN, changes_max),
@@ -324,10 +326,10 @@
             Self::acknowledge_stored_ends(&mut leader_state.workers, job);
             if item.finished {
                 let uid = job.spec.uid.clone();
-                let end = job.record().finish("done", item.finished_at);
+                let end = job.record().to_final_state("done", item.finished_at);
                 log::info!("job done job={uid}");
                 self.client_requests
-                    .cache_final_state(&uid, final_body(&uid, &end));
+                    .cache_final_state(&uid, final_status_body(&uid, &end));
                 if let Some(job) = leader_state.jobs.remove(&uid) {
                     Self::stop_all_tasks(&mut leader_state.workers, &job);
                     Self::acknowledge_all_ends(&mut leader_state.workers, &job);
@@ -424,7 +426,7 @@
             return;
         };
         match reply {
-            Reply::Item(item) if !over => {
+            Reply::KeyValue(item) if !over => {
                 if let Some(job) = leader_state.jobs.get_mut(uid) {
                     job.reread_pending = false;
                     job.mod_revision = item.mod_revision;
@@ -432,21 +434,21 @@
                     job.mark_dirty(now);
                 }
             }
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 let end = match serde_json::from_str::<FinalState>(item.value.get()) {
                     Ok(end) => end,
                     Err(error) => {
                         // It proves nothing; reading it again is all that can be done.
                         log::error!(
                             "stored final state unreadable key={} error={error}",
-                            item.path
+                            item.key
                         );
                         return self.reread_job(uid.clone(), false);
                     }
                 };
                 Self::stored_end_found(leader_state, now, uid, &end);
             }
-            Reply::Absent if !over => self.reread_job(uid.clone(), true),
+            Reply::NotFound if !over => self.reread_job(uid.clone(), true),
             // Neither live nor over can't be; it is read again.
             _ => self.reread_job(uid.clone(), false),
         }
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -14,9 +14,9 @@
 use crate::job_record::{live_key, stopping_key};
 use crate::schema::{
     CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema, SchemaSupport,
-    StoredSchemaVersion, controller_key, split_chunk_key,
+    StoredSchemaVersion, controller_key, parse_chunk_key,
 };
-use crate::state_client::{Item, Op, Reply, RequestPriority, Transaction};
+use crate::state_client::{KeyValue, Op, Reply, RequestPriority, Transaction};
 
 /// Interval at which the stored schema version is read while it may still rise.
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
@@ -102,7 +102,7 @@
     /// A value refused for its size, or changes refused for their rate, show that the lower limits
     /// are in force already. Otherwise the same write would be refused again and again.
     fn apply_refused_limits(&mut self) {
-        let refused = self.state.take_refused();
+        let refused = self.state.take_refused_limits();
         let state = &self.settings.deployment.state;
         if state.next.is_none() {
             return;
@@ -127,28 +127,28 @@
     /// Handles what was read as the stored schema version.
     pub(super) fn schema_version_read(&mut self, reply: Reply) {
         match reply {
-            Reply::Item(item) => self.learn_schema_version(&item),
-            Reply::Absent => self.set_schema_version(1),
+            Reply::KeyValue(item) => self.learn_schema_version(&item),
+            Reply::NotFound => self.set_schema_version(1),
             _ => {}
         }
     }
 
     /// Takes the stored schema version.
-    pub(super) fn learn_schema_version(&mut self, item: &Item) {
+    pub(super) fn learn_schema_version(&mut self, item: &KeyValue) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
-            Ok(stored) if stored.format > SCHEMA_VERSION => {
+            Ok(stored) if stored.version > SCHEMA_VERSION => {
                 self.schema_migration.fatal_error = Some(format!(
                     "the state service holds format {}, this version knows formats up to {SCHEMA_VERSION}; \
                      start the version that the other controllers run",
-                    stored.format
+                    stored.version
                 ));
             }
-            Ok(stored) => self.set_schema_version(stored.format),
+            Ok(stored) => self.set_schema_version(stored.version),
             Err(error) => {
                 // Whatever it says, it was raised: all versions are read, the newest is written.
                 log::error!(
                     "stored schema version unreadable key={} error={error}",
-                    item.path
+                    item.key
                 );
                 self.set_schema_version(SCHEMA_VERSION);
             }
@@ -188,23 +188,24 @@
     /// Registers what this program supports, unless that is registered already.
     pub(super) fn register_schema_support(&mut self, reply: Reply) {
         let mod_revision = match reply {
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 let stored = serde_json::from_str::<SchemaSupport>(item.value.get());
                 if stored.is_ok_and(|support| {
-                    support.format == SCHEMA_VERSION && support.version == PROGRAM_VERSION
+                    support.schema_version == SCHEMA_VERSION
+                        && support.program_version == PROGRAM_VERSION
                 }) {
                     self.schema_migration.support_registered = true;
                     return;
                 }
                 item.mod_revision
             }
-            Reply::Absent => 0,
+            Reply::NotFound => 0,
             _ => return,
         };
         let key = controller_key(&self.settings.name);
         let support = SchemaSupport {
-            format: SCHEMA_VERSION,
-            version: PROGRAM_VERSION.to_owned(),
+            schema_version: SCHEMA_VERSION,
+            program_version: PROGRAM_VERSION.to_owned(),
         };
         let txn = Transaction::default()
             .require_revision(key.clone(), mod_revision)
@@ -261,14 +262,14 @@
 
     /// Handles what the controllers have registered; raises the stored version if all support it.
     pub(super) fn schema_support_read(&mut self, reply: Reply) {
-        let Reply::Items { items, .. } = reply else {
+        let Reply::KeyPage { items, .. } = reply else {
             return;
         };
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for item in items {
-            let Some(name) = item.path.strip_prefix(CONTROLLERS_PREFIX) else {
+            let Some(name) = item.key.strip_prefix(CONTROLLERS_PREFIX) else {
                 continue;
             };
             match serde_json::from_str(item.value.get()) {
@@ -276,7 +277,7 @@
                     leader_state.schema_support.insert(name.to_owned(), support);
                 }
                 Err(error) => {
-                    log::error!("schema support unreadable key={} error={error}", item.path)
+                    log::error!("schema support unreadable key={} error={error}", item.key)
                 }
             }
         }
@@ -292,7 +293,7 @@
             .set(
                 SCHEMA_VERSION_KEY,
                 &StoredSchemaVersion {
-                    format: SCHEMA_VERSION,
+                    version: SCHEMA_VERSION,
                 },
             );
         let term = leader_state.term;
@@ -314,7 +315,7 @@
             .chain([self.settings.name.as_str()]);
         let supports = |name: &str| {
             let support = leader_state.schema_support.get(name);
-            support.is_some_and(|support| support.format >= SCHEMA_VERSION)
+            support.is_some_and(|support| support.schema_version >= SCHEMA_VERSION)
         };
         all.filter(|name| !supports(name)).collect()
     }
@@ -332,7 +333,7 @@
     /// more than one transaction removes. Each deletion is guarded by the job's header, so that one
     /// that is applied late can't remove a chunk that has come into use again.
     pub(super) fn delete_orphan_chunks(&mut self, reply: Reply) {
-        let Reply::Items { items, .. } = reply else {
+        let Reply::KeyPage { items, .. } = reply else {
             return;
         };
         let deletions_max = self.schema().txn_ops;
@@ -341,12 +342,12 @@
         };
         let mut txns = Vec::new();
         for item in items {
-            let Some((uid, number)) = split_chunk_key(&item.path) else {
+            let Some((uid, number)) = parse_chunk_key(&item.key) else {
                 continue;
             };
             let txn = Transaction::default()
                 .require_revision(LEADER_KEY, leader_state.leader_key_revision)
-                .require_revision(item.path.clone(), item.mod_revision);
+                .require_revision(item.key.clone(), item.mod_revision);
             let txn = match leader_state.jobs.get(uid) {
                 Some(job)
                     if job.cancelled
@@ -361,7 +362,7 @@
                     .require_revision(live_key(uid), 0)
                     .require_revision(stopping_key(uid), 0),
             };
-            txns.push(txn.delete(item.path));
+            txns.push(txn.delete(item.key));
         }
         for txn in txns.into_iter().take(deletions_max) {
             self.state.submit(
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -246,7 +246,7 @@
         self.standby.reads_in_flight += 1;
         let op = match &want {
             ReplicaRead::Page { prefix, after } => {
-                self.standby.replica.note_page_requested(prefix);
+                self.standby.replica.mark_page_requested(prefix);
                 Op::List {
                     prefix,
                     after: after.clone(),
@@ -279,7 +279,7 @@
         match (want, reply) {
             (
                 ReplicaRead::Page { prefix, .. },
-                Reply::Items {
+                Reply::KeyPage {
                     items,
                     truncated,
                     revision,
@@ -293,12 +293,12 @@
                 }
             }
             (ReplicaRead::Page { prefix, after }, _) => {
-                standby.replica.note_page_unanswered(prefix, after);
+                standby.replica.mark_page_due(prefix, after);
             }
             (ReplicaRead::Changes { .. }, Reply::Events { events, revision }) => {
                 standby.replica.apply_changes(events, revision);
             }
-            (ReplicaRead::Changes { .. }, Reply::TooOld) => {
+            (ReplicaRead::Changes { .. }, Reply::Compacted) => {
                 self.discard_replica(ColdReason::ChangesMissing);
             }
             (ReplicaRead::Changes { .. }, Reply::Refused(reason)) => {
@@ -357,7 +357,7 @@
         let Some(leader) = standby.leader_checksum else {
             return;
         };
-        let Some(own) = standby.replica.jobs_checksum_at(leader.revision) else {
+        let Some(own) = standby.replica.live_jobs_checksum_at(leader.revision) else {
             return;
         };
         standby.leader_checksum = None;
@@ -542,7 +542,7 @@
 
     /// Falsifies one revision in the replica, for tests of what finds that; false if it is empty.
     pub fn corrupt_replica(&mut self) -> bool {
-        self.standby.replica.corrupt()
+        self.standby.replica.corrupt_one_live_job()
     }
 
     /// The state of this node's replica, for operators.
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -10,7 +10,7 @@
 use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::election::LEADER_KEY;
-use crate::state_client::{Op, Reply, Transaction, raw};
+use crate::state_client::{Op, Reply, Transaction, to_raw_json};
 use crate::wire::{MachineType, MachineTypes};
 
 /// Key of the machine types as a leader last read them from the cloud.
@@ -87,7 +87,7 @@
         if known.is_some_and(|known| same_types_ignoring_price(&known.types, &self.cloud.types)) {
             return;
         }
-        let value = raw(&MachineTypes {
+        let value = to_raw_json(&MachineTypes {
             types: self.cloud.types.clone(),
         });
         startup.next_check_at = now + MACHINE_TYPES_RETRY_INTERVAL;
@@ -115,7 +115,7 @@
         let now = self.now.steady;
         self.startup.request_in_flight = false;
         let (types, mod_revision) = match reply {
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 let types = serde_json::from_str::<MachineTypes>(item.value.get());
                 if let Err(error) = &types {
                     log::error!(
@@ -124,7 +124,7 @@
                 }
                 (types.ok(), item.mod_revision)
             }
-            Reply::Absent => (None, 0),
+            Reply::NotFound => (None, 0),
             _ => return,
         };
         if let Some(types) = &types
--- a/src/controller/state_replies.rs
+++ b/src/controller/state_replies.rs
@@ -23,8 +23,10 @@
     /// Handles the reply to a request that was sent at `sent`.
     pub(super) fn handle_state_reply(&mut self, request: StateRequest, reply: Reply, sent: Micros) {
         let now = self.now.steady;
-        if !request.waits_for_changes() && !matches!(reply, Reply::Unavailable | Reply::Lost) {
-            self.election.note_answer_time(now.saturating_sub(sent));
+        if !request.waits_for_changes()
+            && !matches!(reply, Reply::Unavailable | Reply::OutcomeUnknown)
+        {
+            self.election.record_response_time(now.saturating_sub(sent));
         }
         match request {
             StateRequest::Election(step) => self.handle_election_reply(step, reply, sent),
@@ -160,26 +162,26 @@
 
     fn existing_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
         match reply {
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 self.client_requests.note_answer(&uid);
                 self.respond_stored_state(conn, &uid, over, item);
             }
-            Reply::Absent if !over => self.read_existing_job(conn, uid, true),
+            Reply::NotFound if !over => self.read_existing_job(conn, uid, true),
             _ => self.state_unavailable(conn),
         }
     }
 
     fn polled_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
         match reply {
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 self.client_requests.note_answer(&uid);
                 self.respond_stored_state(conn, &uid, over, item);
             }
-            Reply::Absent if over => {
+            Reply::NotFound if over => {
                 self.client_requests.note_answer(&uid);
                 self.respond_error(conn, &ApiError::NoSuchJob);
             }
-            Reply::Absent => self.read_for_poll(conn, uid, true),
+            Reply::NotFound => self.read_for_poll(conn, uid, true),
             _ => self.poll_failed(conn, &uid),
         }
     }
@@ -220,13 +222,13 @@
 
     fn inspected_job_read(&mut self, conn: ConnId, uid: Arc<str>, over: bool, reply: Reply) {
         match reply {
-            Reply::Item(item) => self.respond_job_details(
+            Reply::KeyValue(item) => self.respond_job_details(
                 conn,
                 &uid,
-                json!({"key": item.path, "stamp": item.mod_revision, "record": item.value}),
+                json!({"key": item.key, "stamp": item.mod_revision, "record": item.value}),
             ),
-            Reply::Absent if !over => self.read_inspected_job(conn, uid, true),
-            Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
+            Reply::NotFound if !over => self.read_inspected_job(conn, uid, true),
+            Reply::NotFound => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.state_unavailable(conn),
         }
     }
@@ -242,9 +244,13 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state
-            .registry
-            .page_written(now, key, written, &result, &mut leader_state.workers);
+        leader_state.registry.handle_page_written(
+            now,
+            key,
+            written,
+            &result,
+            &mut leader_state.workers,
+        );
         leader_state.schedule.request_placement_by(now);
     }
 
@@ -254,11 +260,13 @@
             return;
         };
         let mod_revision = match reply {
-            Reply::Item(item) => Some(item.mod_revision),
-            Reply::Absent => Some(0),
+            Reply::KeyValue(item) => Some(item.mod_revision),
+            Reply::NotFound => Some(0),
             _ => None,
         };
-        leader_state.registry.page_read(now, key, mod_revision);
+        leader_state
+            .registry
+            .handle_page_read(now, key, mod_revision);
     }
 
     fn registry_page_deleted(&mut self, key: &str, reply: &Reply) {
@@ -268,7 +276,7 @@
         };
         leader_state
             .registry
-            .page_deleted(key, &result, &mut leader_state.workers);
+            .handle_page_deleted(key, &result, &mut leader_state.workers);
     }
 
     fn cancelled_job_forgotten(&mut self, uid: &str, reply: &Reply) {
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -11,12 +11,12 @@
 use super::{CLIENT_REQUEST_TIMEOUT, Controller};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::job_record::{FinalState, JobRecord, final_body, finished_key, live_key};
+use crate::job_record::{FinalState, JobRecord, final_status_body, finished_key, live_key};
 use crate::messages::ConnId;
 use crate::scheduler::impossible_reason;
 use crate::schema::{self, SCHEMA_VERSION, Schema};
 use crate::seeded_hash::HashMap;
-use crate::state_client::{Op, Raw, Reply, Transaction, raw};
+use crate::state_client::{Op, RawJson, Reply, Transaction, to_raw_json};
 use crate::wire::{JobKind, JobSpec, valid_uid};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -170,9 +170,9 @@
     }
 
     /// The record of a new job: one small value in the schema version that every program reads.
-    fn new_record(&self, spec: JobSpec) -> Raw {
+    fn new_record(&self, spec: JobSpec) -> RawJson {
         let record = JobRecord::new(spec, self.now.wall, &self.settings.name);
-        schema::version_1::encode_job(&record, usize::MAX).unwrap_or_else(|| raw(&()))
+        schema::version_1::encode_job(&record, usize::MAX).unwrap_or_else(|| to_raw_json(&()))
     }
 
     /// Why a job of this description can't be stored under any schema version, if so.
@@ -234,21 +234,21 @@
         };
         let mut state = DependencyState::Live;
         match reply {
-            Reply::Item(item) if !over => match schema::decode_job(&item.value) {
+            Reply::KeyValue(item) if !over => match schema::decode_job(&item.value) {
                 Ok((record, _)) if record.spec.kind == JobKind::Service => {
                     submission.rejection =
                         Some(format!("waitsOn: {uid} is a service, which is never done"));
                 }
                 Ok(_) => {}
                 Err(error) => {
-                    log::error!("stored job unreadable key={} error={error}", item.path);
+                    log::error!("stored job unreadable key={} error={error}", item.key);
                     return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
-            Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
+            Reply::KeyValue(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => {
                     self.client_requests
-                        .cache_final_state(&uid, final_body(&uid, &end));
+                        .cache_final_state(&uid, final_status_body(&uid, &end));
                     state = if end.is_done() {
                         DependencyState::Done
                     } else {
@@ -256,12 +256,12 @@
                     };
                 }
                 Err(error) => {
-                    log::error!("stored job unreadable key={} error={error}", item.path);
+                    log::error!("stored job unreadable key={} error={error}", item.key);
                     return self.abandon_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
             // Live first, then over: a job moves only in that direction.
-            Reply::Absent if !over => {
+            Reply::NotFound if !over => {
                 let key = finished_key(&uid);
                 let request = StateRequest::ReadDependency {
                     submission: id,
@@ -271,7 +271,7 @@
                 let timeout = dependency_timeout(submission.dependencies.len());
                 return self.request_state(request, Op::Get(key), timeout);
             }
-            Reply::Absent => {
+            Reply::NotFound => {
                 submission.rejection = Some(format!("waitsOn: {uid} was never accepted"));
             }
             _ => {
@@ -322,7 +322,7 @@
     /// cancelled.
     fn store_as_cancelled(&self, spec: &JobSpec, root: &str) -> Transaction {
         let record = JobRecord::new(spec.clone(), self.now.wall, &self.settings.name);
-        let mut end = record.finish("cancelled", self.now.wall);
+        let mut end = record.to_final_state("cancelled", self.now.wall);
         end.cancelled_with = Some(root.to_owned());
         accept_guards(&spec.uid).set(finished_key(&spec.uid), &end)
     }
@@ -395,9 +395,9 @@
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) => self.respond_stored_state(conn, &uid, over, item),
-            Reply::Absent if !over => self.reject_unless_known(conn, uid, true, reason),
-            Reply::Absent => self.respond_error(conn, &ApiError::JobRejected(reason)),
+            Reply::KeyValue(item) => self.respond_stored_state(conn, &uid, over, item),
+            Reply::NotFound if !over => self.reject_unless_known(conn, uid, true, reason),
+            Reply::NotFound => self.respond_error(conn, &ApiError::JobRejected(reason)),
             _ => self.state_unavailable(conn),
         }
     }
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -52,7 +52,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let with_changes = matches!(reply, Reply::Events { .. } | Reply::TooOld);
+        let with_changes = matches!(reply, Reply::Events { .. } | Reply::Compacted);
         leader_state.schedule.note_watch_answered(now, with_changes);
         if with_changes {
             self.apply_job_changes(reply, sent);
@@ -75,7 +75,7 @@
         };
         let (mut events, revision) = match reply {
             Reply::Events { events, revision } => (events, revision),
-            Reply::TooOld => {
+            Reply::Compacted => {
                 // Too much has changed unseen: everything is loaded again as by a new leader.
                 // Under a new term, since the ledger starts anew, and with it the attempt numbers
                 // and the fencing tokens: under the old one, a start still in flight could pass
@@ -93,7 +93,7 @@
         Self::track_job_revisions(leader_state, &events);
         let mut deleted = Vec::new();
         for event in &events {
-            let Some(uid) = event.path.strip_prefix(LIVE_PREFIX) else {
+            let Some(uid) = event.key.strip_prefix(LIVE_PREFIX) else {
                 continue;
             };
             if event.value.is_some() {
@@ -115,7 +115,7 @@
     /// Keeps the revisions of the live jobs' keys, and the checksum over them.
     fn track_job_revisions(leader_state: &mut LeaderState, events: &[WatchEvent]) {
         for event in events {
-            let Some(uid) = event.path.strip_prefix(LIVE_PREFIX) else {
+            let Some(uid) = event.key.strip_prefix(LIVE_PREFIX) else {
                 continue;
             };
             let old = match event.value {
@@ -125,12 +125,12 @@
                 None => leader_state.job_revisions.remove(uid),
             };
             if let Some(old) = old {
-                leader_state.jobs_checksum.toggle(&event.path, old);
+                leader_state.jobs_checksum.toggle(&event.key, old);
             }
             if event.value.is_some() {
                 leader_state
                     .jobs_checksum
-                    .toggle(&event.path, event.mod_revision);
+                    .toggle(&event.key, event.mod_revision);
             }
         }
     }
@@ -337,10 +337,10 @@
     /// Keeps how an attempt ended in the job's record.
     fn note_ending(job: &mut Job, event: &TaskEvent, cause: &str, now: Now) {
         job.note_ending(TaskEnding {
-            part: event.task.index,
+            task_index: event.task.index,
             machine: event.machine.to_string(),
             cause: cause.to_owned(),
-            at: now.wall,
+            ended_at: now.wall,
         });
     }
 
--- a/src/election.rs
+++ b/src/election.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::{MILLISECOND, Micros, SECOND, drift_lower_bound};
 use crate::fault_injection::{InjectedFault, fault_injected};
-use crate::state_client::{Item, Op, Reply, Transaction, WatchEvent};
+use crate::state_client::{KeyValue, Op, Reply, Transaction, WatchEvent};
 use serde::{Deserialize, Serialize};
 
 #[cfg(test)]
@@ -263,7 +263,7 @@
     }
 
     /// Records how long the state service took for an answer. The average rises soon and falls slowly.
-    pub fn note_answer_time(&mut self, answer_time: Micros) {
+    pub fn record_response_time(&mut self, answer_time: Micros) {
         let answer_time = answer_time as f64;
         let weight = if answer_time > self.answer_time {
             SLOWER_ANSWER_WEIGHT
@@ -274,7 +274,7 @@
     }
 
     /// Records how long an input has waited in this process.
-    pub fn note_pause(&mut self, now: Micros, waited: Micros) {
+    pub fn record_pause(&mut self, now: Micros, waited: Micros) {
         let since = now.saturating_sub(self.pause_noted_at) as f64;
         self.pause_noted_at = now;
         let aged = self.pause_time * 0.5f64.powf(since / PAUSE_HALF_LIFE as f64);
@@ -330,7 +330,7 @@
     }
 
     /// Whether this controller is the leader and no other can be.
-    pub fn is_valid(&self, now: Micros) -> bool {
+    pub fn has_valid_lease(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
             now < held.valid_until() || fault_injected(InjectedFault::AnswerPastGrant)
@@ -339,14 +339,14 @@
 
     /// Since when no other controller can have been the leader, without a break in which this one could not
     /// act. Before that time others may have decided what this controller has not learned.
-    pub fn valid_since(&self) -> Micros {
+    pub fn lease_valid_since(&self) -> Micros {
         self.leadership
             .as_ref()
             .map_or(Micros::MAX, |held| held.valid_since)
     }
 
     /// How much longer this controller may act as leader without another renewal, in microseconds.
-    pub fn valid_for(&self, now: Micros) -> Micros {
+    pub fn lease_time_left(&self, now: Micros) -> Micros {
         let held = self.leadership.as_ref();
         held.map_or(0, |held| held.valid_until().saturating_sub(now))
     }
@@ -611,7 +611,7 @@
 
     fn leader_key_read(&mut self, now: Micros, reply: Reply) -> Option<LeadershipChange> {
         self.read_in_flight = false;
-        let Reply::Items {
+        let Reply::KeyPage {
             items, revision, ..
         } = reply
         else {
@@ -620,7 +620,7 @@
         };
         self.leader_key_read = true;
         self.revision = revision;
-        let stored = items.into_iter().find(|item| item.path == LEADER_KEY);
+        let stored = items.into_iter().find(|item| item.key == LEADER_KEY);
         self.observe_leader_key(now, stored.as_ref().and_then(parse_leader_record))
     }
 
@@ -629,10 +629,10 @@
         match reply {
             Reply::Events { events, revision } => {
                 self.revision = revision;
-                let event = events.into_iter().rfind(|event| event.path == LEADER_KEY)?;
+                let event = events.into_iter().rfind(|event| event.key == LEADER_KEY)?;
                 self.observe_leader_key_event(now, event)
             }
-            Reply::TooOld => {
+            Reply::Compacted => {
                 self.leader_key_read = false;
                 None
             }
@@ -650,8 +650,8 @@
         event: WatchEvent,
     ) -> Option<LeadershipChange> {
         let stored = event.value.and_then(|value| {
-            parse_leader_record(&Item {
-                path: event.path,
+            parse_leader_record(&KeyValue {
+                key: event.key,
                 value,
                 mod_revision: event.mod_revision,
             })
@@ -674,7 +674,7 @@
         sent_at: Micros,
         requests: &mut Vec<ElectionRequest>,
     ) {
-        let Reply::Granted { lease_id } = reply else {
+        let Reply::LeaseGranted { lease_id } = reply else {
             return self.abandon_attempt(now, requests);
         };
         self.attempt_lease = Some(AttemptLease {
@@ -686,13 +686,13 @@
 
     /// The last term is known: creates the leader key and stores the next term, if neither key has changed.
     fn term_read(&mut self, now: Micros, reply: Reply, requests: &mut Vec<ElectionRequest>) {
-        let Reply::Items { items, .. } = reply else {
+        let Reply::KeyPage { items, .. } = reply else {
             return self.abandon_attempt(now, requests);
         };
         let Some(lease) = self.attempt_lease else {
             return;
         };
-        let stored = items.into_iter().find(|item| item.path == TERM_KEY);
+        let stored = items.into_iter().find(|item| item.key == TERM_KEY);
         let term_revision = stored.as_ref().map_or(0, |item| item.mod_revision);
         let last_term = stored
             .and_then(|item| serde_json::from_str::<StoredTerm>(item.value.get()).ok())
@@ -752,7 +752,7 @@
         let lapsed = now >= held.valid_until();
         let replacement = held.replacement.as_mut();
         if let Some(lease) = replacement.filter(|lease| lease.lease_id == lease_id) {
-            if matches!(reply, Reply::Done) {
+            if matches!(reply, Reply::LeaseUpdated) {
                 let until = sent_at + drift_lower_bound(lease.ttl);
                 lease.valid_until = lease.valid_until.max(until);
             }
@@ -762,20 +762,20 @@
                 return None;
             }
             match reply {
-                Reply::Done => {
+                Reply::LeaseUpdated => {
                     let until = sent_at + drift_lower_bound(self.ttl);
                     held.valid_until = held.valid_until.max(until);
                     self.next_renewal_at = now.max(sent_at + self.ttl * 2 / 5);
                 }
-                Reply::Absent => {}
+                Reply::NotFound => {}
                 _ => self.next_renewal_at = now + RENEWAL_RETRY_DELAY,
             }
         }
         match reply {
-            Reply::Done if lapsed => held.valid_since = held.valid_since.max(sent_at),
+            Reply::LeaseUpdated if lapsed => held.valid_since = held.valid_since.max(sent_at),
             // The lease has expired. If it is the replacement, the key may have expired with it; that is
             // unknown, so leadership ends.
-            Reply::Absent => {
+            Reply::NotFound => {
                 self.leadership = None;
                 self.leader_key_read = false;
                 return Some(LeadershipChange::Lost);
@@ -787,7 +787,7 @@
 
     fn lease_revoked(&mut self, now: Micros, reply: &Reply) {
         self.attempt_in_flight = false;
-        if matches!(reply, Reply::Unavailable | Reply::Lost) {
+        if matches!(reply, Reply::Unavailable | Reply::OutcomeUnknown) {
             self.retry_at = now + REVOKE_RETRY_DELAY;
         } else {
             self.leader_key_read = false;
@@ -802,7 +802,7 @@
         sent_at: Micros,
         requests: &mut Vec<ElectionRequest>,
     ) {
-        let Reply::Granted { lease_id } = *reply else {
+        let Reply::LeaseGranted { lease_id } = *reply else {
             return;
         };
         let Some(held) = &mut self.leadership else {
@@ -848,7 +848,7 @@
             }
             // It may have been applied, or may be yet: both leases are renewed, and the leader key shows
             // which one it is attached to.
-            Reply::Lost => self.leader_key_read = false,
+            Reply::OutcomeUnknown => self.leader_key_read = false,
             _ => {
                 held.replacement = None;
                 requests.push(revoke_spare_lease(lease_id));
@@ -875,7 +875,7 @@
 }
 
 /// The leader record in a stored key, with the key's revision; None where it can't be read.
-fn parse_leader_record(item: &Item) -> Option<(LeaderRecord, u64)> {
+fn parse_leader_record(item: &KeyValue) -> Option<(LeaderRecord, u64)> {
     let record = serde_json::from_str(item.value.get()).ok()?;
     Some((record, item.mod_revision))
 }
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -8,7 +8,7 @@
 /// A leader with a lease of 1.5 s, and a state service that has become slow.
 fn leader_with_slow_store() -> Election {
     let mut election = Election::new("n-1", 7, (1_500 * MILLISECOND, 3 * SECOND));
-    let no_items = || Reply::Items {
+    let no_items = || Reply::KeyPage {
         items: Vec::new(),
         truncated: false,
         revision: 1,
@@ -16,7 +16,7 @@
     election.tick(SECOND);
     election.handle_reply(SECOND, ElectionStep::ReadLeaderKey, no_items(), SECOND);
     election.tick(SECOND);
-    let granted = Reply::Granted {
+    let granted = Reply::LeaseGranted {
         lease_id: SHORT_LEASE,
     };
     election.handle_reply(SECOND, ElectionStep::GrantLease, granted, SECOND);
@@ -36,7 +36,7 @@
         })
     );
     for _ in 0..40 {
-        election.note_answer_time(300 * MILLISECOND);
+        election.record_response_time(300 * MILLISECOND);
     }
     election
 }
@@ -50,7 +50,7 @@
     });
     let ttl = requested.expect("a longer lease is requested");
     assert_eq!(ttl, 3 * SECOND);
-    let granted = Reply::Granted {
+    let granted = Reply::LeaseGranted {
         lease_id: LONG_LEASE,
     };
     let step = ElectionStep::GrantReplacementLease { ttl };
@@ -94,7 +94,7 @@
         ) && change.is_none()
     );
     assert_eq!(election.leader_key_revision(), Some(5));
-    assert!(election.is_valid(3_700 * MILLISECOND) && !election.is_valid(4 * SECOND));
+    assert!(election.has_valid_lease(3_700 * MILLISECOND) && !election.has_valid_lease(4 * SECOND));
     assert_eq!(renewed_leases(&election.tick(2 * SECOND)), [LONG_LEASE]);
 }
 
@@ -105,7 +105,8 @@
     let mut election = leader_with_slow_store();
     replace_lease(&mut election, SECOND);
     assert!(
-        election.is_valid(2_400 * MILLISECOND) && !election.is_valid(2_500 * MILLISECOND),
+        election.has_valid_lease(2_400 * MILLISECOND)
+            && !election.has_valid_lease(2_500 * MILLISECOND),
         "the end of the first lease"
     );
     election.handle_reply(
@@ -113,7 +114,7 @@
         ElectionStep::AttachReplacementLease {
             lease_id: LONG_LEASE,
         },
-        Reply::Lost,
+        Reply::OutcomeUnknown,
         SECOND,
     );
     let renewed = renewed_leases(&election.tick(2 * SECOND));
@@ -125,15 +126,18 @@
         lease_id: LONG_LEASE,
     };
     for now in [2 * SECOND, 3 * SECOND, 4 * SECOND] {
-        election.handle_reply(now, renew_short, Reply::Done, now);
+        election.handle_reply(now, renew_short, Reply::LeaseUpdated, now);
     }
-    assert!(election.is_valid(3_700 * MILLISECOND), "both are valid");
     assert!(
-        !election.is_valid(4_200 * MILLISECOND),
+        election.has_valid_lease(3_700 * MILLISECOND),
+        "both are valid"
+    );
+    assert!(
+        !election.has_valid_lease(4_200 * MILLISECOND),
         "the longer one was not renewed"
     );
-    election.handle_reply(4 * SECOND, renew_long, Reply::Done, 4 * SECOND);
-    assert!(election.is_valid(5_300 * MILLISECOND));
+    election.handle_reply(4 * SECOND, renew_long, Reply::LeaseUpdated, 4 * SECOND);
+    assert!(election.has_valid_lease(5_300 * MILLISECOND));
     // The key is read, and is attached to the longer lease.
     let record = LeaderRecord {
         node: "n-1".to_owned(),
@@ -144,10 +148,10 @@
     let change = election.observe_leader_key(4 * SECOND, Some((record, 9)));
     assert_eq!(change, None);
     assert_eq!(election.leader_key_revision(), Some(9));
-    assert!(election.is_valid(6_500 * MILLISECOND));
+    assert!(election.has_valid_lease(6_500 * MILLISECOND));
     // Had the longer lease expired, leadership would be lost.
     let mut expired = leader_with_slow_store();
     replace_lease(&mut expired, SECOND);
-    let (_, change) = expired.handle_reply(2 * SECOND, renew_long, Reply::Absent, SECOND);
+    let (_, change) = expired.handle_reply(2 * SECOND, renew_long, Reply::NotFound, SECOND);
     assert_eq!(change, Some(LeadershipChange::Lost));
 }
--- a/src/job_record.rs
+++ b/src/job_record.rs
@@ -6,7 +6,7 @@
 //! live record. A final state never changes.
 
 use crate::clock::Micros;
-use crate::state_client::raw;
+use crate::state_client::to_raw_json;
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
@@ -46,13 +46,15 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TaskEnding {
     /// Index of the task within its job.
-    pub part: u32,
+    #[serde(rename = "part")]
+    pub task_index: u32,
     /// The machine that the attempt was on.
     pub machine: String,
     /// The cause, as the worker or the leader named it.
     pub cause: String,
     /// Time of day, in microseconds.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub ended_at: Micros,
 }
 
 /// A live job as the key-value store holds it; `schema` defines its encoding.
@@ -102,8 +104,8 @@
     }
 
     /// Drops the oldest endings until the encoded state is at most `usable_bytes` long, or none is left.
-    pub fn fit(mut self, usable_bytes: usize) -> Self {
-        while raw(&self).get().len() > usable_bytes && self.endings.pop_front().is_some() {}
+    pub fn truncate_to_fit(mut self, usable_bytes: usize) -> Self {
+        while to_raw_json(&self).get().len() > usable_bytes && self.endings.pop_front().is_some() {}
         self
     }
 }
@@ -134,11 +136,11 @@
 
     /// The answer that a client gets about a live job.
     pub fn status_body(&self) -> Value {
-        live_body(&self.spec.uid, self.done_count(), self.placed_count())
+        live_status_body(&self.spec.uid, self.done_count(), self.placed_count())
     }
 
     /// The final state of this job with the given status, at this time of day.
-    pub fn finish(&self, status: &str, finished_at: Micros) -> FinalState {
+    pub fn to_final_state(&self, status: &str, finished_at: Micros) -> FinalState {
         FinalState {
             status: status.to_owned(),
             done: if status == STATUS_DONE {
@@ -162,12 +164,12 @@
 }
 
 /// The answer that a client gets about a live job with that many tasks done and placed.
-pub fn live_body(uid: &str, done: u64, running: u64) -> Value {
+pub fn live_status_body(uid: &str, done: u64, running: u64) -> Value {
     let status = if running > 0 { "running" } else { "pending" };
     json!({"uid": uid, "status": status, "done": done, "running": running})
 }
 
 /// The answer that a client gets about a finished job.
-pub fn final_body(uid: &str, state: &FinalState) -> Value {
+pub fn final_status_body(uid: &str, state: &FinalState) -> Value {
     json!({"uid": uid, "status": state.status, "done": state.done, "running": 0})
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -13,7 +13,7 @@
 use crate::job_record::{JobRecord, TaskEnding, TaskRange};
 use crate::schema::Schema;
 use crate::seeded_hash::HashMap;
-use crate::state_client::raw;
+use crate::state_client::to_raw_json;
 use crate::task_id::{JobDirectory, TaskId};
 use crate::wire::{FRAME_MAX, JobKind, JobSpec, Priority, ProgressRow};
 use rangemap::RangeSet;
@@ -130,7 +130,7 @@
         Self {
             number,
             spec: record.spec.clone(),
-            spec_bytes: raw(&record.spec).get().len(),
+            spec_bytes: to_raw_json(&record.spec).get().len(),
             accepted_at: record.accepted_at,
             accepted_by: record.accepted_by.clone(),
             mod_revision,
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -15,7 +15,7 @@
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::schema::Schema;
 use crate::seeded_hash::{HashMap, HashSet};
-use crate::state_client::Raw;
+use crate::state_client::RawJson;
 use crate::worker_ledger::{Machine, WorkerLedger};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -78,23 +78,23 @@
 
 /// A request to the key-value store.
 pub enum RegistryRequest {
-    /// Read the page under this key; the result goes to [`MachineRegistry::page_read`].
+    /// Read the page under this key; the result goes to [`MachineRegistry::handle_page_read`].
     Read(String),
-    /// Write a page; the result goes to [`MachineRegistry::page_written`].
+    /// Write a page; the result goes to [`MachineRegistry::handle_page_written`].
     Write {
         /// Key of the page.
         key: String,
         /// Precondition: the key's revision (0: absent).
         mod_revision: u64,
         /// The new value.
-        value: Raw,
+        value: RawJson,
         /// The machines in it.
         written: WrittenMachines,
         /// It has machines that are given no task before it is stored.
-        joins: bool,
+        registers_machines: bool,
     },
     /// Delete a page, of which all machines are stored in others; the result goes to
-    /// [`MachineRegistry::page_deleted`].
+    /// [`MachineRegistry::handle_page_deleted`].
     Delete {
         /// Key of the page.
         key: String,
@@ -191,7 +191,7 @@
                 .iter()
                 .map(|machine| (machine.id.clone(), machine.silent_since))
                 .collect(),
-            joins: machines.iter().any(|machine| !machine.registered),
+            registers_machines: machines.iter().any(|machine| !machine.registered),
         }))
     }
 }
@@ -228,7 +228,7 @@
 
     /// Loads a stored page at the beginning of a term. Returns the machines in it; `None` if it cannot be
     /// decoded, which is logged.
-    pub fn load_page(&mut self, key: &str, value: &Raw, mod_revision: u64) -> Option<Entries> {
+    pub fn load_page(&mut self, key: &str, value: &RawJson, mod_revision: u64) -> Option<Entries> {
         let entries = match page::decode(value) {
             Ok(entries) => entries,
             Err(error) => {
@@ -347,7 +347,7 @@
 
     /// Takes the machines that have to be registered anew from the ledger, and hands out the requests that
     /// are due.
-    pub fn take_due(
+    pub fn take_due_requests(
         &mut self,
         now: Now,
         workers: &mut WorkerLedger,
@@ -406,7 +406,7 @@
 
     /// Takes the result of [`RegistryRequest::Read`]: the key's revision (0: absent), or `None` if the read
     /// failed.
-    pub fn page_read(&mut self, now: Micros, key: &str, mod_revision: Option<u64>) {
+    pub fn handle_page_read(&mut self, now: Micros, key: &str, mod_revision: Option<u64>) {
         if let Some(page) = self.pages.get_mut(key) {
             page.in_flight = false;
             page.mod_revision = mod_revision;
@@ -415,7 +415,12 @@
     }
 
     /// Takes the result of [`RegistryRequest::Delete`].
-    pub fn page_deleted(&mut self, key: &str, result: &WriteResult, workers: &mut WorkerLedger) {
+    pub fn handle_page_deleted(
+        &mut self,
+        key: &str,
+        result: &WriteResult,
+        workers: &mut WorkerLedger,
+    ) {
         let Some(page) = self.pages.get_mut(key) else {
             return;
         };
@@ -434,7 +439,7 @@
     }
 
     /// Takes the result of [`RegistryRequest::Write`].
-    pub fn page_written(
+    pub fn handle_page_written(
         &mut self,
         now: Micros,
         key: &str,
--- a/src/registry/page.rs
+++ b/src/registry/page.rs
@@ -4,7 +4,7 @@
 use crate::schema::{
     SCHEMA_VERSION, Schema, SchemaError, compress_prefix, expand_prefix, version_1,
 };
-use crate::state_client::{Raw, raw};
+use crate::state_client::{RawJson, to_raw_json};
 use crate::worker_ledger::Machine;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,8 @@
 /// previous machine's; index of its kind; indexes of its images, separated by dots; and the silence mark, if any.
 #[derive(Serialize, Deserialize)]
 struct StoredPage {
-    format: u32,
+    #[serde(rename = "format")]
+    schema_version: u32,
     kinds: Vec<MachineKind>,
     images: Vec<Arc<str>>,
     machines: Vec<String>,
@@ -52,12 +53,12 @@
 /// # Errors
 ///
 /// If the value is of neither version, or of one newer than [`SCHEMA_VERSION`].
-pub(super) fn decode(value: &Raw) -> Result<Entries, SchemaError> {
+pub(super) fn decode(value: &RawJson) -> Result<Entries, SchemaError> {
     let Ok(page) = serde_json::from_str::<StoredPage>(value.get()) else {
         return Ok(entries_v1(serde_json::from_str(value.get())?));
     };
-    if page.format > SCHEMA_VERSION {
-        return Err(SchemaError::UnsupportedVersion(page.format));
+    if page.schema_version > SCHEMA_VERSION {
+        return Err(SchemaError::UnsupportedVersion(page.schema_version));
     }
     let mut entries = Entries::new();
     let (mut name, mut address) = (String::new(), String::new());
@@ -127,7 +128,7 @@
     machines: &[&Machine],
     rented: &BTreeSet<Arc<str>>,
     schema: &Schema,
-) -> Option<Raw> {
+) -> Option<RawJson> {
     let encode = if schema.version < 2 {
         encode_v1
     } else {
@@ -153,9 +154,9 @@
     }
 }
 
-fn encode_v2(machines: &[&Machine], rented: &BTreeSet<Arc<str>>, with_images: bool) -> Raw {
+fn encode_v2(machines: &[&Machine], rented: &BTreeSet<Arc<str>>, with_images: bool) -> RawJson {
     let mut page = StoredPage {
-        format: SCHEMA_VERSION,
+        schema_version: SCHEMA_VERSION,
         kinds: Vec::new(),
         images: Vec::new(),
         machines: Vec::new(),
@@ -188,10 +189,10 @@
         page.machines.push(text);
         (previous_name, previous_address) = (machine.id.to_string(), address);
     }
-    raw(&page)
+    to_raw_json(&page)
 }
 
-fn encode_v1(machines: &[&Machine], rented: &BTreeSet<Arc<str>>, with_images: bool) -> Raw {
+fn encode_v1(machines: &[&Machine], rented: &BTreeSet<Arc<str>>, with_images: bool) -> RawJson {
     let mut page = version_1::StoredPage::default();
     for machine in machines {
         let Some(address) = machine.address else {
@@ -211,5 +212,5 @@
         };
         page.machines.insert(machine.id.clone(), entry);
     }
-    raw(&page)
+    to_raw_json(&page)
 }
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -12,7 +12,7 @@
 use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX, live_key};
 use crate::registry::REGISTRY_PREFIX;
 use crate::schema::{self, CHUNKS_PREFIX, SCHEMA_VERSION_KEY, SchemaError};
-use crate::state_client::{Item, Raw, WatchEvent};
+use crate::state_client::{KeyValue, RawJson, WatchEvent};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -39,7 +39,7 @@
 }
 
 impl JobHeader {
-    fn decode(value: &Raw, mod_revision: u64) -> Self {
+    fn decode(value: &RawJson, mod_revision: u64) -> Self {
         Self {
             mod_revision,
             bytes: value.get().len(),
@@ -82,8 +82,8 @@
 
 impl Checksum {
     /// Adds a key at a revision, or removes it again.
-    pub fn toggle(&mut self, path: &str, mod_revision: u64) {
-        self.0 ^= xxh3_64_with_seed(path.as_bytes(), mod_revision);
+    pub fn toggle(&mut self, key: &str, mod_revision: u64) {
+        self.0 ^= xxh3_64_with_seed(key.as_bytes(), mod_revision);
     }
 }
 
@@ -106,16 +106,16 @@
 
 impl<'a> ReplicatedKey<'a> {
     /// None for a key that is not replicated.
-    fn parse(path: &'a str) -> Option<Self> {
-        if let Some(uid) = path.strip_prefix(LIVE_PREFIX) {
+    fn parse(key: &'a str) -> Option<Self> {
+        if let Some(uid) = key.strip_prefix(LIVE_PREFIX) {
             return Some(Self::Live(uid));
         }
-        if let Some(uid) = path.strip_prefix(STOPPING_PREFIX) {
+        if let Some(uid) = key.strip_prefix(STOPPING_PREFIX) {
             return Some(Self::Stopping(uid));
         }
-        let other = path.starts_with(REGISTRY_PREFIX)
-            || path.starts_with(CHUNKS_PREFIX)
-            || path == SCHEMA_VERSION_KEY;
+        let other = key.starts_with(REGISTRY_PREFIX)
+            || key.starts_with(CHUNKS_PREFIX)
+            || key == SCHEMA_VERSION_KEY;
         other.then_some(Self::Other)
     }
 }
@@ -127,7 +127,7 @@
     /// Stopping jobs by uid.
     pub stopping: BTreeMap<Arc<str>, JobHeader>,
     /// Registry pages, chunks, and the schema version, by key.
-    other_values: BTreeMap<String, Item>,
+    other_values: BTreeMap<String, KeyValue>,
     pages: [PageState; REPLICATED_PREFIXES.len()],
     /// Once the replica is complete, it holds all changes up to this store revision.
     revision: u64,
@@ -187,7 +187,7 @@
 
     /// The checksum over the live jobs as of a store revision; None where it is not known: the replica is not
     /// complete, has not reached that revision, or no longer keeps the checksum.
-    pub fn jobs_checksum_at(&self, revision: u64) -> Option<Checksum> {
+    pub fn live_jobs_checksum_at(&self, revision: u64) -> Option<Checksum> {
         if !self.is_complete() || revision > self.revision {
             return None;
         }
@@ -222,14 +222,14 @@
     }
 
     /// Records that a page was requested.
-    pub fn note_page_requested(&mut self, prefix: &str) {
+    pub fn mark_page_requested(&mut self, prefix: &str) {
         if let Some(page) = self.page_of(prefix) {
             *page = PageState::Requested;
         }
     }
 
     /// Records that a requested page was not returned: it is due again.
-    pub fn note_page_unanswered(&mut self, prefix: &str, after: String) {
+    pub fn mark_page_due(&mut self, prefix: &str, after: String) {
         if let Some(page) = self.page_of(prefix) {
             *page = PageState::Due(after);
         }
@@ -237,8 +237,14 @@
 
     /// Applies a page that was read at `revision`. Pages are read at different revisions; the changes since the
     /// earliest one complete what happened in between.
-    pub fn apply_page(&mut self, prefix: &str, items: Vec<Item>, truncated: bool, revision: u64) {
-        let after = items.last().map(|item| item.path.clone());
+    pub fn apply_page(
+        &mut self,
+        prefix: &str,
+        items: Vec<KeyValue>,
+        truncated: bool,
+        revision: u64,
+    ) {
+        let after = items.last().map(|item| item.key.clone());
         for item in items {
             self.set(item);
         }
@@ -267,12 +273,12 @@
         for event in events {
             let mod_revision = event.mod_revision;
             match event.value {
-                Some(value) => self.set(Item {
-                    path: event.path,
+                Some(value) => self.set(KeyValue {
+                    key: event.key,
                     value,
                     mod_revision,
                 }),
-                None => self.delete(&event.path, mod_revision),
+                None => self.delete(&event.key, mod_revision),
             }
         }
         self.revision = self.revision.max(revision);
@@ -290,29 +296,29 @@
     }
 
     /// The revision of a key that is held.
-    fn held_revision(&self, key: ReplicatedKey<'_>, path: &str) -> Option<u64> {
-        match key {
+    fn held_revision(&self, parsed: ReplicatedKey<'_>, key: &str) -> Option<u64> {
+        match parsed {
             ReplicatedKey::Live(uid) => self.live.get(uid).map(|job| job.mod_revision),
             ReplicatedKey::Stopping(uid) => self.stopping.get(uid).map(|job| job.mod_revision),
-            ReplicatedKey::Other => self.other_values.get(path).map(|item| item.mod_revision),
+            ReplicatedKey::Other => self.other_values.get(key).map(|item| item.mod_revision),
         }
     }
 
     /// Sets a key, unless it is held at this revision or a later one.
-    fn set(&mut self, item: Item) {
-        let Item {
-            path,
+    fn set(&mut self, item: KeyValue) {
+        let KeyValue {
+            key,
             value,
             mod_revision,
         } = item;
-        let Some(key) = ReplicatedKey::parse(&path) else {
+        let Some(parsed) = ReplicatedKey::parse(&key) else {
             return;
         };
-        let held = self.held_revision(key, &path);
+        let held = self.held_revision(parsed, &key);
         if held.is_some_and(|held| held >= mod_revision) {
             return;
         }
-        match key {
+        match parsed {
             ReplicatedKey::Live(uid) => {
                 self.live
                     .insert(uid.into(), JobHeader::decode(&value, mod_revision));
@@ -322,31 +328,31 @@
                     .insert(uid.into(), JobHeader::decode(&value, mod_revision));
             }
             ReplicatedKey::Other => {
-                let item = Item {
-                    path: path.clone(),
+                let item = KeyValue {
+                    key: key.clone(),
                     value,
                     mod_revision,
                 };
-                self.other_values.insert(path.clone(), item);
+                self.other_values.insert(key.clone(), item);
             }
         }
         if let Some(held) = held {
-            self.toggle(&path, held);
+            self.toggle(&key, held);
         }
-        self.toggle(&path, mod_revision);
-        self.record_checksum(&path, mod_revision);
+        self.toggle(&key, mod_revision);
+        self.record_checksum(&key, mod_revision);
     }
 
     /// Deletes a key, unless it is held at a later revision.
-    fn delete(&mut self, path: &str, mod_revision: u64) {
-        let Some(key) = ReplicatedKey::parse(path) else {
+    fn delete(&mut self, key: &str, mod_revision: u64) {
+        let Some(parsed) = ReplicatedKey::parse(key) else {
             return;
         };
-        let held = self.held_revision(key, path);
+        let held = self.held_revision(parsed, key);
         let Some(held) = held.filter(|held| *held < mod_revision) else {
             return;
         };
-        match key {
+        match parsed {
             ReplicatedKey::Live(uid) => {
                 self.live.remove(uid);
             }
@@ -354,27 +360,27 @@
                 self.stopping.remove(uid);
             }
             ReplicatedKey::Other => {
-                self.other_values.remove(path);
+                self.other_values.remove(key);
             }
         }
-        self.toggle(path, held);
-        self.record_checksum(path, mod_revision);
+        self.toggle(key, held);
+        self.record_checksum(key, mod_revision);
     }
 
     /// Adds a key at a revision to the checksums, or removes it again.
-    fn toggle(&mut self, path: &str, mod_revision: u64) {
-        self.checksum.toggle(path, mod_revision);
-        if path.starts_with(LIVE_PREFIX) {
-            self.jobs_checksum.toggle(path, mod_revision);
+    fn toggle(&mut self, key: &str, mod_revision: u64) {
+        self.checksum.toggle(key, mod_revision);
+        if key.starts_with(LIVE_PREFIX) {
+            self.jobs_checksum.toggle(key, mod_revision);
         }
     }
 
     /// Records the checksum over the live jobs after a change. While the replica is filled there is no history,
     /// since its checksum belongs to no store revision.
-    fn record_checksum(&mut self, path: &str, mod_revision: u64) {
+    fn record_checksum(&mut self, key: &str, mod_revision: u64) {
         let checksum = self.jobs_checksum;
         let history = &mut self.jobs_checksum_history;
-        if history.is_empty() || !path.starts_with(LIVE_PREFIX) {
+        if history.is_empty() || !key.starts_with(LIVE_PREFIX) {
             return;
         }
         match history.back_mut() {
@@ -390,35 +396,35 @@
     }
 
     /// The pages of the machine registry, in the order of their keys.
-    pub fn registry_pages(&self) -> impl Iterator<Item = &Item> {
+    pub fn registry_pages(&self) -> impl Iterator<Item = &KeyValue> {
         let from_first = self.other_values.range(REGISTRY_PREFIX.to_owned()..);
         from_first
             .map(|(_, item)| item)
-            .take_while(|item| item.path.starts_with(REGISTRY_PREFIX))
+            .take_while(|item| item.key.starts_with(REGISTRY_PREFIX))
     }
 
     /// A chunk of a job, by its number.
-    pub fn chunk(&self, uid: &str, number: usize) -> Option<&Item> {
+    pub fn chunk(&self, uid: &str, number: usize) -> Option<&KeyValue> {
         self.other_values.get(&schema::chunk_key(uid, number))
     }
 
     /// The stored schema version.
-    pub fn schema_version(&self) -> Option<&Item> {
+    pub fn schema_version(&self) -> Option<&KeyValue> {
         self.other_values.get(SCHEMA_VERSION_KEY)
     }
 
     /// Falsifies the revision of one live job, to test that the difference is found. Returns false where there
     /// is no live job.
-    pub fn corrupt(&mut self) -> bool {
+    pub fn corrupt_one_live_job(&mut self) -> bool {
         // The job that has not changed for longest: its next change would correct the revision.
         let oldest = self.live.iter_mut().min_by_key(|(_, job)| job.mod_revision);
         let Some((uid, job)) = oldest else {
             return false;
         };
-        let (path, held) = (live_key(uid), job.mod_revision);
+        let (key, held) = (live_key(uid), job.mod_revision);
         job.mod_revision += 1;
-        self.toggle(&path, held);
-        self.toggle(&path, held + 1);
+        self.toggle(&key, held);
+        self.toggle(&key, held + 1);
         if let Some(last) = self.jobs_checksum_history.back_mut() {
             last.checksum = self.jobs_checksum;
         }
--- a/src/schema.rs
+++ b/src/schema.rs
@@ -18,7 +18,7 @@
 pub use version_2::decode_chunk;
 
 use crate::job_record::JobRecord;
-use crate::state_client::{Raw, raw};
+use crate::state_client::{RawJson, to_raw_json};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 
@@ -75,7 +75,7 @@
 }
 
 /// The job and the chunk number that a chunk's key names; `None` if it is no such key.
-pub fn split_chunk_key(key: &str) -> Option<(&str, usize)> {
+pub fn parse_chunk_key(key: &str) -> Option<(&str, usize)> {
     let (uid, number) = key.strip_prefix(CHUNKS_PREFIX)?.rsplit_once('/')?;
     Some((uid, number.parse().ok()?))
 }
@@ -89,17 +89,19 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct StoredSchemaVersion {
     /// The version that all controllers write.
-    pub format: u32,
+    #[serde(rename = "format")]
+    pub version: u32,
 }
 
 /// What a controller declares about itself at its start, under [`controller_key`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SchemaSupport {
     /// The newest schema version that it supports.
-    pub format: u32,
+    #[serde(rename = "format")]
+    pub schema_version: u32,
     /// The version of its program.
-    #[serde(default)]
-    pub version: String,
+    #[serde(rename = "version", default)]
+    pub program_version: String,
 }
 
 /// The schema version that is written, and the store's limits that it is written within.
@@ -159,7 +161,7 @@
 
     /// Whether a job can be stored at all, with at least two of its tasks placed.
     pub fn can_store(&self, spec: &JobSpec) -> bool {
-        let spec_bytes = raw(spec).get().len();
+        let spec_bytes = to_raw_json(spec).get().len();
         spec_bytes <= self.spec_bytes_max()
             && self.job_capacity_bytes(spec_bytes)
                 >= 2 * self.placement_bytes(MACHINE_NAME_BYTES_MAX)
@@ -177,14 +179,14 @@
 /// The encoded values of a job.
 pub struct StoredValues {
     /// The value under the job's own key.
-    pub header: Raw,
+    pub header: RawJson,
     /// The values of its chunks, in the order of their numbers.
-    pub chunks: Vec<Raw>,
+    pub chunks: Vec<RawJson>,
 }
 
 impl StoredValues {
     /// A job that is one value.
-    pub fn single(header: Raw) -> Self {
+    pub fn single(header: RawJson) -> Self {
         Self {
             header,
             chunks: Vec::new(),
@@ -207,23 +209,24 @@
 /// # Errors
 ///
 /// If the value is of neither version, or of one newer than [`SCHEMA_VERSION`].
-pub fn decode_job(value: &Raw) -> Result<(JobRecord, usize), SchemaError> {
+pub fn decode_job(value: &RawJson) -> Result<(JobRecord, usize), SchemaError> {
     #[derive(Deserialize)]
     struct VersionProbe {
-        format: Option<u32>,
+        #[serde(rename = "format")]
+        schema_version: Option<u32>,
     }
     let header: version_2::StoredHeader = match serde_json::from_str(value.get()) {
         Ok(header) => header,
         Err(error) => {
             let probe: VersionProbe = serde_json::from_str(value.get())?;
-            if probe.format.is_some() {
+            if probe.schema_version.is_some() {
                 return Err(error.into());
             }
             return Ok((version_1::decode_job(value)?, 0));
         }
     };
-    if header.format > SCHEMA_VERSION {
-        return Err(SchemaError::UnsupportedVersion(header.format));
+    if header.schema_version > SCHEMA_VERSION {
+        return Err(SchemaError::UnsupportedVersion(header.schema_version));
     }
     header.into_record()
 }
--- a/src/schema/version_1.rs
+++ b/src/schema/version_1.rs
@@ -5,7 +5,7 @@
 use super::SchemaError;
 use crate::clock::Micros;
 use crate::job_record::{JobRecord, TaskEnding, TaskRange};
-use crate::state_client::{Raw, raw};
+use crate::state_client::{RawJson, to_raw_json};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -54,7 +54,7 @@
 /// # Errors
 ///
 /// If the value is no job of this version.
-pub fn decode_job(value: &Raw) -> Result<JobRecord, SchemaError> {
+pub fn decode_job(value: &RawJson) -> Result<JobRecord, SchemaError> {
     let stored: StoredRecord = serde_json::from_str(value.get())?;
     Ok(JobRecord {
         spec: stored.spec,
@@ -69,7 +69,7 @@
 
 /// The value of a job, without its endings if it would be longer than `usable_bytes` with them; `None` if it
 /// is longer even so.
-pub fn encode_job(record: &JobRecord, usable_bytes: usize) -> Option<Raw> {
+pub fn encode_job(record: &JobRecord, usable_bytes: usize) -> Option<RawJson> {
     let mut stored = StoredRecord {
         spec: record.spec.clone(),
         accepted_at: record.accepted_at,
@@ -79,11 +79,11 @@
         placed: record.placed.clone(),
         endings: record.endings.clone(),
     };
-    let mut value = raw(&stored);
+    let mut value = to_raw_json(&stored);
     if value.get().len() > usable_bytes {
         // Endings are for display only; the rest decides what may run.
         stored.endings.clear();
-        value = raw(&stored);
+        value = to_raw_json(&stored);
     }
     (value.get().len() <= usable_bytes).then_some(value)
 }
--- a/src/schema/version_2.rs
+++ b/src/schema/version_2.rs
@@ -7,7 +7,7 @@
 use super::{SCHEMA_VERSION, SchemaError, StoredValues, compress_prefix, expand_prefix};
 use crate::clock::Micros;
 use crate::job_record::{JobRecord, TaskEnding, TaskRange};
-use crate::state_client::{Raw, raw};
+use crate::state_client::{RawJson, to_raw_json};
 use crate::wire::JobSpec;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -49,7 +49,8 @@
 /// The value under `job/<uid>` or `stopping/<uid>`.
 #[derive(Serialize, Deserialize)]
 pub(super) struct StoredHeader {
-    pub(super) format: u32,
+    #[serde(rename = "format")]
+    pub(super) schema_version: u32,
     spec: Arc<JobSpec>,
     #[serde(rename = "accepted")]
     accepted_at: Micros,
@@ -75,7 +76,7 @@
     /// The header of a job, without its tasks and endings.
     fn without_tasks(record: &JobRecord) -> Self {
         Self {
-            format: SCHEMA_VERSION,
+            schema_version: SCHEMA_VERSION,
             spec: record.spec.clone(),
             accepted_at: record.accepted_at,
             accepted_by: record.accepted_by.clone(),
@@ -105,7 +106,7 @@
     /// Adds the newest endings that fit: they are for operators only.
     fn add_endings(&mut self, endings: &VecDeque<TaskEnding>, mut bytes_left: usize) {
         for ending in endings.iter().rev() {
-            let bytes = raw(ending).get().len() + 1;
+            let bytes = to_raw_json(ending).get().len() + 1;
             if bytes > bytes_left {
                 break;
             }
@@ -129,7 +130,7 @@
 /// # Errors
 ///
 /// If the value is no chunk, or holds tasks that the job does not have. The record may then have part of it.
-pub fn decode_chunk(value: &Raw, record: &mut JobRecord) -> Result<(), SchemaError> {
+pub fn decode_chunk(value: &RawJson, record: &mut JobRecord) -> Result<(), SchemaError> {
     let chunk: StoredChunk = serde_json::from_str(value.get())?;
     add_tasks(record, &chunk.done, &chunk.placed)
 }
@@ -216,7 +217,7 @@
 
     fn add_placement(&mut self, machine: &str, ranges: &str) {
         // JSON writes a quote or a backslash in two bytes or more.
-        let escape_bytes = raw(&machine).get().len() - machine.len() - 2;
+        let escape_bytes = to_raw_json(&machine).get().len() - machine.len() - 2;
         let mut name = compress_prefix(&self.previous_name, machine);
         if self.reserve(name.len() + ranges.len() + 2 + escape_bytes) {
             name = compress_prefix("", machine);
@@ -240,7 +241,7 @@
     chunks_max: usize,
 ) -> Option<StoredValues> {
     let mut header = StoredHeader::without_tasks(record);
-    let header_bytes = raw(&header).get().len() + HEADER_COUNT_BYTES;
+    let header_bytes = to_raw_json(&header).get().len() + HEADER_COUNT_BYTES;
     let mut writer = ChunkWriter {
         chunk: StoredChunk::default(),
         previous_name: String::new(),
@@ -270,7 +271,7 @@
         header.add_endings(&record.endings, bytes_left);
     }
     Some(StoredValues {
-        header: raw(&header),
-        chunks: chunks.iter().map(raw).collect(),
+        header: to_raw_json(&header),
+        chunks: chunks.iter().map(to_raw_json).collect(),
     })
 }
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -3,7 +3,7 @@
 //!
 //! Owns this node's queues of requests and its share of the service's request and write budgets. A request
 //! that was certainly not executed is repeated until its deadline; one that may have been executed is never
-//! repeated here: the caller gets [`Reply::Lost`] and has to read what is stored. Does no I/O: calls go out as
+//! repeated here: the caller gets [`Reply::OutcomeUnknown`] and has to read what is stored. Does no I/O: calls go out as
 //! [`Output`]s, and their outcomes come back by ticket.
 //!
 //! Invariants at the door: every submitted request ends in exactly one reply; the budgets are charged before a
@@ -23,10 +23,10 @@
 use std::net::SocketAddr;
 
 /// A JSON value kept as text: written once, and parsed only by those who need what is in it.
-pub type Raw = Box<RawValue>;
+pub type RawJson = Box<RawValue>;
 
 /// The JSON text of a value. `null` if the value cannot be represented, which no type of this crate is.
-pub fn raw(value: &impl Serialize) -> Raw {
+pub fn to_raw_json(value: &impl Serialize) -> RawJson {
     serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
 
@@ -100,9 +100,9 @@
     Set {
         /// The key.
         #[serde(rename = "set")]
-        path: String,
+        key: String,
         /// Its new value.
-        value: Raw,
+        value: RawJson,
         /// The lease that the key is attached to: it is deleted when the lease ends.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
@@ -111,46 +111,46 @@
     Delete {
         /// The key.
         #[serde(rename = "delete")]
-        path: String,
+        key: String,
     },
 }
 
 impl Transaction {
-    /// Adds a precondition: the key `path` must have this revision (0: must be absent).
-    pub fn require_revision(mut self, path: impl Into<String>, mod_revision: u64) -> Self {
-        self.preconditions.push((path.into(), mod_revision));
+    /// Adds a precondition: the key `key` must have this revision (0: must be absent).
+    pub fn require_revision(mut self, key: impl Into<String>, mod_revision: u64) -> Self {
+        self.preconditions.push((key.into(), mod_revision));
         self
     }
 
-    /// Adds a write of `value` to the key `path`.
-    pub fn set(self, path: impl Into<String>, value: &impl Serialize) -> Self {
-        self.set_raw(path, raw(value))
+    /// Adds a write of `value` to the key `key`.
+    pub fn set(self, key: impl Into<String>, value: &impl Serialize) -> Self {
+        self.set_raw(key, to_raw_json(value))
     }
 
     /// Adds a write of a value that is already encoded.
-    pub fn set_raw(self, path: impl Into<String>, value: Raw) -> Self {
-        self.push_set(path.into(), value, None)
+    pub fn set_raw(self, key: impl Into<String>, value: RawJson) -> Self {
+        self.push_set(key.into(), value, None)
     }
 
     /// Adds a write of a key that lives as long as the lease.
     pub fn set_with_lease(
         self,
-        path: impl Into<String>,
+        key: impl Into<String>,
         value: &impl Serialize,
         lease_id: u64,
     ) -> Self {
-        self.push_set(path.into(), raw(value), Some(lease_id))
+        self.push_set(key.into(), to_raw_json(value), Some(lease_id))
     }
 
-    /// Adds the deletion of the key `path`.
-    pub fn delete(mut self, path: impl Into<String>) -> Self {
-        self.changes.push(Change::Delete { path: path.into() });
+    /// Adds the deletion of the key `key`.
+    pub fn delete(mut self, key: impl Into<String>) -> Self {
+        self.changes.push(Change::Delete { key: key.into() });
         self
     }
 
-    fn push_set(mut self, path: String, value: Raw, lease_id: Option<u64>) -> Self {
+    fn push_set(mut self, key: String, value: RawJson, lease_id: Option<u64>) -> Self {
         self.changes.push(Change::Set {
-            path,
+            key,
             value,
             lease_id,
         });
@@ -160,11 +160,12 @@
 
 /// A stored key with its value.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// The key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Its value.
-    pub value: Raw,
+    pub value: RawJson,
     /// The store revision at which the key was last written.
     #[serde(rename = "stamp")]
     pub mod_revision: u64,
@@ -174,9 +175,9 @@
 #[derive(Clone, Debug)]
 pub struct WatchEvent {
     /// The key.
-    pub path: String,
+    pub key: String,
     /// Its new value; `None`: the key was deleted.
-    pub value: Option<Raw>,
+    pub value: Option<RawJson>,
     /// The store revision of the change.
     pub mod_revision: u64,
 }
@@ -185,13 +186,13 @@
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// The key that was read.
-    Item(Item),
+    KeyValue(KeyValue),
     /// There is no such key, or no such lease.
-    Absent,
+    NotFound,
     /// A page of keys.
-    Items {
+    KeyPage {
         /// The keys, in their order.
-        items: Vec<Item>,
+        items: Vec<KeyValue>,
         /// There are more keys after the last one.
         truncated: bool,
         /// The store revision that the page was read at.
@@ -215,18 +216,18 @@
         revision: u64,
     },
     /// The watch asked for changes older than those the service keeps: read the keys again.
-    TooOld,
+    Compacted,
     /// A lease was granted.
-    Granted {
+    LeaseGranted {
         /// Its id.
         lease_id: u64,
     },
     /// A lease was renewed or revoked.
-    Done,
+    LeaseUpdated,
     /// The request was certainly not executed.
     Unavailable,
     /// The request may have been executed, or may still be at any later time.
-    Lost,
+    OutcomeUnknown,
     /// The service refused the request as malformed, or for an expired lease; with the beginning of its text.
     Refused(String),
 }
@@ -388,12 +389,12 @@
             leader_turn_at: 0,
             refused_limits: RefusedLimits::default(),
         };
-        client.set_leading(false);
+        client.set_is_leader(false);
         client
     }
 
     /// Sets this node's share of the budgets: larger for the leader, see `LEADER_WRITE_SHARE`.
-    pub fn set_leading(&mut self, is_leader: bool) {
+    pub fn set_is_leader(&mut self, is_leader: bool) {
         self.is_leader = is_leader;
         let node_count = self.node_count;
         let share = |leader_share: f64| {
@@ -413,11 +414,11 @@
     pub fn set_rates(&mut self, request_rate: f64, write_rate: f64) {
         self.cluster_request_rate = request_rate;
         self.cluster_write_rate = write_rate;
-        self.set_leading(self.is_leader);
+        self.set_is_leader(self.is_leader);
     }
 
     /// The limits that were refused since this was last called.
-    pub fn take_refused(&mut self) -> RefusedLimits {
+    pub fn take_refused_limits(&mut self) -> RefusedLimits {
         std::mem::take(&mut self.refused_limits)
     }
 
@@ -489,12 +490,12 @@
     }
 
     /// How many changes can be written at once before further ones have to wait.
-    pub fn spare_changes(&self) -> f64 {
+    pub fn available_changes(&self) -> f64 {
         self.write_budget.level
     }
 
     /// The changes a second that this node may write.
-    pub fn change_rate(&self) -> f64 {
+    pub fn write_rate(&self) -> f64 {
         self.write_budget.rate
     }
 
@@ -616,14 +617,14 @@
                 return None;
             }
             Outcome::NotSent | Outcome::Refused => Reply::Unavailable,
-            Outcome::Lost => Reply::Lost,
+            Outcome::Lost => Reply::OutcomeUnknown,
             Outcome::Reply { status, body } => protocol::decode(&request.op, *status, body),
         };
         if let (Op::Transaction(_), Reply::Refused(reason)) = (&request.op, &reply) {
             self.refused_limits.size |= !reason.contains(protocol::LEASE_EXPIRED_REASON);
         }
         self.failing_since = match reply {
-            Reply::Unavailable | Reply::Lost => self.failing_since.or(Some(now)),
+            Reply::Unavailable | Reply::OutcomeUnknown => self.failing_since.or(Some(now)),
             _ => None,
         };
         let has_time_left = now + RETRY_TIME_LEFT_MIN < request.deadline;
--- a/src/state_client/protocol.rs
+++ b/src/state_client/protocol.rs
@@ -3,7 +3,7 @@
 //! Pure functions over bytes. The names on the wire are those of the service's protocol and stand only here,
 //! in `serde(rename)` and in the paths; the rest of the program uses the terms of the field.
 
-use super::{Change, Item, Op, Raw, Reply, Transaction, WatchEvent, raw};
+use super::{Change, KeyValue, Op, RawJson, Reply, Transaction, WatchEvent, to_raw_json};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::http_call::HttpCall;
 use serde::{Deserialize, Serialize};
@@ -25,7 +25,7 @@
 pub(super) fn encode(op: &Op) -> HttpCall {
     let get = |path| HttpCall::without_body("GET", path, CALL_TIMEOUT);
     match op {
-        Op::Get(path) => get(format!("/store/{path}")),
+        Op::Get(key) => get(format!("/store/{key}")),
         Op::List {
             prefix,
             after,
@@ -69,7 +69,8 @@
 fn transaction_body(transaction: &Transaction) -> Vec<u8> {
     #[derive(Serialize)]
     struct Precondition<'a> {
-        path: &'a str,
+        #[serde(rename = "path")]
+        key: &'a str,
         #[serde(rename = "stamp")]
         mod_revision: u64,
     }
@@ -83,8 +84,8 @@
     let preconditions = transaction.preconditions.iter();
     let body = Body {
         preconditions: preconditions
-            .map(|(path, mod_revision)| Precondition {
-                path,
+            .map(|(key, mod_revision)| Precondition {
+                key,
                 mod_revision: *mod_revision,
             })
             .collect(),
@@ -97,16 +98,16 @@
 pub(super) fn decode(op: &Op, status: u16, body: &[u8]) -> Reply {
     let reply = match (op, status) {
         (_, 503) => Some(Reply::Unavailable),
-        (Op::Get(_), 200) => serde_json::from_slice(body).ok().map(Reply::Item),
-        (Op::Get(_), 404) => Some(Reply::Absent),
+        (Op::Get(_), 200) => serde_json::from_slice(body).ok().map(Reply::KeyValue),
+        (Op::Get(_), 404) => Some(Reply::NotFound),
         (Op::List { .. }, 200) => decode_items(body),
         (Op::Transaction(_), 200) => Some(decode_applied(body)),
         (Op::Transaction(_), 409) => Some(decode_conflict(body)),
         (Op::Watch { .. }, 200) => decode_events(body),
-        (Op::Watch { .. }, 410) => Some(Reply::TooOld),
+        (Op::Watch { .. }, 410) => Some(Reply::Compacted),
         (Op::GrantLease { .. }, 200) => decode_lease(body),
-        (Op::RenewLease(_) | Op::RevokeLease(_), 200..=299) => Some(Reply::Done),
-        (Op::RenewLease(_) | Op::RevokeLease(_), 404) => Some(Reply::Absent),
+        (Op::RenewLease(_) | Op::RevokeLease(_), 200..=299) => Some(Reply::LeaseUpdated),
+        (Op::RenewLease(_) | Op::RevokeLease(_), 404) => Some(Reply::NotFound),
         _ => None,
     };
     reply.unwrap_or_else(|| {
@@ -122,14 +123,14 @@
 fn decode_items(body: &[u8]) -> Option<Reply> {
     #[derive(Deserialize)]
     struct ItemPage {
-        items: Vec<Item>,
+        items: Vec<KeyValue>,
         #[serde(default)]
         truncated: bool,
         #[serde(rename = "epoch")]
         revision: u64,
     }
     let page: ItemPage = serde_json::from_slice(body).ok()?;
-    Some(Reply::Items {
+    Some(Reply::KeyPage {
         items: page.items,
         truncated: page.truncated,
         revision: page.revision,
@@ -140,7 +141,7 @@
     match parse_value(body)["epoch"].as_u64() {
         Some(revision) => Reply::Applied { revision },
         // Applied, but the revision is not known: the caller must read what is stored.
-        None => Reply::Lost,
+        None => Reply::OutcomeUnknown,
     }
 }
 
@@ -149,7 +150,7 @@
     let failed = value["failed"].as_array().into_iter().flatten();
     Reply::Conflict {
         failed: failed
-            .filter_map(|path| path.as_str().map(str::to_owned))
+            .filter_map(|key| key.as_str().map(str::to_owned))
             .collect(),
     }
 }
@@ -159,7 +160,7 @@
     struct Event {
         set: Option<String>,
         delete: Option<String>,
-        value: Option<Raw>,
+        value: Option<RawJson>,
         #[serde(rename = "stamp")]
         mod_revision: u64,
     }
@@ -172,12 +173,12 @@
     }
     let page: EventPage = serde_json::from_slice(body).ok()?;
     let watch_event = |event: Event| {
-        let (path, value) = match (event.set, event.delete) {
-            (Some(path), _) => (path, Some(event.value.unwrap_or_else(|| raw(&())))),
-            (None, path) => (path?, None),
+        let (key, value) = match (event.set, event.delete) {
+            (Some(key), _) => (key, Some(event.value.unwrap_or_else(|| to_raw_json(&())))),
+            (None, key) => (key?, None),
         };
         Some(WatchEvent {
-            path,
+            key,
             value,
             mod_revision: event.mod_revision,
         })
@@ -190,5 +191,5 @@
 
 fn decode_lease(body: &[u8]) -> Option<Reply> {
     let lease_id = parse_value(body)["permit"].as_u64()?;
-    Some(Reply::Granted { lease_id })
+    Some(Reply::LeaseGranted { lease_id })
 }
--- a/src/state_client/tests.rs
+++ b/src/state_client/tests.rs
@@ -7,7 +7,7 @@
 fn endless_client_writes_do_not_starve_the_leader() {
     let addr = "10.2.0.1:2379".parse().expect("an address");
     let mut client: StateClient<&'static str> = StateClient::new(addr, 70.0, 25.0, 3);
-    client.set_leading(true);
+    client.set_is_leader(true);
     let write = |changes: usize| {
         let transaction = (0..changes).fold(Transaction::default(), |transaction, n| {
             transaction.set(format!("k/{n}"), &n)
--- a/tests/suite/meetings.rs
+++ b/tests/suite/meetings.rs
@@ -551,13 +551,17 @@
             if turn == 10 {
                 roll.set_schema(now.steady, layout(2 * 1024));
             }
-            for ask in roll.take_due(now, &mut workers, &none) {
+            for ask in roll.take_due_requests(now, &mut workers, &none) {
                 revision += 1;
                 match ask {
-                    RegistryRequest::Read(key) => roll.page_read(now.steady, &key, Some(0)),
+                    RegistryRequest::Read(key) => roll.handle_page_read(now.steady, &key, Some(0)),
                     RegistryRequest::Delete { key, .. } => {
                         deleted.push(key.clone());
-                        roll.page_deleted(&key, &WriteResult::Applied(revision), &mut workers);
+                        roll.handle_page_deleted(
+                            &key,
+                            &WriteResult::Applied(revision),
+                            &mut workers,
+                        );
                     }
                     RegistryRequest::Write { key, written, .. } => {
                         if written.is_empty() {
@@ -568,7 +572,7 @@
                         } else {
                             WriteResult::Applied(revision)
                         };
-                        roll.page_written(now.steady, &key, written, &result, &mut workers);
+                        roll.handle_page_written(now.steady, &key, written, &result, &mut workers);
                     }
                 }
             }
--- a/tests/suite/upgrade.rs
+++ b/tests/suite/upgrade.rs
@@ -9,7 +9,7 @@
 use dewramp::clock::SECOND;
 use dewramp::job_record::{JobRecord, TaskEnding};
 use dewramp::schema::{self, SCHEMA_VERSION, Schema, version_1};
-use dewramp::state_client::raw;
+use dewramp::state_client::to_raw_json;
 use dewramp::wire::*;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -427,10 +427,10 @@
     }
     for part in 0..12 {
         record.endings.push_back(TaskEnding {
-            part,
+            task_index: part,
             machine: "m-000001".to_owned(),
             cause: "done".to_owned(),
-            at: 1_000_000_000_000_000,
+            ended_at: 1_000_000_000_000_000,
         });
     }
     record
@@ -474,7 +474,7 @@
         json!([1]),
         json!(null),
     ] {
-        assert!(schema::decode_job(&raw(&wrong)).is_err(), "{wrong}");
+        assert!(schema::decode_job(&to_raw_json(&wrong)).is_err(), "{wrong}");
     }
     for (before, text) in [
         ("", "m-1"),
