--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -190,7 +190,7 @@
             "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
             "booting": self.cloud.booting.len(),
             "types": self.cloud.types.len(),
-            "may_act_for_ms": self.election.valid_for(now) / MILLISECOND,
+            "may_act_for_ms": self.election.lease_time_left(now) / MILLISECOND,
             "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(now) / MILLISECOND),
             "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
             "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -73,7 +73,7 @@
     /// time of the transaction that acquired leadership.
     pub(super) fn become_leader(&mut self, term: u64, mod_revision: u64, sent: Micros) {
         log::info!("elected leader term={term}");
-        self.state.set_leading(true);
+        self.state.set_is_leader(true);
         self.cloud.reset();
         self.leader_state = Some(self.new_leader_state(term, mod_revision, sent));
         self.continue_load();
@@ -184,7 +184,7 @@
     /// cancellations; returns whether it did. Without these reads the leader soon may not act, and
     /// the state service may answer another controller.
     pub(super) fn resign_if_cancellations_stale(&mut self) -> bool {
-        let (now, since) = (self.now.steady, self.election.valid_since());
+        let (now, since) = (self.now.steady, self.election.lease_valid_since());
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
@@ -203,7 +203,7 @@
         if let Some(leader_state) = self.leader_state.take() {
             log::info!("no longer leader term={}", leader_state.term);
         }
-        self.state.set_leading(false);
+        self.state.set_is_leader(false);
     }
 
     /// Builds the leader's state from the stored records; returns the number of unconfirmed
@@ -269,7 +269,7 @@
                     leader_state.schema_key_revision = item.mod_revision;
                 }
             }
-            None => self.schema_version_read(Reply::Absent),
+            None => self.schema_version_read(Reply::NotFound),
         }
     }
 
@@ -286,7 +286,7 @@
         for item in replica.registry_pages() {
             let page = leader_state
                 .registry
-                .load_page(&item.path, &item.value, item.mod_revision);
+                .load_page(&item.key, &item.value, item.mod_revision);
             let Some(entries) = page else {
                 unreadable = true;
                 continue;
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -211,12 +211,15 @@
         for request in
             leader_state
                 .registry
-                .take_due(now, &mut leader_state.workers, &leader_state.rented_machines)
+                .take_due_requests(now, &mut leader_state.workers, &leader_state.rented_machines)
         {
             // Hundreds of new machines may wait for a few of these writes, so they get the priority
             // of submissions and cancellations.
             let priority = match request {
-                RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
+                RegistryRequest::Write {
+                    registers_machines: true,
+                    ..
+                } => RequestPriority::Client,
                 _ => RequestPriority::Leader,
             };
             let (state_request, op) = match request {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -12,11 +12,11 @@
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
 use crate::election::LEADER_KEY;
 use crate::job_record::{
-    FINISHED_PREFIX, FinalState, LIVE_PREFIX, final_body, finished_key, live_key,
+    FINISHED_PREFIX, FinalState, LIVE_PREFIX, final_status_body, finished_key, live_key,
 };
 use crate::jobs::Job;
 use crate::schema::{Schema, StoredValues, chunk_key};
-use crate::state_client::{Op, Reply, RequestPriority, Transaction, raw};
+use crate::state_client::{Op, Reply, RequestPriority, Transaction, to_raw_json};
 use crate::task_id::TaskId;
 use crate::wire::Priority;
 use crate::worker_ledger::WorkerLedger;
@@ -113,8 +113,8 @@
         let record = job.record();
         let finished = job.is_done();
         let stored_values = if finished {
-            let end = record.finish("done", now.wall).fit(schema.usable_bytes());
-            StoredValues::single(raw(&end))
+            let end = record.to_final_state("done", now.wall).truncate_to_fit(schema.usable_bytes());
+            StoredValues::single(to_raw_json(&end))
         } else {
             schema.encode_job(&record)?
         };
@@ -164,7 +164,7 @@
     /// of priority. Changes that only concern progress are saved when request budget is left.
     pub(super) fn save_jobs(&mut self) {
         let now = self.now;
-        let spare_changes = self.state.spare_changes();
+        let spare_changes = self.state.available_changes();
         let schema = self.schema();
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -174,7 +174,7 @@
             leader_state.schedule.request_save();
             return;
         }
-        let changes = (self.state.change_rate() * CHANGE_RATE_SHARE) as usize;
+        let changes = (self.state.write_rate() * CHANGE_RATE_SHARE) as usize;
         let changes_max = schema.txn_ops.max(TRANSACTION_CHANGES_MIN);
         let limits = SaveLimits {
             changes_per_txn: changes.clamp(TRANSACTION_CHANGES_MIN, changes_max),
@@ -329,10 +329,10 @@
             Self::acknowledge_stored_completions(&mut leader_state.workers, job);
             if item.finished {
                 let uid = job.spec.uid.clone();
-                let end = job.record().finish("done", item.finished_at);
+                let end = job.record().to_final_state("done", item.finished_at);
                 log::info!("job done job={uid}");
                 self.client_requests
-                    .cache_final_state(&uid, final_body(&uid, &end));
+                    .cache_final_state(&uid, final_status_body(&uid, &end));
                 if let Some(job) = leader_state.jobs.remove(&uid) {
                     Self::stop_all_tasks(&mut leader_state.workers, &job);
                     Self::acknowledge_all_attempts(&mut leader_state.workers, &job);
@@ -437,7 +437,7 @@
             return;
         };
         match reply {
-            Reply::Item(item) if !finished => {
+            Reply::KeyValue(item) if !finished => {
                 if let Some(job) = leader_state.jobs.get_mut(uid) {
                     job.reread_pending = false;
                     job.mod_revision = item.mod_revision;
@@ -445,21 +445,21 @@
                     job.mark_dirty(now);
                 }
             }
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 let end = match serde_json::from_str::<FinalState>(item.value.get()) {
                     Ok(end) => end,
                     Err(error) => {
                         // An unreadable final state does not show how the job ended; it is read again.
                         log::error!(
                             "stored final state unreadable key={} error={error}",
-                            item.path
+                            item.key
                         );
                         return self.reread_job(uid.clone(), false);
                     }
                 };
                 Self::stored_final_state_found(leader_state, now, uid, &end);
             }
-            Reply::Absent if !finished => self.reread_job(uid.clone(), true),
+            Reply::NotFound if !finished => self.reread_job(uid.clone(), true),
             // The read failed, or found neither the live record nor the final state, although every
             // job has one of the two. The job is read again.
             _ => self.reread_job(uid.clone(), false),
--- a/src/controller/schema_migration.rs
+++ b/src/controller/schema_migration.rs
@@ -14,9 +14,9 @@
 use crate::job_record::{live_key, stopping_key};
 use crate::schema::{
     CHUNKS_PREFIX, CONTROLLERS_PREFIX, SCHEMA_VERSION, SCHEMA_VERSION_KEY, Schema, SchemaSupport,
-    StoredSchemaVersion, controller_key, split_chunk_key,
+    StoredSchemaVersion, controller_key, parse_chunk_key,
 };
-use crate::state_client::{Item, Op, Reply, RequestPriority, Transaction};
+use crate::state_client::{KeyValue, Op, Reply, RequestPriority, Transaction};
 
 /// Interval at which the stored schema version is read while it may still rise.
 const SCHEMA_CHECK_INTERVAL: Micros = 2 * SECOND;
@@ -109,7 +109,7 @@
     /// changes for their rate: the limits are already in force, and the same write would be refused
     /// each time.
     fn apply_refused_limits(&mut self) {
-        let refused = self.state.take_refused();
+        let refused = self.state.take_refused_limits();
         let state = &self.settings.deployment.state;
         if state.next.is_none() {
             return;
@@ -134,29 +134,29 @@
     /// Handles the reply to the read of the stored schema version.
     pub(super) fn schema_version_read(&mut self, reply: Reply) {
         match reply {
-            Reply::Item(item) => self.handle_stored_schema_version(&item),
-            Reply::Absent => self.set_schema_version(1),
+            Reply::KeyValue(item) => self.handle_stored_schema_version(&item),
+            Reply::NotFound => self.set_schema_version(1),
             _ => {}
         }
     }
 
     /// Applies the stored schema version; records a fatal error if this program does not support it.
-    pub(super) fn handle_stored_schema_version(&mut self, item: &Item) {
+    pub(super) fn handle_stored_schema_version(&mut self, item: &KeyValue) {
         match serde_json::from_str::<StoredSchemaVersion>(item.value.get()) {
-            Ok(stored) if stored.format > SCHEMA_VERSION => {
+            Ok(stored) if stored.version > SCHEMA_VERSION => {
                 self.schema_migration.fatal_error = Some(format!(
                     "the state service holds format {}, this version knows formats up to {SCHEMA_VERSION}; \
                      start the version that the other controllers run",
-                    stored.format
+                    stored.version
                 ));
             }
-            Ok(stored) => self.set_schema_version(stored.format),
+            Ok(stored) => self.set_schema_version(stored.version),
             Err(error) => {
                 // The key exists, so the version was raised. Records of all versions can be read, and
                 // the newest version is written from now on.
                 log::error!(
                     "stored schema version unreadable key={} error={error}",
-                    item.path
+                    item.key
                 );
                 self.set_schema_version(SCHEMA_VERSION);
             }
@@ -197,23 +197,24 @@
     /// registered already.
     pub(super) fn register_schema_support(&mut self, reply: Reply) {
         let mod_revision = match reply {
-            Reply::Item(item) => {
+            Reply::KeyValue(item) => {
                 let stored = serde_json::from_str::<SchemaSupport>(item.value.get());
                 if stored.is_ok_and(|support| {
-                    support.format == SCHEMA_VERSION && support.version == PROGRAM_VERSION
+                    support.schema_version == SCHEMA_VERSION
+                        && support.program_version == PROGRAM_VERSION
                 }) {
                     self.schema_migration.support_registered = true;
                     return;
                 }
                 item.mod_revision
             }
-            Reply::Absent => 0,
+            Reply::NotFound => 0,
             _ => return,
         };
         let key = controller_key(&self.settings.name);
         let support = SchemaSupport {
-            format: SCHEMA_VERSION,
-            version: PROGRAM_VERSION.to_owned(),
+            schema_version: SCHEMA_VERSION,
+            program_version: PROGRAM_VERSION.to_owned(),
         };
         let txn = Transaction::default()
             .require_revision(key.clone(), mod_revision)
@@ -271,14 +272,14 @@
     /// Handles the registrations of the controllers; raises the stored version if all of them support
     /// the newest one.
     pub(super) fn schema_support_read(&mut self, reply: Reply) {
-        let Reply::Items { items, .. } = reply else {
+        let Reply::KeyPage { items, .. } = reply else {
             return;
         };
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for item in items {
-            let Some(name) = item.path.strip_prefix(CONTROLLERS_PREFIX) else {
+            let Some(name) = item.key.strip_prefix(CONTROLLERS_PREFIX) else {
                 continue;
             };
             match serde_json::from_str(item.value.get()) {
@@ -286,7 +287,7 @@
                     leader_state.schema_support.insert(name.to_owned(), support);
                 }
                 Err(error) => {
-                    log::error!("schema support unreadable key={} error={error}", item.path)
+                    log::error!("schema support unreadable key={} error={error}", item.key)
                 }
             }
         }
@@ -302,7 +303,7 @@
             .set(
                 SCHEMA_VERSION_KEY,
                 &StoredSchemaVersion {
-                    format: SCHEMA_VERSION,
+                    version: SCHEMA_VERSION,
                 },
             );
         let term = leader_state.term;
@@ -324,7 +325,7 @@
             .chain([self.settings.name.as_str()]);
         let supports = |name: &str| {
             let support = leader_state.schema_support.get(name);
-            support.is_some_and(|support| support.format >= SCHEMA_VERSION)
+            support.is_some_and(|support| support.schema_version >= SCHEMA_VERSION)
         };
         all.filter(|name| !supports(name)).collect()
     }
@@ -343,7 +344,7 @@
     /// can't delete all of them. Each deletion has the revision of the job's header as a precondition,
     /// so that a deletion that is applied late can't remove a chunk that is in use again.
     pub(super) fn delete_orphan_chunks(&mut self, reply: Reply) {
-        let Reply::Items { items, .. } = reply else {
+        let Reply::KeyPage { items, .. } = reply else {
             return;
         };
         let deletions_max = self.schema().txn_ops;
@@ -352,12 +353,12 @@
         };
         let mut txns = Vec::new();
         for item in items {
-            let Some((uid, number)) = split_chunk_key(&item.path) else {
+            let Some((uid, number)) = parse_chunk_key(&item.key) else {
                 continue;
             };
             let txn = Transaction::default()
                 .require_revision(LEADER_KEY, leader_state.leader_key_revision)
-                .require_revision(item.path.clone(), item.mod_revision);
+                .require_revision(item.key.clone(), item.mod_revision);
             let txn = match leader_state.jobs.get(uid) {
                 Some(job)
                     if job.cancelled
@@ -372,7 +373,7 @@
                     .require_revision(live_key(uid), 0)
                     .require_revision(stopping_key(uid), 0),
             };
-            txns.push(txn.delete(item.path));
+            txns.push(txn.delete(item.key));
         }
         for txn in txns.into_iter().take(deletions_max) {
             self.state.submit(
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -54,7 +54,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let with_changes = matches!(reply, Reply::Events { .. } | Reply::TooOld);
+        let with_changes = matches!(reply, Reply::Events { .. } | Reply::Compacted);
         leader_state.schedule.note_watch_answered(now, with_changes);
         if with_changes {
             self.apply_job_changes(reply, sent);
@@ -78,7 +78,7 @@
         };
         let (mut events, revision) = match reply {
             Reply::Events { events, revision } => (events, revision),
-            Reply::TooOld => {
+            Reply::Compacted => {
                 // The state service no longer has all changes since the known revision, so the
                 // leader's state has to be loaded again. That needs a new term: the new ledger
                 // starts its attempt numbers and fencing tokens from the beginning, and under the
@@ -96,7 +96,7 @@
         Self::track_job_revisions(leader_state, &events);
         let mut deleted = Vec::new();
         for event in &events {
-            let Some(uid) = event.path.strip_prefix(LIVE_PREFIX) else {
+            let Some(uid) = event.key.strip_prefix(LIVE_PREFIX) else {
                 continue;
             };
             if event.value.is_some() {
@@ -118,7 +118,7 @@
     /// Updates the revisions of the live jobs' keys, and the checksum over them.
     fn track_job_revisions(leader_state: &mut LeaderState, events: &[WatchEvent]) {
         for event in events {
-            let Some(uid) = event.path.strip_prefix(LIVE_PREFIX) else {
+            let Some(uid) = event.key.strip_prefix(LIVE_PREFIX) else {
                 continue;
             };
             let old = match event.value {
@@ -128,12 +128,12 @@
                 None => leader_state.job_revisions.remove(uid),
             };
             if let Some(old) = old {
-                leader_state.jobs_checksum.toggle(&event.path, old);
+                leader_state.jobs_checksum.toggle(&event.key, old);
             }
             if event.value.is_some() {
                 leader_state
                     .jobs_checksum
-                    .toggle(&event.path, event.mod_revision);
+                    .toggle(&event.key, event.mod_revision);
             }
         }
     }
@@ -343,10 +343,10 @@
     /// Adds the end of an attempt to the job's record.
     fn note_ending(job: &mut Job, event: &TaskEvent, cause: &str, now: Now) {
         job.note_ending(TaskEnding {
-            part: event.task.index,
+            task_index: event.task.index,
             machine: event.machine.to_string(),
             cause: cause.to_owned(),
-            at: now.wall,
+            ended_at: now.wall,
         });
     }
 
