--- a/src/accounting.rs
+++ b/src/accounting.rs
@@ -27,7 +27,7 @@
 
 /// What became of a job or of an attempt of a task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TaskOutcome {
+pub enum WorkloadEvent {
     /// A job was accepted, or found in the store at the failover.
     Accepted {
         /// Its tasks that are still to be done.
@@ -50,7 +50,7 @@
 /// How many jobs and task attempts of one class or team came to each outcome. The names of the
 /// fields are those of the `/inspect` output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct OutcomeCounts {
+pub struct WorkloadCounts {
     /// Jobs accepted.
     pub jobs: u64,
     /// Tasks to be done of those jobs.
@@ -73,24 +73,24 @@
     pub lease_expired: u64,
 }
 
-impl OutcomeCounts {
-    fn record(&mut self, outcome: TaskOutcome) {
+impl WorkloadCounts {
+    fn record(&mut self, outcome: WorkloadEvent) {
         let count = match outcome {
-            TaskOutcome::Accepted { tasks } => {
+            WorkloadEvent::Accepted { tasks } => {
                 self.jobs += 1;
                 self.tasks += tasks;
                 return;
             }
-            TaskOutcome::Started => &mut self.started,
-            TaskOutcome::Done => &mut self.done,
-            TaskOutcome::Stopped(Some(StopReason::Preempted)) => &mut self.preempted,
-            TaskOutcome::Stopped(Some(StopReason::SpotNotice)) => &mut self.spot_notice,
-            TaskOutcome::Stopped(Some(StopReason::Cancelled)) => &mut self.cancelled,
+            WorkloadEvent::Started => &mut self.started,
+            WorkloadEvent::Done => &mut self.done,
+            WorkloadEvent::Stopped(Some(StopReason::Preempted)) => &mut self.preempted,
+            WorkloadEvent::Stopped(Some(StopReason::SpotNotice)) => &mut self.spot_notice,
+            WorkloadEvent::Stopped(Some(StopReason::Cancelled)) => &mut self.cancelled,
             // No work was lost by it, or an earlier leader commanded the stop and has counted it.
-            TaskOutcome::Stopped(Some(StopReason::Redundant) | None) => return,
-            TaskOutcome::Failed => &mut self.failed,
-            TaskOutcome::MachineLost => &mut self.machine_lost,
-            TaskOutcome::LeaseExpired => &mut self.lease_expired,
+            WorkloadEvent::Stopped(Some(StopReason::Redundant) | None) => return,
+            WorkloadEvent::Failed => &mut self.failed,
+            WorkloadEvent::MachineLost => &mut self.machine_lost,
+            WorkloadEvent::LeaseExpired => &mut self.lease_expired,
         };
         *count += 1;
     }
@@ -100,14 +100,14 @@
 #[derive(Debug, Default, Serialize)]
 pub struct WorkloadAccounting {
     /// By the class that the job's user gave.
-    pub classes: BTreeMap<String, OutcomeCounts>,
+    pub classes: BTreeMap<String, WorkloadCounts>,
     /// By the team that the job is charged to.
-    pub teams: BTreeMap<String, OutcomeCounts>,
+    pub teams: BTreeMap<String, WorkloadCounts>,
 }
 
 impl WorkloadAccounting {
     /// Counts an outcome for the class and for the team of its job.
-    pub fn record(&mut self, spec: &JobSpec, outcome: TaskOutcome) {
+    pub fn record(&mut self, spec: &JobSpec, outcome: WorkloadEvent) {
         for (counts, name) in [
             (&mut self.classes, &*spec.class),
             (&mut self.teams, &*spec.team),
@@ -126,8 +126,8 @@
 
     /// One line on all classes, for the log.
     pub fn summary(&self) -> String {
-        let summarize = |(name, counts): (&String, &OutcomeCounts)| {
-            let OutcomeCounts {
+        let summarize = |(name, counts): (&String, &WorkloadCounts)| {
+            let WorkloadCounts {
                 jobs,
                 tasks,
                 started,
--- a/src/accounting/tests.rs
+++ b/src/accounting/tests.rs
@@ -1,4 +1,4 @@
-use super::{NAMES_MAX, StopReason, TaskOutcome, WorkloadAccounting};
+use super::{NAMES_MAX, StopReason, WorkloadAccounting, WorkloadEvent};
 use crate::wire::JobSpec;
 
 fn spec(class: &str, team: &str) -> JobSpec {
@@ -14,19 +14,19 @@
 fn each_attempt_is_counted_once_by_class_and_by_team() {
     let mut accounting = WorkloadAccounting::default();
     let (quick_spec, slow_spec) = (spec("quick", "ours"), spec("slow", "ours"));
-    accounting.record(&quick_spec, TaskOutcome::Accepted { tasks: 4 });
+    accounting.record(&quick_spec, WorkloadEvent::Accepted { tasks: 4 });
     for outcome in [
-        TaskOutcome::Started,
-        TaskOutcome::Started,
-        TaskOutcome::Done,
-        TaskOutcome::Stopped(Some(StopReason::Preempted)),
-        TaskOutcome::Stopped(Some(StopReason::Redundant)),
-        TaskOutcome::Stopped(None),
+        WorkloadEvent::Started,
+        WorkloadEvent::Started,
+        WorkloadEvent::Done,
+        WorkloadEvent::Stopped(Some(StopReason::Preempted)),
+        WorkloadEvent::Stopped(Some(StopReason::Redundant)),
+        WorkloadEvent::Stopped(None),
     ] {
         accounting.record(&quick_spec, outcome);
     }
-    accounting.record(&slow_spec, TaskOutcome::Accepted { tasks: 2 });
-    accounting.record(&slow_spec, TaskOutcome::LeaseExpired);
+    accounting.record(&slow_spec, WorkloadEvent::Accepted { tasks: 2 });
+    accounting.record(&slow_spec, WorkloadEvent::LeaseExpired);
     let quick = &accounting.classes["quick"];
     assert_eq!((quick.tasks, quick.started, quick.done), (4, 2, 1));
     assert_eq!(quick.preempted, 1);
@@ -39,7 +39,7 @@
 fn names_past_the_maximum_are_counted_together() {
     let mut accounting = WorkloadAccounting::default();
     for n in 0..1_000 {
-        accounting.record(&spec(&format!("class-{n}"), "ours"), TaskOutcome::Started);
+        accounting.record(&spec(&format!("class-{n}"), "ours"), WorkloadEvent::Started);
     }
     assert_eq!(accounting.classes.len(), NAMES_MAX + 1);
     let all: u64 = accounting
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -142,7 +142,7 @@
     /// What is free for new tasks; `None` when the machine takes none now.
     pub free: Option<Resources>,
     /// What tasks that are being stopped will free.
-    pub freeing: Resources,
+    pub being_freed: Resources,
     /// Its size is known, and that of everything it holds.
     size_known: bool,
     /// All its cores, free or not.
@@ -152,7 +152,12 @@
 }
 
 impl MachineCapacity {
-    fn of(machine: &Machine, types: &[MachineType], now: Micros, silence: Micros) -> Self {
+    fn of(
+        machine: &Machine,
+        types: &[MachineType],
+        now: Micros,
+        heartbeat_grace_period: Micros,
+    ) -> Self {
         let machine_type = type_of(machine, types);
         let mut free = machine_type.map(Resources::of);
         let mut capacity = Self {
@@ -165,19 +170,19 @@
                 free = None;
                 continue;
             };
-            let is_unproven = matches!(entry.state, TaskState::Unconfirmed | TaskState::Sent);
-            if !(is_unproven && fault_injected(InjectedFault::QuotaUncharged)) {
+            let is_unconfirmed = matches!(entry.state, TaskState::Unconfirmed | TaskState::Sent);
+            if !(is_unconfirmed && fault_injected(InjectedFault::QuotaUncharged)) {
                 capacity.charge(spec);
             }
             if let Some(free) = &mut free {
                 free.subtract(spec);
             }
             if entry.is_stopping() {
-                capacity.freeing.add(spec);
+                capacity.being_freed.add(spec);
             }
         }
         capacity.size_known = free.is_some();
-        capacity.free = free.filter(|_| machine.is_usable(now, silence));
+        capacity.free = free.filter(|_| machine.is_usable(now, heartbeat_grace_period));
         capacity
     }
 
@@ -207,7 +212,7 @@
     /// Every machine of the ledger, by name.
     pub machines: BTreeMap<Arc<str>, MachineCapacity>,
     /// What is free on the machines that take new tasks and have cores or accelerators left.
-    pub open_machines: BTreeMap<Arc<str>, Resources>,
+    pub machines_with_capacity: BTreeMap<Arc<str>, Resources>,
     team_usage: HashMap<Arc<str>, Usage>,
     /// Cores of all machines whose type is known.
     pub total_cores: f64,
@@ -229,21 +234,25 @@
         now: Micros,
         workers: &mut WorkerLedger,
         types: &[MachineType],
-        silence: Micros,
-        whole: bool,
+        heartbeat_grace_period: Micros,
+        full: bool,
     ) {
         let mut changed = workers.take_changed();
         if now >= self.rebuild_at {
             self.rebuild_at = now + REBUILD_INTERVAL;
-            self.rebuild(now, workers, types, silence);
+            self.rebuild(now, workers, types, heartbeat_grace_period);
             return;
         }
-        if whole {
-            changed.extend(self.machines_with_outdated_availability(now, workers, silence));
+        if full {
+            changed.extend(self.machines_with_outdated_availability(
+                now,
+                workers,
+                heartbeat_grace_period,
+            ));
         }
         for id in changed {
             match workers.machines.get(&id) {
-                Some(machine) => self.update_machine(now, machine, types, silence),
+                Some(machine) => self.update_machine(now, machine, types, heartbeat_grace_period),
                 None => self.remove_machine(&id),
             }
         }
@@ -255,7 +264,7 @@
         &self,
         now: Micros,
         workers: &WorkerLedger,
-        silence: Micros,
+        heartbeat_grace_period: Micros,
     ) -> Vec<Arc<str>> {
         // Both maps are in the order of names, so they are walked side by side: a look-up by name for
         // each machine was most of what this cost.
@@ -267,7 +276,8 @@
                 .next_if(|(name, _)| *name == id)
                 .map(|(_, known)| known);
             let is_current = |known: &MachineCapacity| {
-                known.free.is_some() == (known.size_known && machine.is_usable(now, silence))
+                known.free.is_some()
+                    == (known.size_known && machine.is_usable(now, heartbeat_grace_period))
             };
             if !capacity.is_some_and(is_current) {
                 outdated.push(id.clone());
@@ -282,21 +292,21 @@
         now: Micros,
         workers: &WorkerLedger,
         types: &[MachineType],
-        silence: Micros,
+        heartbeat_grace_period: Micros,
     ) {
         self.machines.clear();
-        self.open_machines.clear();
+        self.machines_with_capacity.clear();
         self.team_usage.clear();
         (self.total_cores, self.free_cores) = (0.0, 0.0);
         for machine in workers.machines.values() {
-            self.update_machine(now, machine, types, silence);
+            self.update_machine(now, machine, types, heartbeat_grace_period);
         }
     }
 
     fn remove_machine(&mut self, id: &Arc<str>) {
         if let Some(old) = self.machines.remove(id) {
             self.subtract_machine(&old);
-            self.open_machines.remove(id);
+            self.machines_with_capacity.remove(id);
         }
     }
 
@@ -326,10 +336,10 @@
         now: Micros,
         machine: &Machine,
         types: &[MachineType],
-        silence: Micros,
+        heartbeat_grace_period: Micros,
     ) {
         self.machines_examined += 1;
-        let new = MachineCapacity::of(machine, types, now, silence);
+        let new = MachineCapacity::of(machine, types, now, heartbeat_grace_period);
         let free = new.free;
         self.add_machine(&new);
         // A machine that is known is written over: it changes far more often than it comes or goes.
@@ -341,14 +351,14 @@
             self.subtract_machine(old);
         }
         match free.filter(Resources::has_compute) {
-            Some(free) => match self.open_machines.get_mut(&machine.id) {
+            Some(free) => match self.machines_with_capacity.get_mut(&machine.id) {
                 Some(open) => *open = free,
                 None => {
-                    self.open_machines.insert(machine.id.clone(), free);
+                    self.machines_with_capacity.insert(machine.id.clone(), free);
                 }
             },
             None if old.is_some_and(|old| old.free.is_some()) => {
-                self.open_machines.remove(&machine.id);
+                self.machines_with_capacity.remove(&machine.id);
             }
             None => {}
         }
@@ -363,15 +373,15 @@
     /// of the machine finds the task there. The reservation counts as part of the machine, so that
     /// this update takes it off: the team would else be charged for the task twice, and kept from
     /// using what it may.
-    pub fn reserve(&mut self, id: &Arc<str>, spec: &JobSpec) {
+    pub fn allocate(&mut self, id: &Arc<str>, spec: &JobSpec) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.charge(spec);
             if let Some(free) = &mut machine.free {
                 free.subtract(spec);
                 self.free_cores -= spec.cores;
                 if !free.has_compute() {
-                    self.open_machines.remove(id);
-                } else if let Some(open) = self.open_machines.get_mut(id) {
+                    self.machines_with_capacity.remove(id);
+                } else if let Some(open) = self.machines_with_capacity.get_mut(id) {
                     *open = *free;
                 }
             }
@@ -383,13 +393,13 @@
     }
 
     /// Takes a reservation back.
-    pub fn release(&mut self, id: &Arc<str>, spec: &JobSpec) {
+    pub fn deallocate(&mut self, id: &Arc<str>, spec: &JobSpec) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.refund(spec);
             if let Some(free) = &mut machine.free {
                 free.add(spec);
                 self.free_cores += spec.cores;
-                self.open_machines.insert(id.clone(), *free);
+                self.machines_with_capacity.insert(id.clone(), *free);
             }
         }
         if let Some(usage) = self.team_usage.get_mut(&spec.team) {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -40,7 +40,7 @@
 /// How long nothing is listed or rented after the provider has said that it is in trouble.
 const UNAVAILABLE_DELAY: Micros = 3 * SECOND;
 /// The provider's error when it is in trouble as a whole, as opposed to lacking the requested machines.
-const TROUBLE_ERROR: &str = "trouble";
+const UNAVAILABLE_ERROR: &str = "trouble";
 /// How long an offer is not requested after the provider has first lacked machines of it.
 const BACKOFF_MIN: Micros = 6 * SECOND;
 /// The longest that an offer is not requested; the backoff grows by a half each time.
@@ -155,7 +155,7 @@
     /// Machines were rented, perhaps fewer than requested; they are booting.
     Rented {
         /// Names of the machines.
-        hosts: Vec<Arc<str>>,
+        machines: Vec<Arc<str>>,
         /// What was requested.
         offer: Offer,
     },
@@ -166,20 +166,20 @@
 }
 
 /// The client.
-pub struct Cloud {
+pub struct CloudClient {
     addr: SocketAddr,
     /// Name of this controller.
     node_name: String,
     /// The machine types, from the provider or assumed.
     pub types: Vec<MachineType>,
     /// When the machine types are next read.
-    types_at: Micros,
+    types_due_at: Micros,
     types_in_flight: bool,
     /// The provider has sent the machine types to this process.
     types_confirmed: bool,
     in_flight: HashMap<Ticket, CloudCall>,
     /// When the machines are next listed.
-    list_at: Micros,
+    list_due_at: Micros,
     list_in_flight: bool,
     /// Machines that are booting, by name.
     pub booting: BTreeMap<Arc<str>, BootingMachine>,
@@ -187,11 +187,11 @@
     pub listed: BTreeMap<Arc<str>, Micros>,
     backoffs: BTreeMap<Offer, Backoff>,
     /// Offers of which machines have been rented before, so that a lost machine may be replaced.
-    previously_granted: BTreeSet<Offer>,
+    previously_rented: BTreeSet<Offer>,
     unavailable_until: Micros,
     retries: Vec<PendingRetry>,
     rentals_requested: u64,
-    /// Of this process, see [`Cloud::rent`].
+    /// Of this process, see [`CloudClient::rent`].
     incarnation: u64,
     /// Machines that are to be released.
     releases: Vec<Arc<str>>,
@@ -200,7 +200,7 @@
     next_call_at: Micros,
 }
 
-impl Cloud {
+impl CloudClient {
     /// A client of the provider at `addr` for the controller of that name. `incarnation` differs for each of its
     /// processes; `call_rate` is the provider's limit in calls a second.
     pub fn new(addr: SocketAddr, node_name: &str, incarnation: u64, call_rate: f64) -> Self {
@@ -208,16 +208,16 @@
             addr,
             node_name: node_name.to_owned(),
             types: Vec::new(),
-            types_at: 0,
+            types_due_at: 0,
             types_in_flight: false,
             types_confirmed: false,
             in_flight: HashMap::default(),
-            list_at: 0,
+            list_due_at: 0,
             list_in_flight: false,
             booting: BTreeMap::new(),
             listed: BTreeMap::new(),
             backoffs: BTreeMap::new(),
-            previously_granted: BTreeSet::new(),
+            previously_rented: BTreeSet::new(),
             unavailable_until: 0,
             retries: Vec::new(),
             rentals_requested: 0,
@@ -257,20 +257,20 @@
         self.listed.clear();
         self.backoffs.clear();
         self.releases.clear();
-        self.list_at = 0;
+        self.list_due_at = 0;
         self.retries
             .retain(|retry| matches!(retry.call, CloudCall::Rent { .. }));
     }
 
-    /// When [`Cloud::tick`] should next be called.
+    /// When [`CloudClient::tick`] should next be called.
     pub fn wake_at(&self, is_leader: bool) -> Micros {
         let mut at = Micros::MAX;
         if self.wants_types(is_leader) {
-            at = self.types_at;
+            at = self.types_due_at;
         }
         if is_leader {
             if !self.list_in_flight {
-                at = at.min(self.next_list_at());
+                at = at.min(self.next_list_due_at());
             }
             if !self.releases.is_empty() {
                 at = at.min(self.next_call_at);
@@ -285,8 +285,8 @@
         !self.types_in_flight && (!self.types_confirmed || is_leader)
     }
 
-    fn next_list_at(&self) -> Micros {
-        self.list_at.max(self.unavailable_until)
+    fn next_list_due_at(&self) -> Micros {
+        self.list_due_at.max(self.unavailable_until)
     }
 
     /// Sends the calls that are due. Only a leader lists, releases and repeats.
@@ -297,14 +297,14 @@
         last_ticket: &mut Ticket,
         outputs: &mut Vec<Output>,
     ) {
-        if self.wants_types(is_leader) && now >= self.types_at {
+        if self.wants_types(is_leader) && now >= self.types_due_at {
             self.types_in_flight = true;
             self.send(CloudCall::Types, last_ticket, outputs);
         }
         if !is_leader {
             return;
         }
-        if !self.list_in_flight && now >= self.next_list_at() {
+        if !self.list_in_flight && now >= self.next_list_due_at() {
             self.list_in_flight = true;
             let after = String::new();
             self.send(CloudCall::List { after }, last_ticket, outputs);
@@ -378,8 +378,8 @@
     }
 
     /// Whether machines of this offer have been rented before, so that a lost one may be replaced.
-    pub fn replaceable(&self, offer: &Offer) -> bool {
-        self.previously_granted.contains(offer)
+    pub fn is_replaceable(&self, offer: &Offer) -> bool {
+        self.previously_rented.contains(offer)
     }
 
     /// Has a machine released, together with others.
@@ -409,46 +409,46 @@
             _ => (0, [].as_slice()),
         };
         let value: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-        if status == 503 && value["error"] == TROUBLE_ERROR {
+        if status == 503 && value["error"] == UNAVAILABLE_ERROR {
             self.unavailable_until = now + UNAVAILABLE_DELAY;
         }
         match call {
-            CloudCall::Types => self.types_answered(now, status, value),
-            CloudCall::List { .. } => self.list_answered(now, status, value),
+            CloudCall::Types => self.handle_types_reply(now, status, value),
+            CloudCall::List { .. } => self.handle_list_reply(now, status, value),
             CloudCall::Rent {
                 offer,
                 machines,
                 rental,
-            } => self.rental_answered(now, offer, machines, rental, status, &value),
-            CloudCall::Release { machines } => self.release_answered(now, machines, status),
+            } => self.handle_rental_reply(now, offer, machines, rental, status, &value),
+            CloudCall::Release { machines } => self.handle_release_reply(now, machines, status),
         }
     }
 
-    fn types_answered(&mut self, now: Micros, status: u16, value: Value) -> Vec<CloudEvent> {
+    fn handle_types_reply(&mut self, now: Micros, status: u16, value: Value) -> Vec<CloudEvent> {
         self.types_in_flight = false;
-        self.types_at = now + RETRY_DELAY;
+        self.types_due_at = now + RETRY_DELAY;
         if status == 200
             && let Ok(types) = serde_json::from_value::<MachineTypes>(value)
             && !types.types.is_empty()
         {
             self.types = types.types;
             self.types_confirmed = true;
-            self.types_at = now + TYPES_REFRESH_INTERVAL;
+            self.types_due_at = now + TYPES_REFRESH_INTERVAL;
             return vec![CloudEvent::TypesUpdated];
         }
         Vec::new()
     }
 
-    fn list_answered(&mut self, now: Micros, status: u16, value: Value) -> Vec<CloudEvent> {
+    fn handle_list_reply(&mut self, now: Micros, status: u16, value: Value) -> Vec<CloudEvent> {
         self.list_in_flight = false;
-        self.list_at = now + LIST_INTERVAL;
+        self.list_due_at = now + LIST_INTERVAL;
         match serde_json::from_value::<MachineList>(value) {
             Ok(list) if status == 200 => self.apply_list(now, list),
             _ => Vec::new(),
         }
     }
 
-    fn rental_answered(
+    fn handle_rental_reply(
         &mut self,
         now: Micros,
         offer: Offer,
@@ -459,10 +459,10 @@
     ) -> Vec<CloudEvent> {
         match status {
             200 => {
-                let hosts = serde_json::from_value(value["hosts"].clone()).unwrap_or_default();
-                return self.rented(now, offer, machines, hosts);
+                let rented = serde_json::from_value(value["hosts"].clone()).unwrap_or_default();
+                return self.handle_rented(now, offer, machines, rented);
             }
-            503 if value["error"] != TROUBLE_ERROR => self.back_off(now, &offer),
+            503 if value["error"] != UNAVAILABLE_ERROR => self.back_off(now, &offer),
             400 => {
                 log::error!("rental refused as malformed rental={rental}");
                 self.back_off(now, &offer);
@@ -481,32 +481,32 @@
     }
 
     /// The provider has rented machines; fewer than requested if it has no more.
-    fn rented(
+    fn handle_rented(
         &mut self,
         now: Micros,
         offer: Offer,
         requested: u32,
-        hosts: Vec<Arc<str>>,
+        machines: Vec<Arc<str>>,
     ) -> Vec<CloudEvent> {
-        if (hosts.len() as u32) < requested {
+        if (machines.len() as u32) < requested {
             self.back_off(now, &offer);
         } else {
             self.backoffs.remove(&offer);
         }
-        if !hosts.is_empty() {
-            self.previously_granted.insert(offer.clone());
+        if !machines.is_empty() {
+            self.previously_rented.insert(offer.clone());
         }
-        for host in &hosts {
+        for machine_id in &machines {
             let machine = BootingMachine {
                 offer: offer.clone(),
                 since: now,
             };
-            self.booting.insert(host.clone(), machine);
+            self.booting.insert(machine_id.clone(), machine);
         }
-        vec![CloudEvent::Rented { hosts, offer }]
+        vec![CloudEvent::Rented { machines, offer }]
     }
 
-    fn release_answered(
+    fn handle_release_reply(
         &mut self,
         now: Micros,
         machines: Vec<Arc<str>>,
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -33,7 +33,7 @@
 mod task_events;
 
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::election::{Election, LEADER_KEY};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
@@ -86,7 +86,7 @@
     tickets: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
-    cloud: Cloud,
+    cloud: CloudClient,
     client_requests: ClientRequests,
     /// Present from the election to the end of the leadership.
     leader_state: Option<LeaderState>,
@@ -131,7 +131,7 @@
                 run,
                 (props.leader_ttl_min.min(props.leader_ttl), props.leader_ttl),
             ),
-            cloud: Cloud::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
+            cloud: CloudClient::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
             client_requests: ClientRequests::new(),
             rng_seed: if props.seed == 0 { run } else { props.seed },
             leader_state: None,
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -12,7 +12,7 @@
 use crate::clock::MILLISECOND;
 use crate::jobs::Job;
 use crate::messages::{ConnId, Outcome};
-use crate::scheduler::silence_limit;
+use crate::scheduler::heartbeat_grace_period;
 use crate::schema::SCHEMA_VERSION;
 use crate::wire::{FRAME_MAX, KIND_ADMIN_QUERY};
 use crate::worker_ledger::Machine;
@@ -159,7 +159,7 @@
         json!({"type": machine.machine_type, "zone": machine.zone, "spot": machine.spot, "session": machine.agent_epoch,
                "heard": machine.term_confirmed, "in_doubt": machine.is_in_doubt(), "silent_ms": silent_ms,
                "quarantined": machine.quarantined_until > now,
-               "held_for": machine.unavailable_reason(now, silence_limit(&self.settings)),
+               "held_for": machine.unavailable_reason(now, heartbeat_grace_period(&self.settings)),
                "notice": machine.reclaim_at.is_some(), "tasks": tasks})
     }
 
@@ -210,10 +210,10 @@
         &self,
         leader_state: &LeaderState,
     ) -> BTreeMap<&'static str, usize> {
-        let (t, silence_limit) = (self.now.steady, silence_limit(&self.settings));
+        let (t, heartbeat_grace_period) = (self.now.steady, heartbeat_grace_period(&self.settings));
         let mut held = BTreeMap::new();
         for m in leader_state.workers.machines.values() {
-            if let Some(reason) = m.unavailable_reason(t, silence_limit) {
+            if let Some(reason) = m.unavailable_reason(t, heartbeat_grace_period) {
                 *held.entry(reason).or_default() += 1;
             }
         }
@@ -261,7 +261,7 @@
                 "accepted_by": job.accepted_by, "tasks": job.spec.tasks,
                 "done": job.spec.tasks - job.remaining_tasks(), "placed": job.placements.len(),
                 "waiting": job.pending_count, "waits_because": self.wait_reason(leader_state, job),
-                "cancelled": job.cancelled, "failing": !job.errors.is_empty()});
+                "cancelled": job.cancelled, "failing": !job.failures_by_machine.is_empty()});
             (&*job.spec.uid, row)
         });
         let (rows, next) = page(rows);
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -16,7 +16,7 @@
 use crate::job_record::{
     FINISHED_PREFIX, FinalState, final_body, finished_key, live_body, live_key, stopping_key,
 };
-use crate::jobs::Progress;
+use crate::jobs::JobProgress;
 use crate::messages::ConnId;
 use crate::schema::{self, Schema, chunk_key};
 use crate::state_client::{Item, Op, Raw, Reply, RequestPriority, Transaction};
@@ -348,7 +348,7 @@
             let done = job.spec.tasks - job.remaining_tasks();
             ProgressRow::new(&job.spec.uid, done as u32, job.placements.len() as u32)
         });
-        let (body, left_out) = Progress::frame(rows);
+        let (body, left_out) = JobProgress::encode_frame(rows);
         let minute = |at: Micros| at / (60 * SECOND);
         if left_out > 0 && minute(now) != minute(now.saturating_sub(PROGRESS_INTERVAL)) {
             log::warn!("progress frame full, polls of the other jobs are read jobs={left_out}");
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -7,7 +7,7 @@
 use super::Controller;
 use super::leader::LeaderState;
 use crate::clock::{Micros, SECOND};
-use crate::cloud::{Cloud, CloudEvent, Offer};
+use crate::cloud::{CloudClient, CloudEvent, Offer};
 use crate::settings::Settings;
 use crate::worker_ledger::Machine;
 use std::sync::Arc;
@@ -34,14 +34,14 @@
         for event in events {
             match event {
                 CloudEvent::TypesUpdated => {}
-                CloudEvent::Rented { hosts, offer } => {
+                CloudEvent::Rented { machines, offer } => {
                     log::info!(
                         "machines rented count={} machine_type={} zone={}",
-                        hosts.len(),
+                        machines.len(),
                         offer.machine_type,
                         offer.zone
                     );
-                    leader_state.rented.extend(hosts);
+                    leader_state.rented.extend(machines);
                 }
                 CloudEvent::Failed(id) => {
                     if !leader_state.workers.is_tombstoned(&id) {
@@ -50,7 +50,7 @@
                         self.cloud.release(id);
                     }
                 }
-                CloudEvent::Released(hosts) => gone.extend(hosts),
+                CloudEvent::Released(machines) => gone.extend(machines),
             }
         }
         let now = self.now.steady;
@@ -154,7 +154,7 @@
                 zone: machine.zone.clone(),
                 spot: machine.spot,
             };
-            if machine.spot || self.cloud.replaceable(&offer) {
+            if machine.spot || self.cloud.is_replaceable(&offer) {
                 log::info!("machine unreachable; returning it machine={id}");
                 machine.releasing = true;
                 self.cloud.release(id);
@@ -165,7 +165,7 @@
     /// How many machines of each offer the waiting work would fill, the cheapest by core first.
     fn wanted_machines(
         leader_state: &LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         settings: &Settings,
         now: Micros,
     ) -> Vec<(Offer, u32)> {
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -8,7 +8,7 @@
 
 use super::peer_links::SERVING_FRESH_FOR;
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::jobs::{FinalCache, Progress};
+use crate::jobs::{FinalStateCache, JobProgress};
 use crate::messages::{ConnId, Ticket};
 use crate::request_starvation::RequestStarvation;
 use crate::seeded_hash::HashMap;
@@ -65,8 +65,8 @@
     polls: Vec<PendingPoll>,
     poll_batch_due_at: Micros,
     starvation: RequestStarvation,
-    final_states: FinalCache,
-    progress: Progress,
+    final_states: FinalStateCache,
+    progress: JobProgress,
     /// When the leader last announced progress; 0 before the first time.
     progress_at: Micros,
     /// When the load balancer last checked whether this node is up.
@@ -83,8 +83,8 @@
             polls: Vec::new(),
             poll_batch_due_at: Micros::MAX,
             starvation: RequestStarvation::default(),
-            final_states: FinalCache::new(FINAL_STATES_CACHED),
-            progress: Progress::default(),
+            final_states: FinalStateCache::new(FINAL_STATES_CACHED),
+            progress: JobProgress::default(),
             progress_at: 0,
             health_checked_at: 0,
         }
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -8,7 +8,7 @@
 use super::state_request::StateRequest;
 use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{Micros, from_secs};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::dependency_graph::latest_start;
 use crate::election::LEADER_KEY;
 use crate::job_record::{FinalState, finished_key, live_key};
@@ -33,7 +33,11 @@
 
 impl Controller {
     /// Adds a job that waits for others to the dependency graph.
-    pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
+    pub(super) fn add_dependencies(
+        leader_state: &mut LeaderState,
+        cloud: &CloudClient,
+        uid: &Arc<str>,
+    ) {
         let Some(job) = leader_state
             .jobs
             .get(uid)
@@ -49,7 +53,7 @@
         let scheduler = &leader_state.scheduler;
         leader_state
             .pipelines
-            .propagate_back(&mut leader_state.jobs, uid, |spec| {
+            .propagate_to_dependencies(&mut leader_state.jobs, uid, |spec| {
                 expected_step_time(scheduler, cloud, spec)
             });
     }
@@ -80,7 +84,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.pipelines.outcome_answered(uid);
+        leader_state.pipelines.outcome_read_ended(uid);
         match reply {
             Reply::Item(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
@@ -106,7 +110,7 @@
         uid: &Arc<str>,
         end: &FinalState,
     ) {
-        leader_state.pipelines.forget(uid);
+        leader_state.pipelines.remove(uid);
         if end.is_done() {
             return Self::dependency_done(leader_state, now, uid, end.finished_at);
         }
@@ -206,7 +210,7 @@
             match reply {
                 Reply::Applied { .. } => {
                     log::info!("job cancelled with a dependency job={uid} cancelled={root}");
-                    leader_state.pipelines.forget(&uid);
+                    leader_state.pipelines.remove(&uid);
                     for dependent in leader_state.pipelines.dependency_cancelled(&uid) {
                         leader_state
                             .cascading_cancellations
@@ -275,9 +279,9 @@
 
 /// How long a job takes from its release to its end, in microseconds: fetching its image, and the
 /// slowest of its tasks, which takes longer than the average one.
-fn expected_step_time(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
+fn expected_step_time(scheduler: &Scheduler, cloud: &CloudClient, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
-    let run = scheduler.expected_run(spec);
+    let run = scheduler.expected_run_time(spec);
     run + run / 2 + from_secs(spec.image_gb / rate)
 }
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -9,7 +9,7 @@
 use super::leader::LeaderState;
 use super::leader_schedule::LeaderSchedule;
 use super::state_request::StateRequest;
-use crate::accounting::{TaskOutcome, WorkloadAccounting};
+use crate::accounting::{WorkloadAccounting, WorkloadEvent};
 use crate::cancellation_freshness::{CancellationFreshness, validity_from_settings};
 use crate::clock::{MILLISECOND, Micros, SECOND, drift_upper_bound, from_secs};
 use crate::dependency_graph::DependencyGraph;
@@ -387,7 +387,7 @@
             Reconciliation::new(now, machines, self.settings.report_period());
         let completion_rate = leader_state
             .scheduler
-            .expect_completion_rate(now, &leader_state.workers);
+            .estimate_completion_rate(now, &leader_state.workers);
         leader_state
             .reconciliation
             .expect_completion_rate(completion_rate);
@@ -427,7 +427,7 @@
         let tasks = record.spec.tasks.saturating_sub(record.done_count());
         leader_state
             .accounting
-            .record(&record.spec, TaskOutcome::Accepted { tasks });
+            .record(&record.spec, WorkloadEvent::Accepted { tasks });
         let mut unconfirmed = 0;
         for (machine, ranges) in &record.placed {
             for index in ranges.iter().flat_map(|(from, to)| *from..*to) {
--- a/src/controller/leader.rs
+++ b/src/controller/leader.rs
@@ -217,11 +217,11 @@
             leader_state.schedule.request_save();
         }
         for placement in &placed {
-            if let Some(job) = leader_state.jobs.by_number.get(&placement.key.job) {
+            if let Some(job) = leader_state.jobs.by_number.get(&placement.task.job) {
                 log::debug!(
                     "task placed task={}/{} attempt={} machine={}",
                     job.spec.uid,
-                    placement.key.index,
+                    placement.task.index,
                     placement.attempt,
                     placement.machine
                 );
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -8,7 +8,7 @@
 use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::accounting::StopReason;
 use crate::clock::{Micros, SECOND, from_secs};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::election::LEADER_KEY;
 use crate::job_record::stopping_key;
 use crate::registry::RegistryRequest;
@@ -39,7 +39,10 @@
                 .workers
                 .mark_silent_machines(self.now, leader_state.valid_since);
         }
-        if leader_state.scheduler.tick(now, &self.cloud.types) {
+        if leader_state
+            .scheduler
+            .end_round_if_due(now, &self.cloud.types)
+        {
             Self::log_cluster_usage(leader_state, &self.cloud, now);
             let used: BTreeSet<u32> = leader_state
                 .workers
@@ -82,7 +85,7 @@
     }
 
     /// Logs where the cores are: the first thing to look at when work waits.
-    fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, now: Micros) {
+    fn log_cluster_usage(leader_state: &LeaderState, cloud: &CloudClient, now: Micros) {
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
@@ -184,7 +187,7 @@
                         .map_or(0, |since| now.saturating_sub(since));
                     let remaining = leader_state
                         .scheduler
-                        .expected_run(spec)
+                        .expected_run_time(spec)
                         .saturating_sub(ran);
                     if remaining > left {
                         stops.push((machine.id.clone(), *task, *attempt, 0.0));
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -8,9 +8,9 @@
 use super::Controller;
 use super::failover::StoredJob;
 use super::leader::LeaderState;
-use crate::accounting::{StopReason, TaskOutcome};
+use crate::accounting::{StopReason, WorkloadEvent};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{LIVE_PREFIX, TaskEnding};
 use crate::jobs::Job;
@@ -192,7 +192,7 @@
             Self::stop_all_tasks(&mut leader_state.workers, job);
             // What its end means for its dependents is read from the state service.
             let uid = job.spec.uid.clone();
-            leader_state.pipelines.forget(&uid);
+            leader_state.pipelines.remove(&uid);
             leader_state.pipelines.request_outcome(&uid);
         }
     }
@@ -226,7 +226,7 @@
 
     fn apply_task_event(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Now,
         event: &TaskEvent,
     ) {
@@ -243,7 +243,7 @@
                 if let Some(job) = leader_state.jobs.by_number.get(&event.task.job) {
                     leader_state
                         .accounting
-                        .record(&job.spec, TaskOutcome::Started);
+                        .record(&job.spec, WorkloadEvent::Started);
                 }
                 Self::attempt_found(leader_state, now, event);
             }
@@ -313,8 +313,8 @@
         job.remove_placement(index, &event.machine, event.attempt);
         let outcome = match why {
             _ if event.attempt == 0 || job.cancelled || job.done.contains(&index) => None,
-            LEASE_EXPIRED => Some(TaskOutcome::LeaseExpired),
-            MACHINE_GONE | NOT_THERE => Some(TaskOutcome::MachineLost),
+            LEASE_EXPIRED => Some(WorkloadEvent::LeaseExpired),
+            MACHINE_GONE | NOT_THERE => Some(WorkloadEvent::MachineLost),
             _ => None,
         };
         if let Some(outcome) = outcome {
@@ -336,7 +336,7 @@
 
     /// Keeps how an attempt ended in the job's record.
     fn note_ending(job: &mut Job, event: &TaskEvent, cause: &str, now: Now) {
-        job.note_ending(TaskEnding {
+        job.record_ending(TaskEnding {
             part: event.task.index,
             machine: event.machine.to_string(),
             cause: cause.to_owned(),
@@ -367,9 +367,9 @@
         );
         let outcome = match end.cause {
             "done" if job.cancelled || job.done.contains(&index) => None,
-            "done" => Some(TaskOutcome::Done),
-            "stopped" => Some(TaskOutcome::Stopped(end.stop)),
-            "error" => Some(TaskOutcome::Failed),
+            "done" => Some(WorkloadEvent::Done),
+            "stopped" => Some(WorkloadEvent::Stopped(end.stop)),
+            "error" => Some(WorkloadEvent::Failed),
             _ => None,
         };
         if let Some(outcome) = outcome {
@@ -425,7 +425,7 @@
     /// Tells machines that fail or slow everything from jobs that fail everywhere.
     fn judge_task_end(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Micros,
         event: &TaskEvent,
         end: &AttemptEnd<'_>,
@@ -450,7 +450,7 @@
     /// A completion clears the machine of suspicion and shows how fast it is.
     fn judge_completion(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Micros,
         event: &TaskEvent,
         ran: Micros,
@@ -461,30 +461,32 @@
         let Some(machine) = leader_state.workers.machines.get_mut(&event.machine) else {
             return;
         };
-        leader_state.scheduler.note_completion(now, job.spec.cores);
+        leader_state
+            .scheduler
+            .record_completion(now, job.spec.cores);
         machine.error_streak = 0;
         machine.failed_jobs.clear();
         if ran == 0 || job.checkpointed_tasks.contains(&event.task.index) {
             return;
         }
         let ran_log = (ran as f64).ln();
-        let (log_sum, log_count) = job.run_time_logs;
+        let (log_sum, log_count) = job.ln_run_times;
         if log_count > 0.0 {
             // The fewer siblings, the less their mean says.
             let weight = log_count / (log_count + 1.0);
             machine.run_time_bias.0 += weight * (ran_log - log_sum / log_count).clamp(-1.0, 1.0);
             machine.run_time_bias.1 += weight;
         }
-        job.run_time_logs.0 += ran_log;
-        job.run_time_logs.1 += 1.0;
-        let ratio = ran as f64 / leader_state.scheduler.expected_run(&job.spec) as f64;
+        job.ln_run_times.0 += ran_log;
+        job.ln_run_times.1 += 1.0;
+        let ratio = ran as f64 / leader_state.scheduler.expected_run_time(&job.spec) as f64;
         machine.slowness =
             SLOWNESS_KEPT * machine.slowness + SLOWNESS_WEIGHT * ratio.clamp(0.2, 5.0);
         if let Some(machine_type) = cloud.machine_type_named(&machine.machine_type) {
             let spot = machine.spot;
             leader_state
                 .scheduler
-                .task_done(&job.spec, machine_type, spot, ran);
+                .learn_from_completion(&job.spec, machine_type, spot, ran);
         }
     }
 
@@ -493,8 +495,10 @@
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
         };
-        *job.errors.entry(event.machine.clone()).or_default() += 1;
-        job.failed_after = job.failed_after.max(ran);
+        *job.failures_by_machine
+            .entry(event.machine.clone())
+            .or_default() += 1;
+        job.longest_failed_run = job.longest_failed_run.max(ran);
         if job.is_suspect() {
             // The job is at fault: it waits longer and longer, and the machines that it failed on
             // are not to blame.
@@ -504,7 +508,7 @@
                 let backoff = FAILING_JOB_BACKOFF << doublings;
                 job.not_before = now + backoff.min(FAILING_JOB_BACKOFF_MAX);
             }
-            for id in job.errors.keys() {
+            for id in job.failures_by_machine.keys() {
                 if let Some(machine) = leader_state.workers.machines.get_mut(id) {
                     machine.forgive_failure(event.task.job, now);
                 }
--- a/src/dependency_graph.rs
+++ b/src/dependency_graph.rs
@@ -20,7 +20,7 @@
 /// The most final states that are read at a time.
 const OUTCOME_READS_MAX: usize = 16;
 /// What a job takes beside the run time of its tasks: starts, heartbeats, saving its end.
-const STEP_OVERHEAD: Micros = SECOND;
+const JOB_OVERHEAD: Micros = SECOND;
 /// Inheritance stops after this many edges. Only accepted jobs can be named as dependencies, so there are no
 /// cycles, unless a stored value says otherwise.
 const PROPAGATION_STEPS_MAX: usize = 10_000;
@@ -92,7 +92,7 @@
     }
 
     /// A read of an outcome has ended, in whatever way.
-    pub fn outcome_answered(&mut self, uid: &str) {
+    pub fn outcome_read_ended(&mut self, uid: &str) {
         self.outcomes_in_flight.remove(uid);
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Removes a waiting job that is finished itself, or about to be.
-    pub fn forget(&mut self, uid: &str) {
+    pub fn remove(&mut self, uid: &str) {
         let Some(waiting) = self.waiting.remove(uid) else {
             return;
         };
@@ -179,7 +179,7 @@
 
     /// Passes priority and deadline on from a job to its unmet dependencies, direct and indirect. An edge is
     /// followed as often as what is passed along it changes. `run_time` estimates a job's run time.
-    pub fn propagate_back(
+    pub fn propagate_to_dependencies(
         &self,
         jobs: &mut JobTable,
         from: &Arc<str>,
@@ -234,5 +234,5 @@
         .deadline_s
         .map(|deadline_s| job.accepted_at + from_secs(deadline_s));
     let due_at = own.into_iter().chain(job.due_at).min();
-    due_at.map(|due_at| due_at.saturating_sub(run_time + STEP_OVERHEAD))
+    due_at.map(|due_at| due_at.saturating_sub(run_time + JOB_OVERHEAD))
 }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,8 +1,8 @@
 //! The leader's live jobs, and what every controller remembers of jobs to answer polls.
 //!
 //! A [`Job`] owns the state of its tasks: each is pending, may be placed on machines, or is done. [`JobTable`]
-//! owns the live jobs of one leader term and numbers them, [`FinalCache`] the final states that this node has
-//! read, and [`Progress`] the progress that the leader last announced. Nothing here does I/O or decides where a
+//! owns the live jobs of one leader term and numbers them, [`FinalStateCache`] the final states that this node has
+//! read, and [`JobProgress`] the progress that the leader last announced. Nothing here does I/O or decides where a
 //! task runs; `job_record` has the stored form.
 //!
 //! Invariants at the door: a task that is done never becomes pending again; a task becomes pending only once
@@ -92,17 +92,17 @@
     /// It must be saved at once: a start or the job's end waits for it.
     pub save_urgent: bool,
     /// How many attempts have failed on each machine.
-    pub errors: BTreeMap<Arc<str>, u32>,
+    pub failures_by_machine: BTreeMap<Arc<str>, u32>,
     /// None of its tasks is started before, after failures.
     pub not_before: Micros,
     /// The longest that an attempt ran before it failed.
-    pub failed_after: Micros,
+    pub longest_failed_run: Micros,
     /// How many trials of a suspect job have failed, each followed by a longer wait.
     pub failed_trials: u32,
     /// How many tasks of a suspect job may be started now, as a trial of whether they fail again.
     pub trial_tasks: Option<u64>,
     /// Logarithms of the run times of the tasks that ran without interruption: sum and count.
-    pub run_time_logs: (f64, f64),
+    pub ln_run_times: (f64, f64),
     /// Tasks that have saved a checkpoint: the run time of the last attempt is not that of the whole task.
     pub checkpointed_tasks: BTreeSet<u32>,
 }
@@ -151,12 +151,12 @@
             reread_pending: false,
             dirty_since: None,
             save_urgent: false,
-            errors: BTreeMap::new(),
+            failures_by_machine: BTreeMap::new(),
             not_before: 0,
-            failed_after: 0,
+            longest_failed_run: 0,
             failed_trials: 0,
             trial_tasks: None,
-            run_time_logs: (0.0, 0.0),
+            ln_run_times: (0.0, 0.0),
             checkpointed_tasks: BTreeSet::new(),
         }
     }
@@ -215,7 +215,7 @@
 
     /// Whether the job itself seems to be faulty: it fails on whatever machine it is placed.
     pub fn is_suspect(&self) -> bool {
-        self.errors.len() >= SUSPECT_MACHINES_MIN && self.done.is_empty()
+        self.failures_by_machine.len() >= SUSPECT_MACHINES_MIN && self.done.is_empty()
     }
 
     /// How many pending tasks may be started now: as many as the stored values have capacity for.
@@ -288,7 +288,7 @@
     }
 
     /// Keeps why an attempt ended, shortened, in place of the oldest ending if there are too many.
-    pub fn note_ending(&mut self, mut ending: TaskEnding) {
+    pub fn record_ending(&mut self, mut ending: TaskEnding) {
         if let Some((end, _)) = ending.cause.char_indices().nth(CAUSE_CHARS_MAX) {
             ending.cause.truncate(end);
         }
@@ -375,14 +375,14 @@
 
 /// Answers about finished jobs whose final states this node has read. Final states never change, so an answer
 /// can be kept for as long as there is capacity.
-pub struct FinalCache {
+pub struct FinalStateCache {
     known: HashMap<String, Value>,
     /// Job ids in the order in which they came.
     order: VecDeque<String>,
     jobs_max: usize,
 }
 
-impl FinalCache {
+impl FinalStateCache {
     /// An empty cache for at most that many jobs.
     pub fn new(jobs_max: usize) -> Self {
         Self {
@@ -412,21 +412,21 @@
 
 /// The progress of the live jobs, as the leader last announced it.
 #[derive(Default)]
-pub struct Progress {
+pub struct JobProgress {
     /// In the order of their ids.
     rows: Vec<ProgressRow>,
 }
 
 /// The most rows of a progress frame: what a frame takes, less the sender's name.
-const PROGRESS_ROWS: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
+const PROGRESS_ROWS_MAX: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
 
-impl Progress {
+impl JobProgress {
     /// What the leader announces of its live jobs, and how many of them do not fit a frame. Polls of those are
     /// answered from the state service.
-    pub fn frame(rows: impl Iterator<Item = ProgressRow>) -> (Vec<u8>, usize) {
+    pub fn encode_frame(rows: impl Iterator<Item = ProgressRow>) -> (Vec<u8>, usize) {
         let mut rows: Vec<ProgressRow> = rows.collect();
-        let left_out = rows.len().saturating_sub(PROGRESS_ROWS);
-        rows.truncate(PROGRESS_ROWS);
+        let left_out = rows.len().saturating_sub(PROGRESS_ROWS_MAX);
+        rows.truncate(PROGRESS_ROWS_MAX);
         (rows.as_bytes().to_vec(), left_out)
     }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -40,10 +40,10 @@
 use std::sync::Arc;
 
 pub use booking::Placement;
-pub use context::silence_limit;
+pub use context::heartbeat_grace_period;
 pub use demand::Demand;
 pub use feasibility::impossible_reason;
-pub use pheromone::{ClassKey, Pheromone, eta};
+pub use pheromone::{ClassKey, Pheromone, fairness_weight};
 use reservation::{AgedReservation, Reservation};
 
 /// The time over which the completion rate is averaged.
@@ -57,7 +57,7 @@
 /// One run changes the learned ratio as if it had been no higher than this.
 const RUN_RATIO_MAX: f64 = 10.0;
 /// The least run time that is expected of any task.
-const EXPECTED_RUN_MIN_S: f64 = 1.0;
+const EXPECTED_RUN_TIME_MIN_S: f64 = 1.0;
 /// Prices are per hour, run times in seconds.
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
@@ -136,19 +136,19 @@
     }
 
     /// Ends the pheromone round, the paper's (4) and (5), when it is due. Returns whether it did.
-    pub fn tick(&mut self, now: Micros, types: &[MachineType]) -> bool {
+    pub fn end_round_if_due(&mut self, now: Micros, types: &[MachineType]) -> bool {
         let is_due = now >= self.next_round_at;
         if is_due {
             self.next_round_at = now + self.round_length;
             let machine_types: Vec<String> = types.iter().map(|t| t.name.clone()).collect();
-            self.pheromone.round(self.evaporation, &machine_types);
+            self.pheromone.end_round(self.evaporation, &machine_types);
         }
         is_due
     }
 
     /// Learns from a task that ended well after running for `ran`. Its cost, which takes the place
     /// of the paper's energy (IV.B), is price × booked share of the machine × run time.
-    pub fn task_done(
+    pub fn learn_from_completion(
         &mut self,
         spec: &JobSpec,
         machine_type: &MachineType,
@@ -163,7 +163,7 @@
         let share = (spec.cores / machine_type.cores.max(EPSILON))
             .max(spec.memory_gb / machine_type.memory_gb.max(EPSILON))
             .clamp(0.0, 1.0);
-        self.pheromone.finished(
+        self.pheromone.record_completion(
             ClassKey::of(spec),
             &machine_type.name,
             price / SECONDS_PER_HOUR * share * to_secs(ran),
@@ -178,20 +178,20 @@
     /// Sets the completion rate from the tasks that are held, as if each ended once per expected
     /// run time, and returns it. A new leader has seen no task end yet: without this it would
     /// preempt for each task that waits, since nothing seems to come free.
-    pub fn expect_completion_rate(&mut self, now: Micros, workers: &WorkerLedger) -> f64 {
+    pub fn estimate_completion_rate(&mut self, now: Micros, workers: &WorkerLedger) -> f64 {
         let held = workers
             .machines
             .values()
             .flat_map(|machine| machine.held_tasks());
         let specs = held.filter_map(|(_, entry)| entry.spec.as_ref());
-        let rates = specs.map(|spec| spec.cores / to_secs(self.expected_run(spec)));
+        let rates = specs.map(|spec| spec.cores / to_secs(self.expected_run_time(spec)));
         self.completion_rate = rates.sum();
         self.completion_rate_at = now;
         self.completion_rate
     }
 
     /// Notes that a task ended by itself and left its cores.
-    pub fn note_completion(&mut self, now: Micros, cores: f64) {
+    pub fn record_completion(&mut self, now: Micros, cores: f64) {
         self.completion_rate = self.completion_rate(now) + cores / COMPLETION_RATE_WINDOW_S;
         self.completion_rate_at = now;
     }
@@ -205,8 +205,8 @@
 
     /// How long a task of the job is expected to run: the user's estimate, corrected by what was
     /// learned of the class.
-    pub fn expected_run(&self, spec: &JobSpec) -> Micros {
+    pub fn expected_run_time(&self, spec: &JobSpec) -> Micros {
         let ratio = self.run_ratio.get(&spec.class).copied().unwrap_or(1.0);
-        from_secs((spec.estimate_s * ratio).max(EXPECTED_RUN_MIN_S))
+        from_secs((spec.estimate_s * ratio).max(EXPECTED_RUN_TIME_MIN_S))
     }
 }
--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -25,13 +25,13 @@
 const AGED_AFTER: Micros = FIRST_START_DEADLINE / 2;
 /// A start counts when no command stops the task within 30 s (PROTOCOL): the first task of an aged
 /// job is not preempted before.
-pub(super) const FIRST_TASK_PROTECTED_FOR: Micros = 32 * SECOND;
+pub(super) const FIRST_TASK_PROTECTION: Micros = 32 * SECOND;
 /// A first task is protected no longer than this after it was planned, even if it never ran.
-const FIRST_TASK_FORGOTTEN_AFTER: Micros = 180 * SECOND;
+const FIRST_TASK_PROTECTION_MAX: Micros = 180 * SECOND;
 /// At most the machines divided by this, and always one, are reserved at a time.
 const AGED_RESERVATIONS_DIVISOR: usize = 32;
 
-/// A job of which nothing has begun for too long. The order of the fields is that of service: the
+/// A job of which nothing has started for too long. The order of the fields is that of service: the
 /// oldest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AgedJob {
@@ -54,7 +54,7 @@
     ) -> Vec<Placement> {
         let now = pass.now.steady;
         let aged_jobs = aged_jobs(pass.now.wall, queue, table);
-        self.release_begun_jobs(&aged_jobs);
+        self.release_reservations_of_started_jobs(&aged_jobs);
         let mut placed = Vec::new();
         let mut unplaceable = UnplaceableSizes::default();
         for AgedJob { number, tier, .. } in aged_jobs {
@@ -86,18 +86,18 @@
             placed.extend(plan_tasks(now, job, bookings, None, workers));
         }
         self.aged_first_tasks
-            .retain(|_, planned_at| now < *planned_at + FIRST_TASK_FORGOTTEN_AFTER);
+            .retain(|_, planned_at| now < *planned_at + FIRST_TASK_PROTECTION_MAX);
         self.aged_first_tasks
-            .extend(placed.iter().map(|placement| (placement.key, now)));
+            .extend(placed.iter().map(|placement| (placement.task, now)));
         placed
     }
 
-    /// Drops the reservations of jobs that have begun or are over.
-    fn release_begun_jobs(&mut self, aged_jobs: &[AgedJob]) {
+    /// Drops the reservations of jobs that have started or are over.
+    fn release_reservations_of_started_jobs(&mut self, aged_jobs: &[AgedJob]) {
         let is_aged = |number: &u32| aged_jobs.iter().any(|aged| aged.number == *number);
         let reserved = self.aged_reservations.keys().copied();
-        let begun: Vec<u32> = reserved.filter(|number| !is_aged(number)).collect();
-        for number in begun {
+        let started: Vec<u32> = reserved.filter(|number| !is_aged(number)).collect();
+        for number in started {
             self.release_aged_reservation(number);
         }
     }
@@ -121,7 +121,7 @@
     fn renew_aged_reservation(&mut self, pass: &PassContext, job: &Job, workers: &WorkerLedger) {
         let now = pass.now.steady;
         let may_serve = |machine: &Machine| {
-            machine.is_usable(now, pass.silence_limit) && is_allowed(job, machine, workers)
+            machine.is_usable(now, pass.heartbeat_grace_period) && is_allowed(job, machine, workers)
         };
         if let Some(aged) = self.aged_reservations.get(&job.number) {
             let is_taken = self
@@ -189,7 +189,7 @@
         for (_, entry) in machine.held_tasks() {
             let held = entry.spec.as_ref()?;
             free.subtract(held);
-            let run = self.expected_run(held);
+            let run = self.expected_run_time(held);
             // What has run for longer than expected is taken to run for half as long again.
             let left = match entry.running_since {
                 Some(since) if now < since + run => since + run - now,
@@ -211,7 +211,7 @@
     }
 }
 
-/// The jobs of which nothing has begun for too long, the oldest first.
+/// The jobs of which nothing has started for too long, the oldest first.
 fn aged_jobs(wall: Micros, queue: &[QueuedJob], table: &JobTable) -> Vec<AgedJob> {
     let is_aged = |job: &Job| {
         job.spec.kind != JobKind::Gang
--- a/src/scheduler/booking.rs
+++ b/src/scheduler/booking.rs
@@ -26,7 +26,7 @@
     /// The machine that the task is to run on.
     pub machine: Arc<str>,
     /// The task.
-    pub key: TaskId,
+    pub task: TaskId,
     /// The attempt number of the start.
     pub attempt: u64,
 }
@@ -62,7 +62,7 @@
     ) -> Vec<Booking> {
         let spec = job.spec.clone();
         let class = ClassKey::of(&spec);
-        let mut queues = self.candidates(pass, job, query, workers);
+        let mut queues = self.candidate_machines(pass, job, query, workers);
         let mut bookings = Vec::new();
         // Every placement stands in the stored values of the job, which are few and small: a job
         // too wide for them runs as many tasks at a time as fit.
@@ -89,7 +89,7 @@
                 Some(left) => bytes_left = left,
                 None => break,
             }
-            self.capacity.reserve(&machine, &spec);
+            self.capacity.allocate(&machine, &spec);
             job.add_placement(index, &machine, PROVISIONAL_ATTEMPT);
             bookings.push(Booking { index, machine });
         }
@@ -121,7 +121,7 @@
         let spec = job.spec.clone();
         for Booking { index, machine } in bookings.drain(..) {
             job.remove_placement(index, &machine, PROVISIONAL_ATTEMPT);
-            self.capacity.release(&machine, &spec);
+            self.capacity.deallocate(&machine, &spec);
         }
     }
 }
@@ -138,20 +138,20 @@
     let spec = job.spec.clone();
     let mut placed = Vec::new();
     for Booking { index, machine } in bookings {
-        let key = TaskId {
+        let task = TaskId {
             job: job.number,
             index,
         };
         let attempt = common_attempt.unwrap_or_else(|| workers.new_attempt());
-        workers.plan_task(&machine, key, attempt, &spec, now);
+        workers.plan_task(&machine, task, attempt, &spec, now);
         job.remove_placement(index, &machine, PROVISIONAL_ATTEMPT);
         job.add_placement(index, &machine, attempt);
-        job.unsaved_starts.push((machine.clone(), key, attempt));
+        job.unsaved_starts.push((machine.clone(), task, attempt));
         job.mark_dirty(now);
         job.save_urgent = true;
         placed.push(Placement {
             machine,
-            key,
+            task,
             attempt,
         });
     }
--- a/src/scheduler/context.rs
+++ b/src/scheduler/context.rs
@@ -8,11 +8,11 @@
 use crate::wire::MachineType;
 
 /// A machine without a heartbeat for this many report periods takes no new tasks.
-const SILENCE_LIMIT_REPORT_PERIODS: u64 = 3;
+const HEARTBEAT_GRACE_REPORT_PERIODS: u64 = 3;
 
 /// How long after its last heartbeat a machine may still be given new tasks.
-pub fn silence_limit(settings: &Settings) -> Micros {
-    settings.report_period() * SILENCE_LIMIT_REPORT_PERIODS
+pub fn heartbeat_grace_period(settings: &Settings) -> Micros {
+    settings.report_period() * HEARTBEAT_GRACE_REPORT_PERIODS
 }
 
 /// The time of a pass and the configuration that it works with.
@@ -24,8 +24,8 @@
     pub(super) settings: &'a Settings,
     /// The machine types that the provider offers.
     pub(super) types: &'a [MachineType],
-    /// See [`silence_limit`].
-    pub(super) silence_limit: Micros,
+    /// See [`heartbeat_grace_period`].
+    pub(super) heartbeat_grace_period: Micros,
 }
 
 impl<'a> PassContext<'a> {
@@ -35,7 +35,7 @@
             now,
             settings,
             types,
-            silence_limit: silence_limit(settings),
+            heartbeat_grace_period: heartbeat_grace_period(settings),
         }
     }
 }
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 
 /// A machine that was silent for less than this is expected to be usable again.
-const SILENCE_TOLERATED: Micros = 60 * SECOND;
+const SILENCE_TOLERANCE: Micros = 60 * SECOND;
 /// The most tasks that one machine is taken to hold.
 const TASKS_PER_MACHINE_MAX: u64 = 1 << 20;
 
@@ -118,7 +118,7 @@
             match entry.and_then(|entry| entry.free) {
                 Some(free) => expected.push(free),
                 // A machine that is silent for a moment is capacity that will be there.
-                None if machine.is_usable(now, SILENCE_TOLERATED) => {
+                None if machine.is_usable(now, SILENCE_TOLERANCE) => {
                     expected.extend(free_resources(machine, types));
                 }
                 None => {}
--- a/src/scheduler/job_order.rs
+++ b/src/scheduler/job_order.rs
@@ -5,7 +5,7 @@
 //! machine a task gets.
 
 use super::context::PassContext;
-use super::pheromone::eta;
+use super::pheromone::fairness_weight;
 use super::{Scheduler, objectives::Urgency};
 use crate::capacity::EPSILON;
 use crate::clock::Micros;
@@ -86,7 +86,7 @@
                 total_cores / live.len().max(1) as f64
             };
             let held = job.placements.len() as f64 * job.spec.cores;
-            let fairness = eta(owed, held, total_cores).powf(self.fairness_exponent);
+            let fairness = fairness_weight(owed, held, total_cores).powf(self.fairness_exponent);
             let urgency = self.urgency(job, pass.now.wall);
             RankedJob {
                 number: job.number,
--- a/src/scheduler/objectives.rs
+++ b/src/scheduler/objectives.rs
@@ -89,7 +89,7 @@
     /// there, and a last digit may decide which job goes first.
     pub(super) fn urgency(&self, job: &Job, wall: Micros) -> Urgency {
         let age = to_secs(wall.saturating_sub(job.waiting_since()));
-        let run = to_secs(self.expected_run(&job.spec));
+        let run = to_secs(self.expected_run_time(&job.spec));
         // What must still be given to it; what already runs is mostly paid for.
         let waiting = job.pending_count as f64;
         let running = job.remaining_tasks() as f64 - waiting;
@@ -155,7 +155,7 @@
     fn slacks(&self, job: &Job, tier: Tier, wall: Micros) -> impl Iterator<Item = ObjectiveSlack> {
         let age = to_secs(wall.saturating_sub(job.waiting_since()));
         let waited = to_secs(job.waiting_since() - job.accepted_at);
-        let run = to_secs(self.expected_run(&job.spec));
+        let run = to_secs(self.expected_run_time(&job.spec));
         self.objectives.iter().filter_map(move |objective| {
             let kind = ObjectiveKind::of(objective)?;
             let is_own = is_of_class(objective, job);
--- a/src/scheduler/pheromone.rs
+++ b/src/scheduler/pheromone.rs
@@ -12,11 +12,11 @@
 use std::sync::Arc;
 
 /// Pheromone never falls below this, so that every type is drawn now and then.
-const TAU_MIN: f64 = 0.05;
+const PHEROMONE_MIN: f64 = 0.05;
 /// Pheromone of a type that nothing is known of.
-const TAU_INITIAL: f64 = 1.0;
-const ETA_MIN: f64 = 0.1;
-const ETA_MAX: f64 = 10.0;
+const PHEROMONE_INITIAL: f64 = 1.0;
+const FAIRNESS_WEIGHT_MIN: f64 = 0.1;
+const FAIRNESS_WEIGHT_MAX: f64 = 10.0;
 /// Sizes are compared in thousandths.
 const SIZE_SCALE: f64 = 1000.0;
 
@@ -53,45 +53,51 @@
 /// The pheromone τ of each class and machine type, and what finished in the current round.
 #[derive(Default)]
 pub struct Pheromone {
-    tau: HashMap<ClassKey, BTreeMap<String, f64>>,
-    finished: HashMap<ClassKey, Vec<FinishedTask>>,
+    levels: HashMap<ClassKey, BTreeMap<String, f64>>,
+    finished_tasks: HashMap<ClassKey, Vec<FinishedTask>>,
 }
 
 impl Pheromone {
     /// The pheromone of a class for a machine type; 1 while nothing is known.
-    pub fn tau(&self, class: &ClassKey, machine_type: &str) -> f64 {
-        self.tau
+    pub fn level(&self, class: &ClassKey, machine_type: &str) -> f64 {
+        self.levels
             .get(class)
             .and_then(|by_type| by_type.get(machine_type))
             .copied()
-            .unwrap_or(TAU_INITIAL)
+            .unwrap_or(PHEROMONE_INITIAL)
     }
 
     /// Records that a task of the class ended well on a machine of the type, at this cost. A cost
     /// that is not positive and finite says nothing and is ignored.
-    pub fn finished(&mut self, class: ClassKey, machine_type: &str, cost: f64) {
+    pub fn record_completion(&mut self, class: ClassKey, machine_type: &str, cost: f64) {
         if cost > 0.0 && cost.is_finite() {
-            self.finished.entry(class).or_default().push(FinishedTask {
-                machine_type: machine_type.to_owned(),
-                cost,
-            });
+            self.finished_tasks
+                .entry(class)
+                .or_default()
+                .push(FinishedTask {
+                    machine_type: machine_type.to_owned(),
+                    cost,
+                });
         }
     }
 
     /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), equations (4) and (5), for the
     /// classes of which a task finished in it. `rho` is the share that evaporates.
-    pub fn round(&mut self, rho: f64, machine_types: &[String]) {
-        for (class, tasks) in std::mem::take(&mut self.finished) {
+    pub fn end_round(&mut self, rho: f64, machine_types: &[String]) {
+        for (class, tasks) in std::mem::take(&mut self.finished_tasks) {
             let mean = tasks.iter().map(|task| task.cost).sum::<f64>() / tasks.len() as f64;
             let mut deposits: BTreeMap<&str, f64> = BTreeMap::new();
             for task in &tasks {
                 *deposits.entry(&task.machine_type).or_default() += mean / task.cost;
             }
-            let by_type = self.tau.entry(class).or_default();
+            let by_type = self.levels.entry(class).or_default();
             for machine_type in machine_types {
-                let old = by_type.get(machine_type).copied().unwrap_or(TAU_INITIAL);
+                let old = by_type
+                    .get(machine_type)
+                    .copied()
+                    .unwrap_or(PHEROMONE_INITIAL);
                 let deposit = deposits.get(machine_type.as_str()).copied().unwrap_or(0.0);
-                let new = ((1.0 - rho) * old + rho * deposit).max(TAU_MIN);
+                let new = ((1.0 - rho) * old + rho * deposit).max(PHEROMONE_MIN);
                 by_type.insert(machine_type.clone(), new);
             }
         }
@@ -107,7 +113,7 @@
     ) -> Option<&'a str> {
         let taus: Vec<f64> = machine_types
             .iter()
-            .map(|machine_type| self.tau(class, machine_type))
+            .map(|machine_type| self.level(class, machine_type))
             .collect();
         let mut remaining = rng.random::<f64>() * taus.iter().sum::<f64>();
         for (machine_type, tau) in machine_types.iter().zip(&taus) {
@@ -123,14 +129,14 @@
 
 /// The fairness weight η, equation (7): above 1 while a job holds less than it is owed. `owed` and
 /// `held` are the cores of the job, `all` those of the cluster.
-pub fn eta(owed: f64, held: f64, all: f64) -> f64 {
+pub fn fairness_weight(owed: f64, held: f64, all: f64) -> f64 {
     if all <= 0.0 {
         return 1.0;
     }
     let gap = 1.0 - (owed - held) / all;
     if gap <= 0.0 {
-        ETA_MAX
+        FAIRNESS_WEIGHT_MAX
     } else {
-        (1.0 / gap).clamp(ETA_MIN, ETA_MAX)
+        (1.0 / gap).clamp(FAIRNESS_WEIGHT_MIN, FAIRNESS_WEIGHT_MAX)
     }
 }
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -6,7 +6,7 @@
 use super::context::PassContext;
 use super::job_order::{JobOrder, QueuedJob, Tier};
 use super::objectives::FetchPressure;
-use super::preempt::{PreemptionProspect, PreemptionQuery};
+use super::preempt::{PreemptibleMachine, PreemptionQuery};
 use super::ranking::{ImagePreference, MachineQuery};
 use super::unplaceable::{UnplaceableSizes, accepts_any_machine};
 use crate::accounting::StopReason;
@@ -41,7 +41,7 @@
     is_preempting: bool,
     unplaceable: UnplaceableSizes,
     /// What could be preempted, computed when the first job asks.
-    prospects: Option<Vec<PreemptionProspect>>,
+    preemptible_machines: Option<Vec<PreemptibleMachine>>,
 }
 
 impl Scheduler {
@@ -77,7 +77,7 @@
             has_spare_cores,
             is_preempting,
             unplaceable: UnplaceableSizes::default(),
-            prospects: None,
+            preemptible_machines: None,
         };
         for queued in &order.queue {
             if let Some(job) = table.by_number.get_mut(&queued.number) {
@@ -105,8 +105,13 @@
         if is_full {
             self.full_refresh_at = now + FULL_REFRESH_INTERVAL;
         }
-        self.capacity
-            .refresh(now, workers, context.types, context.silence_limit, is_full);
+        self.capacity.refresh(
+            now,
+            workers,
+            context.types,
+            context.heartbeat_grace_period,
+            is_full,
+        );
     }
 
     /// Whether the free cores exceed what the waiting work would take by a good share of the
@@ -211,24 +216,24 @@
         };
         let bookings = self.find_machines(&context, job, &cached_only, workers);
         if job.pending_count > 0 && pass.is_preempting {
-            let prospects = pass
-                .prospects
-                .get_or_insert_with(|| self.prospects(&context, pass.tiers, workers));
+            let preemptible_machines = pass
+                .preemptible_machines
+                .get_or_insert_with(|| self.preemptible_machines(&context, pass.tiers, workers));
             let preemption = PreemptionQuery {
                 tier: query.tier,
                 settings: context.settings,
                 cached_only: true,
                 same_team_only: false,
             };
-            let could_preempt = prospects.iter().any(|prospect| {
-                prospect.could_fit(&preemption, &job.spec)
+            let could_preempt = preemptible_machines.iter().any(|preemptible| {
+                preemptible.could_fit(&preemption, &job.spec)
                     && workers
                         .machines
-                        .get(&prospect.machine)
+                        .get(&preemptible.machine)
                         .is_some_and(|machine| {
                             self.may_serve(&preemption, job, machine, workers)
                                 && self
-                                    .preemption_cost(&preemption, job, machine, prospect)
+                                    .preemption_cost(&preemption, job, machine, preemptible)
                                     .is_some()
                         })
             });
@@ -276,7 +281,7 @@
 /// and about twice as many as have run longer than those that failed. All at once they would take
 /// the capacity of others, and fetch its image everywhere, until its user cancels it.
 fn trial_task_limit(now: Micros, job: &Job, workers: &WorkerLedger) -> u64 {
-    let proven_after = job.failed_after + TRIAL_MARGIN;
+    let proven_after = job.longest_failed_run + TRIAL_MARGIN;
     let mut proven = 0;
     for (index, attempts) in &job.placements {
         let task = TaskId {
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -6,7 +6,7 @@
 //! - the capacity made on a machine is reserved for the tier that it was made for;
 //! - no more cores are preempted than [`Scheduler::preemption_allowance`] has left.
 
-mod prospects;
+mod candidates;
 
 use super::Scheduler;
 use super::context::PassContext;
@@ -26,7 +26,7 @@
 use std::collections::BinaryHeap;
 use std::sync::Arc;
 
-pub(super) use prospects::{PreemptionProspect, PreemptionQuery};
+pub(super) use candidates::{PreemptibleMachine, PreemptionQuery};
 
 /// The lowest tier for which tasks are preempted.
 const PREEMPTING_TIER_MIN: Tier = Tier::Normal;
@@ -55,10 +55,10 @@
     pub(super) grace_s: f64,
 }
 
-/// What decides which tasks a job may have preempted. Jobs with the same standing have the same
+/// What decides which tasks a job may have preempted. Jobs with the same rights have the same
 /// choice.
 #[derive(Clone, PartialEq, Eq, Hash)]
-struct PreemptionStanding {
+struct PreemptionRights {
     tier: Tier,
     priority: Priority,
     /// Whether its team is at its limit.
@@ -71,17 +71,17 @@
 struct PreemptionPass<'a> {
     context: &'a PassContext<'a>,
     workers: &'a WorkerLedger,
-    prospects: Vec<PreemptionProspect>,
-    /// The machine of each prospect, looked up once and not once for each job.
-    machines: Vec<Option<&'a Machine>>,
+    preemptible_machines: Vec<PreemptibleMachine>,
+    /// The machine of each preemptible, looked up once and not once for each job.
+    ledger_machines: Vec<Option<&'a Machine>>,
     /// Cores that stopping tasks will leave, by team.
     freeing_cores: HashMap<Arc<str>, f64>,
     /// Cores a second that will come free by themselves, as far as counted on.
     completion_rate: f64,
     /// Cores that wait for them, of the jobs served so far.
     waiting_cores: f64,
-    /// Sizes for which nothing could be preempted; holds for all jobs of that standing.
-    unplaceable: HashMap<PreemptionStanding, UnplaceableSizes>,
+    /// Sizes for which nothing could be preempted; holds for all jobs of that rights.
+    unplaceable: HashMap<PreemptionRights, UnplaceableSizes>,
     preemptions: Vec<Preemption>,
 }
 
@@ -137,16 +137,16 @@
         if !order.queue.iter().filter(may_preempt).any(is_waiting) {
             return Vec::new();
         }
-        let prospects = self.prospects(context, &order.tiers, workers);
-        let machines = prospects
+        let preemptible_machines = self.preemptible_machines(context, &order.tiers, workers);
+        let ledger_machines = preemptible_machines
             .iter()
-            .map(|prospect| workers.machines.get(&prospect.machine))
+            .map(|preemptible| workers.machines.get(&preemptible.machine))
             .collect();
         let mut pass = PreemptionPass {
             context,
             workers,
-            prospects,
-            machines,
+            preemptible_machines,
+            ledger_machines,
             freeing_cores: freeing_cores_by_team(workers),
             completion_rate: COMPLETION_RATE_DISCOUNT * self.completion_rate(context.now.steady),
             waiting_cores: 0.0,
@@ -182,16 +182,16 @@
             quota_cores_left,
         };
         let same_team_only = demand.query.same_team_only;
-        let standing = PreemptionStanding {
+        let rights = PreemptionRights {
             tier,
             priority: job.priority(),
             same_team_only,
             team: (tier == Tier::Guaranteed || same_team_only).then(|| spec.team.clone()),
         };
-        // A failure holds for all jobs of the same standing that are no less restricted and no
+        // A failure holds for all jobs of the same rights that are no less restricted and no
         // smaller.
         let is_unrestricted = accepts_any_machine(spec) && !cached_only;
-        let known = pass.unplaceable.get(&standing);
+        let known = pass.unplaceable.get(&rights);
         if is_unrestricted && known.is_some_and(|sizes| sizes.covers(spec)) {
             return;
         }
@@ -210,7 +210,7 @@
         demand.query.same_team_only = demand.is_quota_used_up();
         let is_exhausted = self.preempt_cheapest(pass, &mut demand);
         if is_exhausted && is_unrestricted {
-            pass.unplaceable.entry(standing).or_default().add(spec);
+            pass.unplaceable.entry(rights).or_default().add(spec);
         }
     }
 
@@ -250,22 +250,26 @@
 
     /// Gives the job what is free or coming free: it serves the first of those who wait.
     fn take_freeing_capacity(&self, pass: &mut PreemptionPass, demand: &mut JobDemand) {
-        for (prospect, machine) in pass.prospects.iter_mut().zip(&pass.machines) {
-            while demand.can_take(&prospect.free)
+        for (preemptible, machine) in pass
+            .preemptible_machines
+            .iter_mut()
+            .zip(&pass.ledger_machines)
+        {
+            while demand.can_take(&preemptible.free)
                 && machine.is_some_and(|machine| {
                     self.may_serve(&demand.query, demand.job, machine, pass.workers)
                 })
             {
-                demand.take(&mut prospect.free);
+                demand.take(&mut preemptible.free);
             }
         }
     }
 
     /// Preempts on the cheapest machine, again and again, until the job has enough. Returns whether
     /// no task could be preempted although nothing but the candidates set a limit: then no larger
-    /// task of the same standing can be helped either.
+    /// task of the same rights can be helped either.
     fn preempt_cheapest(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand) -> bool {
-        let mut heap: BinaryHeap<Reverse<(u64, usize)>> = (0..pass.prospects.len())
+        let mut heap: BinaryHeap<Reverse<(u64, usize)>> = (0..pass.preemptible_machines.len())
             .filter_map(|index| Some(Reverse((self.cost_steps(pass, demand, index)?, index))))
             .collect();
         let preempted_before = pass.preemptions.len();
@@ -278,17 +282,17 @@
                 break;
             };
             self.preempt_on(pass, demand, index);
-            let prospect = &mut pass.prospects[index];
-            demand.take(&mut prospect.free);
+            let preemptible = &mut pass.preemptible_machines[index];
+            demand.take(&mut preemptible.free);
             let reservation = Reservation {
                 reserved_for: ReservedFor::Tier(demand.query.tier),
                 expires_at: pass.context.now.steady + RESERVATION_TTL,
                 backfill_until: 0,
             };
             self.reservations
-                .insert(prospect.machine.clone(), reservation);
-            while demand.can_take(&prospect.free) {
-                demand.take(&mut prospect.free);
+                .insert(preemptible.machine.clone(), reservation);
+            while demand.can_take(&preemptible.free) {
+                demand.take(&mut preemptible.free);
             }
             if let Some(cost) = self.cost_steps(pass, demand, index) {
                 heap.push(Reverse((cost, index)));
@@ -299,20 +303,20 @@
 
     /// The cost of making one more task fit on a machine; None where it cannot be done.
     fn cost_steps(&self, pass: &PreemptionPass, demand: &JobDemand, index: usize) -> Option<u64> {
-        let prospect = &pass.prospects[index];
-        let machine = pass.machines[index].filter(|machine| {
-            prospect.could_fit(&demand.query, demand.spec())
+        let preemptible = &pass.preemptible_machines[index];
+        let machine = pass.ledger_machines[index].filter(|machine| {
+            preemptible.could_fit(&demand.query, demand.spec())
                 && self.may_serve(&demand.query, demand.job, machine, pass.workers)
         })?;
-        self.preemption_cost(&demand.query, demand.job, machine, prospect)
+        self.preemption_cost(&demand.query, demand.job, machine, preemptible)
             .map(|cost| (cost * COST_STEPS_PER_CORE_S).round() as u64)
     }
 
     /// Preempts the cheapest candidates of a machine until one more task fits.
     fn preempt_on(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand, index: usize) {
-        let prospect = &mut pass.prospects[index];
-        for candidate in &mut prospect.candidates {
-            if prospect.free.fits(demand.spec()) {
+        let preemptible = &mut pass.preemptible_machines[index];
+        for candidate in &mut preemptible.candidates {
+            if preemptible.free.fits(demand.spec()) {
                 break;
             }
             if !self.may_preempt(&demand.query, demand.job, candidate) {
@@ -320,7 +324,7 @@
             }
             candidate.is_preempted = true;
             let victim = &candidate.victim;
-            prospect.free.add(&victim.spec);
+            preemptible.free.add(&victim.spec);
             self.preemption_allowance -= victim.spec.cores;
             if victim.spec.team == demand.spec().team {
                 demand.quota_cores_left += victim.spec.cores;
@@ -329,11 +333,11 @@
                 "preempting task={}/{} machine={} for_job={}",
                 victim.spec.uid,
                 victim.task.index,
-                prospect.machine,
+                preemptible.machine,
                 demand.spec().uid
             );
             pass.preemptions.push(Preemption {
-                machine: prospect.machine.clone(),
+                machine: preemptible.machine.clone(),
                 task: victim.task,
                 attempt: victim.attempt,
                 grace_s: save_grace_s(&victim.spec),
--- a/src/scheduler/preempt/prospects.rs
+++ b/src/scheduler/preempt/candidates.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Micros, to_secs};
 use crate::jobs::Job;
 use crate::scheduler::Scheduler;
-use crate::scheduler::aging::FIRST_TASK_PROTECTED_FOR;
+use crate::scheduler::aging::FIRST_TASK_PROTECTION;
 use crate::scheduler::context::PassContext;
 use crate::scheduler::job_order::{Tier, guaranteed_cores};
 use crate::scheduler::ranking::{ImageStatus, image_status, is_allowed};
@@ -19,13 +19,13 @@
 use std::sync::Arc;
 
 /// What a second of work without a reachable objective counts, against one with.
-const NO_OBJECTIVE_LOSS_WEIGHT: f64 = 0.4;
+const BEST_EFFORT_LOSS_WEIGHT: f64 = 0.4;
 /// What every preemption loses beside the work itself, in seconds of the task's cores.
 const PREEMPTION_OVERHEAD_S: f64 = 2.0;
 /// A start that is stopped within this time does not count as one.
-const FRESH_START_S: f64 = 30.0;
+const RECENT_START_S: f64 = 30.0;
 /// What the preemption of such a start loses in addition, in seconds of the task's cores.
-const FRESH_START_PENALTY_S: f64 = 5.0;
+const RECENT_START_PENALTY_S: f64 = 5.0;
 /// The part of a fetch that is expected to be left while the image is being fetched.
 const FETCHING_SHARE: f64 = 0.5;
 /// The time of a fetch where the rate of the machine type is unknown.
@@ -67,7 +67,7 @@
 }
 
 /// A machine as a preemption pass sees it: what will be free there, and what could be preempted.
-pub(in crate::scheduler) struct PreemptionProspect {
+pub(in crate::scheduler) struct PreemptibleMachine {
     /// The machine.
     pub(in crate::scheduler) machine: Arc<str>,
     /// What is free, with what stopping tasks will leave.
@@ -80,7 +80,7 @@
     pub(super) candidates: Vec<PreemptionCandidate>,
 }
 
-impl PreemptionProspect {
+impl PreemptibleMachine {
     /// Whether a task could fit if all that this tier may preempt were preempted. A quick check:
     /// [`Scheduler::preemption_cost`] decides.
     pub(in crate::scheduler) fn could_fit(&self, query: &PreemptionQuery, spec: &JobSpec) -> bool {
@@ -91,20 +91,20 @@
 
 impl Scheduler {
     /// What will be free on each usable machine, and what could be preempted there.
-    pub(in crate::scheduler) fn prospects(
+    pub(in crate::scheduler) fn preemptible_machines(
         &self,
         pass: &PassContext,
         tiers: &HashMap<u32, Tier>,
         workers: &WorkerLedger,
-    ) -> Vec<PreemptionProspect> {
+    ) -> Vec<PreemptibleMachine> {
         let now = pass.now.steady;
         let top_tier = tiers.values().copied().max().unwrap_or(Tier::BestEffort);
-        let mut prospects = Vec::new();
+        let mut preemptible_machines = Vec::new();
         for (id, entry) in &self.capacity.machines {
             let (Some(free), Some(machine)) = (entry.free, workers.machines.get(id)) else {
                 continue;
             };
-            if !machine.is_usable(now, pass.silence_limit) {
+            if !machine.is_usable(now, pass.heartbeat_grace_period) {
                 continue;
             }
             let mut candidates: Vec<PreemptionCandidate> = machine
@@ -121,12 +121,12 @@
                 })
                 .collect();
             candidates.sort_by(|a, b| a.loss.total_cmp(&b.loss));
-            let free = free.plus(&entry.freeing);
+            let free = free.plus(&entry.being_freed);
             let mut free_if_all_preempted = free;
             for candidate in &candidates {
                 free_if_all_preempted.add(&candidate.victim.spec);
             }
-            prospects.push(PreemptionProspect {
+            preemptible_machines.push(PreemptibleMachine {
                 machine: id.clone(),
                 free,
                 free_if_all_preempted,
@@ -134,7 +134,7 @@
                 candidates,
             });
         }
-        prospects
+        preemptible_machines
     }
 
     /// The attempt as a candidate for preemption, unless it is not there yet, stops already, or is
@@ -148,20 +148,20 @@
         entry: &TaskEntry,
     ) -> Option<PreemptionCandidate> {
         let spec = entry.spec.as_ref()?;
-        let is_there = matches!(
+        let is_on_machine = matches!(
             entry.state,
             TaskState::Running | TaskState::Fetching | TaskState::Sent
         );
         let is_protected = self.aged_first_tasks.contains_key(&task)
             && entry
                 .running_since
-                .is_none_or(|since| now < since + FIRST_TASK_PROTECTED_FOR);
-        if !is_there || is_protected || entry.is_stopping() {
+                .is_none_or(|since| now < since + FIRST_TASK_PROTECTION);
+        if !is_on_machine || is_protected || entry.is_stopping() {
             return None;
         }
         // Of work without an objective that can still be met, only the work itself is lost.
         let weight = if tier == Tier::BestEffort {
-            NO_OBJECTIVE_LOSS_WEIGHT
+            BEST_EFFORT_LOSS_WEIGHT
         } else {
             1.0
         };
@@ -226,12 +226,12 @@
         query: &PreemptionQuery,
         job: &Job,
         machine: &Machine,
-        prospect: &PreemptionProspect,
+        preemptible: &PreemptibleMachine,
     ) -> Option<f64> {
         let spec = &job.spec;
-        let mut free = prospect.free;
+        let mut free = preemptible.free;
         let mut cost = 0.0;
-        for candidate in &prospect.candidates {
+        for candidate in &preemptible.candidates {
             if free.fits(spec) {
                 break;
             }
@@ -269,7 +269,7 @@
     fn assumed_start(&self, entry: &TaskEntry) -> Option<Micros> {
         let since = entry.running_since?;
         let before = match &entry.spec {
-            Some(spec) if !entry.started_here() => self.expected_run(spec) / 2,
+            Some(spec) if !entry.started_here() => self.expected_run_time(spec) / 2,
             _ => 0,
         };
         Some(since.saturating_sub(before))
@@ -284,8 +284,8 @@
     } else {
         ran_s + PREEMPTION_OVERHEAD_S
     };
-    let penalty_s = if running_since.is_some() && ran_s < FRESH_START_S {
-        FRESH_START_PENALTY_S
+    let penalty_s = if running_since.is_some() && ran_s < RECENT_START_S {
+        RECENT_START_PENALTY_S
     } else {
         0.0
     };
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -15,7 +15,7 @@
 
 /// If more than the machines divided by this have free capacity, all are walked through in order
 /// instead of being looked up one by one.
-const WALK_ALL_DIVISOR: usize = 8;
+const SCAN_ALL_DIVISOR: usize = 8;
 /// A machine on which tasks run this many times as long as expected counts as slow.
 const SLOW_MACHINE_FACTOR: f64 = 1.5;
 
@@ -133,7 +133,7 @@
     /// The machines on which a task of the job fits, by type, each type in its fixed order with the
     /// first machine last. The order is by name after the [`MachineRank`]: a fetch costs seconds, so
     /// machines that hold the image come first (an exception to the paper's plain first fit).
-    pub(super) fn candidates<'a>(
+    pub(super) fn candidate_machines<'a>(
         &self,
         pass: &PassContext,
         job: &Job,
@@ -145,14 +145,14 @@
         let mut queues = MachineQueues::new();
         // Both are in the order of names: where much is open they are walked side by side, which
         // costs a tenth of looking each machine up.
-        let walk_all =
-            self.capacity.open_machines.len() > workers.machines.len() / WALK_ALL_DIVISOR;
+        let scan_all =
+            self.capacity.machines_with_capacity.len() > workers.machines.len() / SCAN_ALL_DIVISOR;
         let mut machines = workers.machines.iter().peekable();
-        for (id, free) in &self.capacity.open_machines {
+        for (id, free) in &self.capacity.machines_with_capacity {
             if !free.fits(spec) || self.is_reserved_from(id, now, query.tier, job) {
                 continue;
             }
-            let machine = if walk_all {
+            let machine = if scan_all {
                 while machines.next_if(|(other, _)| *other < id).is_some() {}
                 machines
                     .next_if(|(other, _)| *other == id)
@@ -163,7 +163,7 @@
             let Some(machine) = machine else { continue };
             if query.zone.is_some_and(|zone| zone != machine.zone)
                 || !is_allowed(job, machine, workers)
-                || !machine.is_usable(now, pass.silence_limit)
+                || !machine.is_usable(now, pass.heartbeat_grace_period)
             {
                 continue;
             }
@@ -199,7 +199,7 @@
         | (ImagePreference::CachedLast, ImageStatus::Cached) => 2,
     };
     Some(MachineRank {
-        has_failures: job.errors.contains_key(&machine.id) || machine.error_streak > 0,
+        has_failures: job.failures_by_machine.contains_key(&machine.id) || machine.error_streak > 0,
         is_slow: machine.slowness > SLOW_MACHINE_FACTOR,
         image,
         fetches_in_flight: if status == ImageStatus::Missing {
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -84,7 +84,7 @@
                     .get(&job.number)
                     .is_some_and(|aged| aged.machine == *machine)
             };
-            let ends_at = now + self.expected_run(&job.spec);
+            let ends_at = now + self.expected_run_time(&job.spec);
             reservation.reserved_for.outranks(tier)
                 && ends_at > reservation.backfill_until
                 && !(reservation.reserved_for == ReservedFor::AgedJob && is_own())
--- a/src/scheduler/wait_reason.rs
+++ b/src/scheduler/wait_reason.rs
@@ -1,7 +1,7 @@
 //! Why tasks of a job wait, as a text for operators. Reads only, and decides nothing.
 
 use super::Scheduler;
-use super::context::silence_limit;
+use super::context::heartbeat_grace_period;
 use super::feasibility::is_type_allowed;
 use super::ranking::is_allowed;
 use crate::capacity::Resources;
@@ -41,7 +41,7 @@
         } else if job.not_before > now {
             "it backs off for some seconds after a refused start or a possible cancellation"
         } else {
-            self.machine_wait_reason(now, job, workers, types, silence_limit(settings))
+            self.machine_wait_reason(now, job, workers, types, heartbeat_grace_period(settings))
         })
     }
 
@@ -52,7 +52,7 @@
         job: &Job,
         workers: &WorkerLedger,
         types: &[MachineType],
-        silence_limit: Micros,
+        heartbeat_grace_period: Micros,
     ) -> &'static str {
         let spec = &job.spec;
         let fits_type = |machine_type: &MachineType| {
@@ -63,7 +63,7 @@
             is_allowed(job, machine, workers) && machine_type.is_some_and(fits_type)
         };
         let is_usable = |machine: &&Machine| {
-            machine.is_usable(now, silence_limit) && is_allowed(job, machine, workers)
+            machine.is_usable(now, heartbeat_grace_period) && is_allowed(job, machine, workers)
         };
         let has_capacity = |machine: &Machine| {
             let entry = self.capacity.machines.get(&machine.id);
--- a/tests/suite/limits.rs
+++ b/tests/suite/limits.rs
@@ -5,7 +5,7 @@
 use dewramp::clock::{Micros, SECOND};
 use dewramp::dependency_graph::DependencyGraph;
 use dewramp::job_record::JobRecord;
-use dewramp::jobs::{JobTable, Progress};
+use dewramp::jobs::{JobProgress, JobTable};
 use dewramp::messages::{Input, Outcome, Output};
 use dewramp::open_files::{Plan, plan};
 use dewramp::wire::{
@@ -356,11 +356,11 @@
 fn a_frame_on_progress_takes_what_fits() {
     let uid = |n: usize| format!("wk-{n:06}");
     let rows = |n| (0..n).filter_map(|n| ProgressRow::new(&format!("wk-{n:06}"), 1, 2));
-    let (frame, left_out) = Progress::frame(rows(5 * FLEET));
+    let (frame, left_out) = JobProgress::encode_frame(rows(5 * FLEET));
     assert_eq!((frame.len(), left_out), (5 * FLEET * 32, 0));
-    let (frame, left_out) = Progress::frame(rows(7 * FLEET));
+    let (frame, left_out) = JobProgress::encode_frame(rows(7 * FLEET));
     assert!(frame.len() + 1024 <= FRAME_MAX && left_out > 0);
-    let mut progress = Progress::default();
+    let mut progress = JobProgress::default();
     progress.replace(&frame);
     assert_eq!(progress.get(&uid(0)), Some((1, 2)));
     assert_eq!(progress.get(&uid(7 * FLEET - left_out - 1)), Some((1, 2)));
@@ -414,7 +414,7 @@
         table.add(&JobRecord::new(spec.clone(), SECOND, "n-1"), 1);
         if n > 0 {
             graph.add(&spec, SECOND, |_| true);
-            graph.propagate_back(&mut table, &spec.uid, |_| SECOND);
+            graph.propagate_to_dependencies(&mut table, &spec.uid, |_| SECOND);
         }
     }
     let first = table.get("wk-0").expect("it is live");
--- a/tests/suite/load.rs
+++ b/tests/suite/load.rs
@@ -264,13 +264,13 @@
     rooms.refresh(SECOND, &mut w, &types, 9 * SECOND, true);
     assert_eq!((rooms.total_cores, rooms.free_cores), (4.0, 4.0));
     for (undone, used) in [(true, 0.0), (false, 4.0)] {
-        rooms.reserve(&id, &spec);
+        rooms.allocate(&id, &spec);
         assert_eq!(
             (rooms.team_usage("blue").cores, rooms.free_cores),
             (4.0, 0.0)
         );
         if undone {
-            rooms.release(&id, &spec);
+            rooms.deallocate(&id, &spec);
         } else {
             let attempt = w.new_attempt();
             w.plan_task(&id, TaskId { job, index: 0 }, attempt, &spec, SECOND);
@@ -282,7 +282,7 @@
     }
     // Silence makes a machine unfit by time alone, and a report fit again.
     rooms.refresh(20 * SECOND, &mut w, &types, 9 * SECOND, true);
-    assert!(rooms.open_machines.is_empty() && rooms.machines[&id].free.is_none());
+    assert!(rooms.machines_with_capacity.is_empty() && rooms.machines[&id].free.is_none());
 }
 
 /// Without a leader a worker was told so at once and went to the next node a second later, over a
--- a/tests/suite/pipelines.rs
+++ b/tests/suite/pipelines.rs
@@ -282,7 +282,7 @@
         table.add(&JobRecord::new(spec.clone(), 100 * SECOND, "n-1"), 1);
         if !spec.waits_on.is_empty() {
             graph.add(&spec, 100 * SECOND, |_| true);
-            graph.propagate_back(table, &spec.uid, |_| 10 * SECOND);
+            graph.propagate_to_dependencies(table, &spec.uid, |_| 10 * SECOND);
         }
     };
     add(&mut table, &mut graph, "wk-1", json!({"urgency": "low"}));
--- a/tests/suite/scheduling.rs
+++ b/tests/suite/scheduling.rs
@@ -1,7 +1,7 @@
 //! The paper's formulas and the scheduler's choices.
 
 use crate::world::{self, World};
-use dewramp::scheduler::{ClassKey, Pheromone, eta, impossible_reason};
+use dewramp::scheduler::{ClassKey, Pheromone, fairness_weight, impossible_reason};
 use dewramp::settings::{Properties, Settings, SettingsError};
 use dewramp::wire::{JobSpec, JobSpecError, MachineType};
 use rand::SeedableRng;
@@ -26,13 +26,13 @@
 fn the_papers_worked_example() {
     let class = ClassKey::of(&spec(json!({})).unwrap());
     let mut p = Pheromone::default();
-    p.finished(class.clone(), "A", 2.0);
-    p.finished(class.clone(), "A", 2.0);
-    p.finished(class.clone(), "B", 3.0);
-    p.round(0.5, &machine_types());
-    assert!((p.tau(&class, "A") - (0.5 + 0.5 * 2.0 * (7.0 / 3.0) / 2.0)).abs() < 1e-9);
-    assert!((p.tau(&class, "A") - 1.66).abs() < 0.01);
-    assert!((p.tau(&class, "B") - 0.88).abs() < 0.01);
+    p.record_completion(class.clone(), "A", 2.0);
+    p.record_completion(class.clone(), "A", 2.0);
+    p.record_completion(class.clone(), "B", 3.0);
+    p.end_round(0.5, &machine_types());
+    assert!((p.level(&class, "A") - (0.5 + 0.5 * 2.0 * (7.0 / 3.0) / 2.0)).abs() < 1e-9);
+    assert!((p.level(&class, "A") - 1.66).abs() < 0.01);
+    assert!((p.level(&class, "B") - 0.88).abs() < 0.01);
 }
 
 #[test]
@@ -41,13 +41,13 @@
     let other = ClassKey::of(&spec(json!({"bundle": "img-2"})).unwrap());
     let mut p = Pheromone::default();
     for _ in 0..20 {
-        p.finished(class.clone(), "A", 1.0);
-        p.round(0.5, &machine_types());
+        p.record_completion(class.clone(), "A", 1.0);
+        p.end_round(0.5, &machine_types());
     }
-    assert!((p.tau(&class, "A") - 1.0).abs() < 1e-9);
-    assert!(p.tau(&class, "B") > 0.0 && p.tau(&class, "B") < 0.1);
+    assert!((p.level(&class, "A") - 1.0).abs() < 1e-9);
+    assert!(p.level(&class, "B") > 0.0 && p.level(&class, "B") < 0.1);
     assert_eq!(
-        p.tau(&other, "B"),
+        p.level(&other, "B"),
         1.0,
         "no negative deposits to other classes"
     );
@@ -57,16 +57,16 @@
 fn draws_are_proportional_to_pheromone() {
     let class = ClassKey::of(&spec(json!({})).unwrap());
     let mut p = Pheromone::default();
-    p.finished(class.clone(), "A", 2.0);
-    p.finished(class.clone(), "A", 2.0);
-    p.finished(class.clone(), "B", 3.0);
-    p.round(0.5, &machine_types());
+    p.record_completion(class.clone(), "A", 2.0);
+    p.record_completion(class.clone(), "A", 2.0);
+    p.record_completion(class.clone(), "B", 3.0);
+    p.end_round(0.5, &machine_types());
     let mut rng = SmallRng::seed_from_u64(5);
     let n = 20_000;
     let a = (0..n)
         .filter(|_| p.draw(&class, &["A", "B"], &mut rng) == Some("A"))
         .count();
-    let expected = p.tau(&class, "A") / (p.tau(&class, "A") + p.tau(&class, "B"));
+    let expected = p.level(&class, "A") / (p.level(&class, "A") + p.level(&class, "B"));
     assert!((a as f64 / n as f64 - expected).abs() < 0.02);
     assert_eq!(
         p.draw(&class, &["B"], &mut rng),
@@ -77,11 +77,11 @@
 
 #[test]
 fn eta_is_one_at_the_fair_share_and_bounded() {
-    assert_eq!(eta(10.0, 10.0, 100.0), 1.0);
-    assert!((eta(30.0, 10.0, 100.0) - 1.25).abs() < 1e-9);
-    assert!((eta(10.0, 60.0, 100.0) - 1.0 / 1.5).abs() < 1e-9);
-    assert_eq!(eta(200.0, 0.0, 100.0), 10.0);
-    assert_eq!(eta(0.0, 5000.0, 100.0), 0.1);
+    assert_eq!(fairness_weight(10.0, 10.0, 100.0), 1.0);
+    assert!((fairness_weight(30.0, 10.0, 100.0) - 1.25).abs() < 1e-9);
+    assert!((fairness_weight(10.0, 60.0, 100.0) - 1.0 / 1.5).abs() < 1e-9);
+    assert_eq!(fairness_weight(200.0, 0.0, 100.0), 10.0);
+    assert_eq!(fairness_weight(0.0, 5000.0, 100.0), 0.1);
 }
 
 #[test]
