--- a/src/controller.rs
+++ b/src/controller.rs
@@ -33,7 +33,7 @@
 mod task_events;
 
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::election::{Election, LEADER_KEY};
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::heartbeat_batch::HeartbeatBatch;
@@ -87,7 +87,7 @@
     last_ticket: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
-    cloud: Cloud,
+    cloud: CloudClient,
     client_requests: ClientRequests,
     /// Present from the election of this node until it steps down.
     leader_state: Option<LeaderState>,
@@ -137,7 +137,7 @@
                     properties.leader_ttl,
                 ),
             ),
-            cloud: Cloud::new(
+            cloud: CloudClient::new(
                 settings.services.cloud,
                 &settings.name,
                 incarnation,
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -8,7 +8,7 @@
 use super::state_request::StateRequest;
 use super::{Controller, LEADER_REQUEST_TIMEOUT};
 use crate::clock::{Micros, from_secs};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::dependency_graph::latest_start;
 use crate::election::LEADER_KEY;
 use crate::job_record::{FinalState, finished_key, live_key};
@@ -34,7 +34,7 @@
 impl Controller {
     /// Adds a job to the dependency graph if it waits for others, and passes its priority and deadline on
     /// to its dependencies.
-    pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &Cloud, uid: &Arc<str>) {
+    pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &CloudClient, uid: &Arc<str>) {
         let Some(job) = leader_state
             .jobs
             .get(uid)
@@ -52,7 +52,7 @@
         let scheduler = &leader_state.scheduler;
         leader_state
             .dependency_graph
-            .propagate_back(&mut leader_state.jobs, uid, |spec| {
+            .propagate_to_dependencies(&mut leader_state.jobs, uid, |spec| {
                 expected_job_duration(scheduler, cloud, spec)
             });
     }
@@ -83,7 +83,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leader_state.dependency_graph.outcome_answered(uid);
+        leader_state.dependency_graph.outcome_read_ended(uid);
         match reply {
             Reply::KeyValue(item) => match serde_json::from_str::<FinalState>(item.value.get()) {
                 Ok(end) => Self::dependency_finished(leader_state, now, uid, &end),
@@ -110,7 +110,7 @@
         uid: &Arc<str>,
         end: &FinalState,
     ) {
-        leader_state.dependency_graph.forget(uid);
+        leader_state.dependency_graph.remove(uid);
         if end.is_done() {
             return Self::dependency_done(leader_state, now, uid, end.finished_at);
         }
@@ -215,7 +215,7 @@
             match reply {
                 Reply::Applied { .. } => {
                     log::info!("job cancelled with a dependency job={uid} cancelled={root}");
-                    leader_state.dependency_graph.forget(&uid);
+                    leader_state.dependency_graph.remove(&uid);
                     for dependent in leader_state.dependency_graph.dependency_cancelled(&uid) {
                         leader_state
                             .cascading_cancellations
@@ -284,9 +284,9 @@
 
 /// The expected time from a job's release to its end, in microseconds: the time to fetch its image,
 /// and 1.5 times the expected run time of a task, since the job ends with its slowest task.
-fn expected_job_duration(scheduler: &Scheduler, cloud: &Cloud, spec: &JobSpec) -> Micros {
+fn expected_job_duration(scheduler: &Scheduler, cloud: &CloudClient, spec: &JobSpec) -> Micros {
     let rates = cloud.types.iter().map(|t| t.fetch_gb_per_s);
     let rate = rates.filter(|r| *r > 0.0).fold(f64::INFINITY, f64::min);
-    let run = scheduler.expected_run(spec);
+    let run = scheduler.expected_run_time(spec);
     run + run / 2 + from_secs(spec.image_gb / rate)
 }
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -8,9 +8,9 @@
 use super::Controller;
 use super::failover::StoredJob;
 use super::leader::LeaderState;
-use crate::accounting::{StopReason, TaskOutcome};
+use crate::accounting::{StopReason, WorkloadEvent};
 use crate::clock::{MILLISECOND, Micros, Now, SECOND};
-use crate::cloud::Cloud;
+use crate::cloud::CloudClient;
 use crate::fault_injection::{InjectedFault, fault_injected};
 use crate::job_record::{LIVE_PREFIX, TaskEnding};
 use crate::jobs::Job;
@@ -198,7 +198,7 @@
             // Its dependents are cancelled or released by its stored final state, which is read from
             // the state service.
             let uid = job.spec.uid.clone();
-            leader_state.dependency_graph.forget(&uid);
+            leader_state.dependency_graph.remove(&uid);
             leader_state.dependency_graph.request_outcome(&uid);
         }
     }
@@ -232,7 +232,7 @@
 
     fn apply_task_event(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Now,
         event: &TaskEvent,
     ) {
@@ -249,7 +249,7 @@
                 if let Some(job) = leader_state.jobs.by_number.get(&event.task.job) {
                     leader_state
                         .accounting
-                        .record(&job.spec, TaskOutcome::Started);
+                        .record(&job.spec, WorkloadEvent::Started);
                 }
                 Self::attempt_observed(leader_state, now, event);
             }
@@ -319,8 +319,8 @@
         job.remove_placement(index, &event.machine, event.attempt);
         let outcome = match why {
             _ if event.attempt == 0 || job.cancelled || job.done.contains(&index) => None,
-            LEASE_EXPIRED => Some(TaskOutcome::LeaseExpired),
-            MACHINE_GONE | NOT_ON_MACHINE => Some(TaskOutcome::MachineLost),
+            LEASE_EXPIRED => Some(WorkloadEvent::LeaseExpired),
+            MACHINE_GONE | NOT_ON_MACHINE => Some(WorkloadEvent::MachineLost),
             _ => None,
         };
         if let Some(outcome) = outcome {
@@ -342,7 +342,7 @@
 
     /// Adds the end of an attempt to the job's record.
     fn note_ending(job: &mut Job, event: &TaskEvent, cause: &str, now: Now) {
-        job.note_ending(TaskEnding {
+        job.record_ending(TaskEnding {
             task_index: event.task.index,
             machine: event.machine.to_string(),
             cause: cause.to_owned(),
@@ -373,9 +373,9 @@
         );
         let outcome = match end.cause {
             "done" if job.cancelled || job.done.contains(&index) => None,
-            "done" => Some(TaskOutcome::Done),
-            "stopped" => Some(TaskOutcome::Stopped(end.stop)),
-            "error" => Some(TaskOutcome::Failed),
+            "done" => Some(WorkloadEvent::Done),
+            "stopped" => Some(WorkloadEvent::Stopped(end.stop)),
+            "error" => Some(WorkloadEvent::Failed),
             _ => None,
         };
         if let Some(outcome) = outcome {
@@ -431,7 +431,7 @@
     /// Updates the health of the machine and of the job after the end of an attempt.
     fn assess_task_end(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Micros,
         event: &TaskEvent,
         end: &AttemptEnd<'_>,
@@ -457,7 +457,7 @@
     /// time of such tasks.
     fn assess_completion(
         leader_state: &mut LeaderState,
-        cloud: &Cloud,
+        cloud: &CloudClient,
         now: Micros,
         event: &TaskEvent,
         ran: Micros,
@@ -468,30 +468,30 @@
         let Some(machine) = leader_state.workers.machines.get_mut(&event.machine) else {
             return;
         };
-        leader_state.scheduler.note_completion(now, job.spec.cores);
+        leader_state.scheduler.record_completion(now, job.spec.cores);
         machine.failures_since_success = 0;
         machine.failed_jobs.clear();
         if ran == 0 || job.checkpointed_tasks.contains(&event.task.index) {
             return;
         }
         let ran_log = (ran as f64).ln();
-        let (log_sum, log_count) = job.run_time_logs;
+        let (log_sum, log_count) = job.ln_run_times;
         if log_count > 0.0 {
             // The mean over few other tasks of the job is less reliable, so it has less weight.
             let weight = log_count / (log_count + 1.0);
             machine.run_time_bias.0 += weight * (ran_log - log_sum / log_count).clamp(-1.0, 1.0);
             machine.run_time_bias.1 += weight;
         }
-        job.run_time_logs.0 += ran_log;
-        job.run_time_logs.1 += 1.0;
-        let ratio = ran as f64 / leader_state.scheduler.expected_run(&job.spec) as f64;
+        job.ln_run_times.0 += ran_log;
+        job.ln_run_times.1 += 1.0;
+        let ratio = ran as f64 / leader_state.scheduler.expected_run_time(&job.spec) as f64;
         machine.slowness = SLOWNESS_PREVIOUS_WEIGHT * machine.slowness
             + SLOWNESS_SAMPLE_WEIGHT * ratio.clamp(0.2, 5.0);
         if let Some(machine_type) = cloud.machine_type_named(&machine.machine_type) {
             let spot = machine.spot;
             leader_state
                 .scheduler
-                .task_done(&job.spec, machine_type, spot, ran);
+                .learn_from_completion(&job.spec, machine_type, spot, ran);
         }
     }
 
@@ -500,8 +500,10 @@
         let Some(job) = leader_state.jobs.by_number.get_mut(&event.task.job) else {
             return;
         };
-        *job.errors.entry(event.machine.clone()).or_default() += 1;
-        job.failed_after = job.failed_after.max(ran);
+        *job.failures_by_machine
+            .entry(event.machine.clone())
+            .or_default() += 1;
+        job.longest_failed_run = job.longest_failed_run.max(ran);
         if job.is_suspect() {
             // The job is faulty: its backoff grows, and its failures no longer count against the
             // machines that it failed on.
@@ -511,7 +513,7 @@
                 let backoff = FAILING_JOB_BACKOFF << doublings;
                 job.not_before = now + backoff.min(FAILING_JOB_BACKOFF_MAX);
             }
-            for id in job.errors.keys() {
+            for id in job.failures_by_machine.keys() {
                 if let Some(machine) = leader_state.workers.machines.get_mut(id) {
                     machine.retract_failures_of_job(event.task.job, now);
                 }
