--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -223,7 +223,8 @@
         &self,
         leader_state: &LeaderState,
     ) -> BTreeMap<&'static str, usize> {
-        let (now, heartbeat_grace_period) = (self.now.steady, heartbeat_grace_period(&self.settings));
+        let (now, heartbeat_grace_period) =
+            (self.now.steady, heartbeat_grace_period(&self.settings));
         let mut counts = BTreeMap::new();
         for machine in leader_state.workers.machines.values() {
             if let Some(reason) = machine.unavailable_reason_name(now, heartbeat_grace_period) {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -444,7 +444,13 @@
     }
 
     /// Answers with the state of a stored job; `over` tells that the item is its final state.
-    pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: KeyValue) {
+    pub(super) fn respond_stored_state(
+        &mut self,
+        conn: ConnId,
+        uid: &str,
+        over: bool,
+        item: KeyValue,
+    ) {
         let body = if over {
             serde_json::from_str::<FinalState>(item.value.get())
                 .ok()
--- a/src/controller/dependencies.rs
+++ b/src/controller/dependencies.rs
@@ -34,7 +34,11 @@
 impl Controller {
     /// Adds a job to the dependency graph if it waits for others, and passes its priority and deadline on
     /// to its dependencies.
-    pub(super) fn add_dependencies(leader_state: &mut LeaderState, cloud: &CloudClient, uid: &Arc<str>) {
+    pub(super) fn add_dependencies(
+        leader_state: &mut LeaderState,
+        cloud: &CloudClient,
+        uid: &Arc<str>,
+    ) {
         let Some(job) = leader_state
             .jobs
             .get(uid)
@@ -50,11 +54,11 @@
                 table.get(dependency).is_some_and(|job| !job.cancelled)
             });
         let scheduler = &leader_state.scheduler;
-        leader_state
-            .dependency_graph
-            .propagate_to_dependencies(&mut leader_state.jobs, uid, |spec| {
-                expected_job_duration(scheduler, cloud, spec)
-            });
+        leader_state.dependency_graph.propagate_to_dependencies(
+            &mut leader_state.jobs,
+            uid,
+            |spec| expected_job_duration(scheduler, cloud, spec),
+        );
     }
 
     /// Reads the final states of dependencies that may have finished.
@@ -182,7 +186,10 @@
                 .require_revision(live_key(uid), job.mod_revision)
                 .require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
-                .set(finished_key(uid), &end.truncate_to_fit(schema.usable_bytes()));
+                .set(
+                    finished_key(uid),
+                    &end.truncate_to_fit(schema.usable_bytes()),
+                );
             cancellations.push(cascade);
         }
         leader_state.cascading_cancellations = later;
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -211,11 +211,11 @@
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for request in
-            leader_state
-                .registry
-                .take_due_requests(now, &mut leader_state.workers, &leader_state.rented_machines)
-        {
+        for request in leader_state.registry.take_due_requests(
+            now,
+            &mut leader_state.workers,
+            &leader_state.rented_machines,
+        ) {
             // Hundreds of new machines may wait for a few of these writes, so they get the priority
             // of submissions and cancellations.
             let priority = match request {
--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -113,7 +113,9 @@
         let record = job.record();
         let finished = job.is_done();
         let stored_values = if finished {
-            let end = record.to_final_state("done", now.wall).truncate_to_fit(schema.usable_bytes());
+            let end = record
+                .to_final_state("done", now.wall)
+                .truncate_to_fit(schema.usable_bytes());
             StoredValues::single(to_raw_json(&end))
         } else {
             schema.encode_job(&record)?
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -468,7 +468,9 @@
         let Some(machine) = leader_state.workers.machines.get_mut(&event.machine) else {
             return;
         };
-        leader_state.scheduler.record_completion(now, job.spec.cores);
+        leader_state
+            .scheduler
+            .record_completion(now, job.spec.cores);
         machine.failures_since_success = 0;
         machine.failed_jobs.clear();
         if ran == 0 || job.checkpointed_tasks.contains(&event.task.index) {
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -202,7 +202,8 @@
         | (ImagePreference::CachedLast, ImageStatus::Cached) => 2,
     };
     Some(MachineRank {
-        has_failures: job.failures_by_machine.contains_key(&machine.id) || machine.failures_since_success > 0,
+        has_failures: job.failures_by_machine.contains_key(&machine.id)
+            || machine.failures_since_success > 0,
         is_slow: machine.slowness > SLOW_MACHINE_FACTOR,
         image,
         fetches_in_flight: if status == ImageStatus::Missing {
