--- a/src/election.rs
+++ b/src/election.rs
@@ -1,20 +1,20 @@
-//! Leader election at the key-value store: a lease, the `leader` key attached to it, and a term that only
-//! grows.
+//! Leader election through the key-value store: a lease, the `leader` key attached to it, and a term that
+//! increases with every leader.
 //!
-//! [`Election`] owns what this controller knows of the leader key and, while it is the leader, the lease
-//! that it renews. It does no I/O: [`Election::tick`] and [`Election::handle_reply`] return requests for
-//! the state service, and [`Election::handle_reply`] reports when leadership is acquired or lost. It never
-//! decides what a leader does.
+//! [`Election`] owns this controller's view of the leader key and, while the controller is the leader, the
+//! lease that it renews. It does no I/O: [`Election::tick`] and [`Election::handle_reply`] return requests for
+//! the state service, and [`Election::handle_reply`] reports when leadership is acquired or lost. What a
+//! leader does is decided elsewhere.
 //!
 //! Invariants:
 //!
-//! - Leadership counts only until the send time of the last successful renewal plus the lease's time to
-//!   live, less a margin for clock drift ([`drift_lower_bound`]). After that the controller must neither
-//!   send commands nor answer a worker with 200 until a renewal shows that the lease did not expire.
-//! - A term is stored in the same transaction that creates the leader key, and is larger than every term
+//! - Leadership is valid only until the send time of the last successful renewal plus the lease's TTL, less a
+//!   margin for clock drift ([`drift_lower_bound`]). After that the controller must neither send commands nor
+//!   answer a worker with status 200 until a renewal shows that the lease has not expired.
+//! - A new term is stored in the same transaction that creates the leader key, and is larger than every term
 //!   stored before it.
-//! - Every write of a leader is conditional on the revision of its leader key
-//!   ([`Election::leader_key_revision`]), so that a former leader's writes fail.
+//! - Every write of a leader has the revision of its leader key as a precondition
+//!   ([`Election::leader_key_revision`]), so that the writes of a former leader fail.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, drift_lower_bound};
 use crate::fault_injection::{InjectedFault, fault_injected};
@@ -24,44 +24,45 @@
 #[cfg(test)]
 mod tests;
 
-/// The key that names the leader; it is attached to the leader's lease and expires with it.
+/// The key that names the leader. It is attached to the leader's lease and deleted when the lease expires.
 pub const LEADER_KEY: &str = "leader";
-/// The key of the highest term so far; it is attached to no lease.
+/// The key that holds the highest term so far. It is attached to no lease.
 pub const TERM_KEY: &str = "term";
 
-/// The time to live of a lease allows for this many times the usual answer time of the state service.
-const TTL_PER_ANSWER_TIME: f64 = 6.0;
-/// The time to live of a lease allows for this many times the usual pause of this process.
+/// The TTL of a lease includes this many times the average response time of the state service.
+const TTL_PER_RESPONSE_TIME: f64 = 6.0;
+/// The TTL of a lease includes this many times the recent longest pause of this process.
 const TTL_PER_PAUSE: f64 = 2.0;
-/// A process with long pauses needs a lease longer than the settings' longest, up to this many times that: the
-/// next failover would find it with even more to do, and costs all workers new connections.
+/// A process with long pauses may use a TTL above the configured maximum, up to this many times that maximum.
+/// Otherwise it would lose its lease: the failover makes all workers reconnect, and the leader after it has even
+/// more work to do.
 const PAUSED_TTL_FACTOR_MAX: Micros = 2;
-/// The recorded pause falls by half in this time unless a longer one is seen.
+/// The recorded pause halves in this time unless a longer one is recorded.
 const PAUSE_HALF_LIFE: Micros = 10 * SECOND;
-/// Weight of an answer slower than the average, so that the average rises soon.
-const SLOWER_ANSWER_WEIGHT: f64 = 0.2;
-/// Weight of an answer faster than the average, so that the average falls slowly.
-const FASTER_ANSWER_WEIGHT: f64 = 0.05;
-/// Time between two attempts to replace the lease by one with another time to live.
+/// Weight of a response slower than the average; the larger one, so that the average rises quickly.
+const SLOWER_RESPONSE_WEIGHT: f64 = 0.2;
+/// Weight of a response faster than the average; the smaller one, so that the average falls slowly.
+const FASTER_RESPONSE_WEIGHT: f64 = 0.05;
+/// Minimum time between two attempts to replace the lease by one with a different TTL.
 const RESIZE_RETRY_INTERVAL: Micros = 5 * SECOND;
-/// A lease is shortened only this long after a longer one would have been requested.
+/// A shorter lease is requested only this long after the time at which a longer one could have been.
 const SHRINK_DELAY: Micros = 15 * SECOND;
-/// The leader key is read again this long after a read failed.
+/// Delay before the leader key is read again after a failed read.
 const READ_RETRY_DELAY: Micros = 300 * MILLISECOND;
-/// The leader key is watched again this long after a watch failed.
+/// Delay before the leader key is watched again after a failed watch.
 const WATCH_RETRY_DELAY: Micros = 200 * MILLISECOND;
-/// The state service ends a watch without changes after this time.
+/// The state service answers a watch after this time even if nothing has changed.
 const WATCH_BLOCK: Micros = 20 * SECOND;
-/// The next attempt to become leader starts this long after one failed.
+/// Delay before the next attempt to become leader after a failed one.
 const ATTEMPT_RETRY_DELAY: Micros = 150 * MILLISECOND;
-/// A lease is renewed again this long after a renewal failed.
+/// Delay before the lease is renewed again after a failed renewal.
 const RENEWAL_RETRY_DELAY: Micros = 150 * MILLISECOND;
-/// The leader key of an earlier incarnation is handled again this long after its lease could not be revoked.
+/// Delay before the next attempt to become leader after a lease could not be revoked.
 const REVOKE_RETRY_DELAY: Micros = 200 * MILLISECOND;
-/// Keys read at most when one key is listed by its prefix.
+/// Page size for reading a single key by listing its prefix.
 const LIST_LIMIT: usize = 10;
 
-/// A request for the state service, and the step of the election that its reply belongs to.
+/// A request to the state service, with the election step that its reply belongs to.
 pub type ElectionRequest = (ElectionStep, Op);
 
 /// The value of [`LEADER_KEY`].
@@ -69,10 +70,10 @@
 pub struct LeaderRecord {
     /// Name of the leader's node.
     pub node: String,
-    /// The leader's process incarnation: tells one start of a controller process from the next.
+    /// Incarnation of the leader's process: distinguishes it from earlier and later processes of the same node.
     #[serde(rename = "run")]
     pub incarnation: u64,
-    /// The term that the node leads under.
+    /// The leader's term.
     pub term: u64,
     /// The lease that the key is attached to.
     #[serde(rename = "permit")]
@@ -85,16 +86,16 @@
     term: u64,
 }
 
-/// What a request for the state service is for; it comes back with the reply.
+/// The purpose of a request to the state service; the caller passes it back with the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ElectionStep {
     /// Reads the leader key.
     ReadLeaderKey,
-    /// Waits for changes of the leader key.
+    /// Watches the leader key.
     WatchLeaderKey,
-    /// Requests the lease of an attempt to become leader.
+    /// Requests the lease for an attempt to become leader.
     GrantLease,
-    /// Reads the last term, during an attempt.
+    /// Reads the highest term so far, during an attempt to become leader.
     ReadTerm,
     /// Creates the leader key and stores the new term, in one transaction.
     AcquireLeadership {
@@ -102,19 +103,19 @@
         term: u64,
         /// The lease that the leader key is attached to.
         lease_id: u64,
-        /// When the lease was requested: its time to live counts from then.
+        /// When the lease was requested; its TTL is counted from then.
         lease_requested_at: Micros,
     },
     /// Renews a lease of the leader.
     RenewLease {
-        /// The lease that is renewed.
+        /// The lease to renew.
         lease_id: u64,
     },
-    /// Revokes a lease that the leader key is, or may be, attached to.
+    /// Revokes a lease that the leader key is or may be attached to.
     RevokeLease,
-    /// Requests a lease with another time to live for the leader.
+    /// Requests a lease with a different TTL for the leader.
     GrantReplacementLease {
-        /// Time to live of the requested lease, in microseconds.
+        /// TTL of the requested lease, in microseconds.
         ttl: Micros,
     },
     /// Attaches the leader key to the replacement lease.
@@ -122,41 +123,42 @@
         /// The replacement lease.
         lease_id: u64,
     },
-    /// Revokes a lease that the leader key is not attached to.
-    RevokeSpareLease,
+    /// Revokes a lease that the leader key is certainly not attached to.
+    RevokeUnusedLease,
 }
 
-/// A change of this controller's own leadership.
+/// A change in this controller's own leadership.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipChange {
-    /// This controller is the leader from now on.
+    /// This controller has become the leader.
     Acquired {
-        /// The term it leads under.
+        /// The new term.
         term: u64,
-        /// The revision of its leader key, which its writes are conditional on.
+        /// The revision of its leader key, which is a precondition of all its writes.
         mod_revision: u64,
     },
-    /// This controller's term is over for good.
+    /// This controller is no longer the leader; its term does not resume.
     Lost,
 }
 
-/// Leadership of this controller, valid or not.
+/// The leadership that this controller holds. Its lease may have expired already.
 struct HeldLeadership {
     term: u64,
     /// Revision of the leader key.
     mod_revision: u64,
     lease_id: u64,
-    /// The end of the lease, by this process's clock and on the safe side.
+    /// When the lease expires by this process's clock, at the earliest.
     valid_until: Micros,
-    /// Since when leadership has been valid without a break: the send time of the request that made it so.
+    /// Since when leadership has been valid without interruption: the send time of the grant or renewal that
+    /// made it valid.
     valid_since: Micros,
-    /// A lease with another time to live, which the key may be attached to already.
+    /// A lease with a different TTL, which the leader key may already be attached to.
     replacement: Option<ReplacementLease>,
 }
 
-/// A lease that is to replace the leader's lease. Until the reply to the transaction that attaches the leader
-/// key to it, both leases are renewed and leadership is valid only as long as both are: the key exists
-/// as long as the lease it is attached to, and it is unknown which of the two that is.
+/// A lease that is to replace the leader's lease. Until the transaction that attaches the leader key to it is
+/// answered, it is unknown which of the two leases the key is attached to, and the key is deleted when that
+/// lease expires. Both leases are therefore renewed, and leadership is valid only while both are.
 struct ReplacementLease {
     lease_id: u64,
     ttl: Micros,
@@ -164,7 +166,7 @@
 }
 
 impl HeldLeadership {
-    /// The end of the lease, or of the replacement if that is earlier.
+    /// When the lease expires, or the replacement if that expires earlier.
     fn valid_until(&self) -> Micros {
         match &self.replacement {
             Some(replacement) => replacement.valid_until.min(self.valid_until),
@@ -173,42 +175,43 @@
     }
 }
 
-/// This controller's part in the leader election.
+/// This controller's participation in the leader election.
 pub struct Election {
     node_name: String,
     incarnation: u64,
-    /// Time to live of the lease held or requested.
+    /// TTL of the lease held or requested.
     ttl: Micros,
-    /// Least and greatest time to live; in between it follows the answer times and pauses.
+    /// Minimum and maximum TTL; between them it depends on response times and pauses.
     ttl_bounds: (Micros, Micros),
-    /// Weighted average of the state service's answer times, in microseconds.
-    answer_time: f64,
-    /// The longest recent time for which this process handled nothing, in microseconds, aged.
+    /// Weighted average of the state service's response times, in microseconds.
+    response_time: f64,
+    /// The longest recent pause of this process, in microseconds; decays with [`PAUSE_HALF_LIFE`].
     pause_time: f64,
-    pause_noted_at: Micros,
+    pause_recorded_at: Micros,
     current_leader: Option<LeaderRecord>,
-    /// The term that an earlier incarnation of this process led under.
+    /// The term of an earlier incarnation of this process, if that was the leader and no other node has been
+    /// since.
     former_term: Option<u64>,
     leadership: Option<HeldLeadership>,
-    /// The lease of the current attempt.
+    /// The lease of the current attempt to become leader.
     attempt_lease: Option<AttemptLease>,
     attempt_in_flight: bool,
-    /// When the renewal that has no reply yet was sent.
+    /// When the renewal in flight was sent.
     renewal_sent_at: Option<Micros>,
     next_renewal_at: Micros,
-    /// Store revision up to which changes of the leader key are known.
+    /// Store revision up to which all changes of the leader key are known.
     revision: u64,
     leader_key_read: bool,
     read_in_flight: bool,
     watch_in_flight: bool,
     retry_at: Micros,
-    /// No attempt to become leader before this time.
+    /// This controller makes no attempt to become leader before this time.
     backoff_until: Micros,
-    /// No request for a longer lease before this time.
+    /// No replacement lease is requested before this time.
     next_resize_at: Micros,
-    /// Since when no node has been the leader, after another node was.
+    /// When the leader key was last seen to disappear; 0 if never.
     vacant_since: Micros,
-    /// How long other nodes get to become leader first.
+    /// How long this controller leaves a vacant leader key to other nodes.
     candidacy_delay: Micros,
 }
 
@@ -220,17 +223,18 @@
 }
 
 impl Election {
-    /// A controller that knows nothing of the leader yet. `incarnation` is the number of this start of the
-    /// process; `ttl_bounds` are the least and the greatest time to live of a lease, in microseconds.
+    /// Creates the state of a controller that does not know the leader yet. `incarnation` identifies this
+    /// process among all processes of the node; `ttl_bounds` are the minimum and maximum TTL of a lease, in
+    /// microseconds.
     pub fn new(node_name: &str, incarnation: u64, ttl_bounds: (Micros, Micros)) -> Self {
         Self {
             node_name: node_name.to_owned(),
             incarnation,
             ttl: ttl_bounds.1,
             ttl_bounds,
-            answer_time: 0.0,
+            response_time: 0.0,
             pause_time: 0.0,
-            pause_noted_at: 0,
+            pause_recorded_at: 0,
             current_leader: None,
             former_term: None,
             leadership: None,
@@ -250,8 +254,8 @@
         }
     }
 
-    /// Resigns: revokes the lease, and makes no attempt to become leader again for `backoff`. Does nothing
-    /// where this controller is not the leader.
+    /// Steps down: revokes the lease and makes no attempt to become leader again for `backoff`. Does nothing if
+    /// this controller is not the leader.
     pub fn resign(&mut self, now: Micros, backoff: Micros) -> Vec<ElectionRequest> {
         let Some(held) = self.leadership.take() else {
             return Vec::new();
@@ -262,48 +266,48 @@
         vec![revoke_lease(held.lease_id)]
     }
 
-    /// Records how long the state service took for an answer. The average rises soon and falls slowly.
-    pub fn record_response_time(&mut self, answer_time: Micros) {
-        let answer_time = answer_time as f64;
-        let weight = if answer_time > self.answer_time {
-            SLOWER_ANSWER_WEIGHT
+    /// Records a response time of the state service. The average rises quickly and falls slowly.
+    pub fn record_response_time(&mut self, response_time: Micros) {
+        let response_time = response_time as f64;
+        let weight = if response_time > self.response_time {
+            SLOWER_RESPONSE_WEIGHT
         } else {
-            FASTER_ANSWER_WEIGHT
+            FASTER_RESPONSE_WEIGHT
         };
-        self.answer_time += weight * (answer_time - self.answer_time);
+        self.response_time += weight * (response_time - self.response_time);
     }
 
-    /// Records how long an input has waited in this process.
+    /// Records how long an input has waited in this process: the measure of its pauses.
     pub fn record_pause(&mut self, now: Micros, waited: Micros) {
-        let since = now.saturating_sub(self.pause_noted_at) as f64;
-        self.pause_noted_at = now;
-        let aged = self.pause_time * 0.5f64.powf(since / PAUSE_HALF_LIFE as f64);
-        self.pause_time = aged.max(waited as f64);
+        let elapsed = now.saturating_sub(self.pause_recorded_at) as f64;
+        self.pause_recorded_at = now;
+        let decayed = self.pause_time * 0.5f64.powf(elapsed / PAUSE_HALF_LIFE as f64);
+        self.pause_time = decayed.max(waited as f64);
     }
 
-    /// The time to live that the lease should have now: short, so that another controller becomes leader soon
-    /// when this process ends, and long enough that neither a late answer nor a usual pause of this process
-    /// costs leadership.
+    /// The TTL that the lease should have now: short, so that another controller takes over soon after this
+    /// process ends, but long enough that neither a slow response nor a usual pause of this process lets the
+    /// lease expire.
     fn target_ttl(&self) -> Micros {
-        let (least, most) = self.ttl_bounds;
+        let (ttl_min, ttl_max) = self.ttl_bounds;
         let pauses = TTL_PER_PAUSE * self.pause_time;
-        let spare = TTL_PER_ANSWER_TIME * self.answer_time + pauses;
-        let usual = (least + spare as Micros).min(most);
-        usual.max((least + pauses as Micros).min(PAUSED_TTL_FACTOR_MAX * most))
+        let margin = TTL_PER_RESPONSE_TIME * self.response_time + pauses;
+        let usual = (ttl_min + margin as Micros).min(ttl_max);
+        usual.max((ttl_min + pauses as Micros).min(PAUSED_TTL_FACTOR_MAX * ttl_max))
     }
 
-    /// Sets how long other controllers get to become leader first, once there is no leader.
+    /// Sets how long this controller leaves the election to others once there is no leader.
     pub fn set_candidacy_delay(&mut self, delay: Micros) {
         self.candidacy_delay = delay;
     }
 
-    /// Whether an earlier incarnation of this process was the leader, and no other node has been since. Such a
-    /// process may end again, so another one should become leader.
+    /// Whether an earlier incarnation of this process was the leader and no other node has been since. Such a
+    /// process may crash again, so another controller should become leader.
     pub fn led_before_restart(&self) -> bool {
         self.former_term.is_some()
     }
 
-    /// When this controller may try to become leader.
+    /// The earliest time at which this controller may try to become leader.
     fn candidacy_at(&self) -> Micros {
         let delayed_until = if self.vacant_since > 0 {
             self.vacant_since + self.candidacy_delay
@@ -318,18 +322,19 @@
         self.leadership.is_none() && !self.attempt_in_flight
     }
 
-    /// The leader by the last known value of the leader key.
+    /// The leader according to the last known value of the leader key.
     pub fn leader(&self) -> Option<&LeaderRecord> {
         self.current_leader.as_ref()
     }
 
-    /// The revision of this controller's leader key, which every write of the leader is conditional on. None
-    /// where it is not the leader.
+    /// The revision of this controller's leader key, a precondition of every write of the leader. `None` if this
+    /// controller is not the leader.
     pub fn leader_key_revision(&self) -> Option<u64> {
         self.leadership.as_ref().map(|held| held.mod_revision)
     }
 
-    /// Whether this controller is the leader and no other can be.
+    /// Whether this controller is the leader with a lease that cannot have expired, so that no other controller
+    /// can be the leader.
     pub fn has_valid_lease(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
@@ -337,49 +342,51 @@
         })
     }
 
-    /// Since when no other controller can have been the leader, without a break in which this one could not
-    /// act. Before that time others may have decided what this controller has not learned.
+    /// Since when this controller's lease has been valid without interruption, so that no other controller can
+    /// have been the leader. Before that time others may have made decisions that this controller does not
+    /// know of.
     pub fn lease_valid_since(&self) -> Micros {
         self.leadership
             .as_ref()
             .map_or(Micros::MAX, |held| held.valid_since)
     }
 
-    /// How much longer this controller may act as leader without another renewal, in microseconds.
+    /// How long this controller may act as leader without another renewal, in microseconds.
     pub fn lease_time_left(&self, now: Micros) -> Micros {
         let held = self.leadership.as_ref();
         held.map_or(0, |held| held.valid_until().saturating_sub(now))
     }
 
-    /// When [`Election::tick`] next has a request; [`Micros::MAX`] while it only waits for replies.
+    /// When [`Election::tick`] is next due; [`Micros::MAX`] while the election only waits for replies.
     pub fn wake_at(&self) -> Micros {
         let at = if self.leadership.is_some() {
             self.renewal_due_at()
         } else {
-            let wants = self.current_leader.is_none() || self.former_record().is_some();
-            if self.leader_key_read && wants && !self.attempt_in_flight {
+            let may_try =
+                self.current_leader.is_none() || self.earlier_incarnation_record().is_some();
+            if self.leader_key_read && may_try && !self.attempt_in_flight {
                 self.retry_at.max(self.candidacy_at())
             } else {
                 Micros::MAX
             }
         };
-        let read = !self.leader_key_read && !self.read_in_flight;
-        let watch = self.leader_key_read && !self.watch_in_flight;
-        if read || watch {
+        let needs_read = !self.leader_key_read && !self.read_in_flight;
+        let needs_watch = self.leader_key_read && !self.watch_in_flight;
+        if needs_read || needs_watch {
             at.min(self.retry_at)
         } else {
             at
         }
     }
 
-    /// The leader key, where an earlier incarnation of this process wrote it.
-    fn former_record(&self) -> Option<&LeaderRecord> {
+    /// The value of the leader key, if an earlier incarnation of this process wrote it.
+    fn earlier_incarnation_record(&self) -> Option<&LeaderRecord> {
         let record = self.current_leader.as_ref()?;
         (record.node == self.node_name && record.incarnation != self.incarnation).then_some(record)
     }
 
-    /// When the lease is to be renewed. A renewal that takes long is not waited for: the next one may be
-    /// quicker.
+    /// When the next renewal is due. A slow renewal is not waited for, since another one may be answered
+    /// sooner.
     fn renewal_due_at(&self) -> Micros {
         match self.renewal_sent_at {
             Some(sent_at) => sent_at + self.ttl / 4,
@@ -387,12 +394,12 @@
         }
     }
 
-    /// The requests for the state service that are due.
+    /// Returns the requests to the state service that are due.
     pub fn tick(&mut self, now: Micros) -> Vec<ElectionRequest> {
         let mut requests = Vec::new();
         self.follow_leader_key(now, &mut requests);
-        // A leader continues to renew while it reads the key again: a late answer would otherwise cost it
-        // leadership.
+        // A leader renews its lease also while it reads the leader key again; otherwise the lease could expire
+        // during a slow read.
         if self.leadership.is_some() {
             self.renew_leases(now, &mut requests);
             self.resize_lease(now, &mut requests);
@@ -402,7 +409,7 @@
         requests
     }
 
-    /// Reads the leader key, and watches it once it is read.
+    /// Reads the leader key, then watches it from the revision of that read.
     fn follow_leader_key(&mut self, now: Micros, requests: &mut Vec<ElectionRequest>) {
         if now < self.retry_at {
             return;
@@ -423,7 +430,7 @@
         }
     }
 
-    /// Renews the lease, and the replacement where there is one.
+    /// Renews the lease, and the replacement lease if there is one.
     fn renew_leases(&mut self, now: Micros, requests: &mut Vec<ElectionRequest>) {
         let Some(held) = &self.leadership else { return };
         if now < self.renewal_due_at() {
@@ -439,8 +446,8 @@
         }
     }
 
-    /// Requests a lease with another time to live where the target has moved by a third: a longer one at once,
-    /// a shorter one only after the target has been lower for a while.
+    /// Requests a lease with a different TTL if the target TTL is more than a third above the current one, or
+    /// more than a quarter below it. A shorter lease is requested only after [`SHRINK_DELAY`].
     fn resize_lease(&mut self, now: Micros, requests: &mut Vec<ElectionRequest>) {
         let Some(held) = &self.leadership else { return };
         let ttl = self.target_ttl();
@@ -455,13 +462,14 @@
         }
     }
 
-    /// Starts an attempt to become leader, where there is no leader and it is this controller's turn.
+    /// Starts an attempt to become leader if there is no leader and this controller's candidacy delay has
+    /// passed. If the leader key is that of an earlier incarnation, revokes its lease first.
     fn start_attempt(&mut self, now: Micros, requests: &mut Vec<ElectionRequest>) {
         if self.attempt_in_flight || now < self.retry_at {
             return;
         }
-        // The process that wrote this key has ended, since this one has its name.
-        if let Some(record) = self.former_record() {
+        // The process that wrote this key has ended: this process now runs under its node name.
+        if let Some(record) = self.earlier_incarnation_record() {
             let (term, lease_id) = (record.term, record.lease_id);
             self.attempt_in_flight = true;
             self.former_term = Some(term);
@@ -473,7 +481,8 @@
         }
     }
 
-    /// Ends an attempt that failed. Revoking its lease also undoes an acquisition whose reply was lost.
+    /// Ends a failed attempt to become leader. Revoking its lease also undoes an acquisition whose reply was
+    /// lost.
     fn abandon_attempt(&mut self, now: Micros, requests: &mut Vec<ElectionRequest>) {
         self.attempt_in_flight = false;
         self.retry_at = now + ATTEMPT_RETRY_DELAY;
@@ -483,7 +492,7 @@
         self.leader_key_read = false;
     }
 
-    /// Applies a value of the leader key, with the revision of the key; None: there is no such key.
+    /// Applies the stored value of the leader key and its revision; `None` if the key does not exist.
     fn observe_leader_key(
         &mut self,
         now: Micros,
@@ -521,7 +530,8 @@
         Some(LeadershipChange::Lost)
     }
 
-    /// Acts as leader under the key of an earlier incarnation: what [`InjectedFault::FormerKeyKept`] does.
+    /// Injected fault [`InjectedFault::FormerKeyKept`]: acts as leader under the leader key of an earlier
+    /// incarnation.
     fn resume_former_leadership(
         &mut self,
         now: Micros,
@@ -541,8 +551,8 @@
         LeadershipChange::Acquired { term, mod_revision }
     }
 
-    /// The leader key is known to be attached to the replacement lease, at this revision. Returns the lease
-    /// that it replaces.
+    /// Makes the replacement lease the current one, once the leader key is known to be attached to it at this
+    /// revision. Returns the id of the replaced lease.
     fn adopt_replacement_lease(&mut self, mod_revision: u64) -> Option<u64> {
         let held = self.leadership.as_mut()?;
         let replacement = held.replacement.take()?;
@@ -561,8 +571,8 @@
         }
     }
 
-    /// Handles the reply to the request of a step, which was sent at `sent_at`. Returns the next requests, and
-    /// the change where leadership was acquired or lost.
+    /// Handles the reply to the request of `step`, which was sent at `sent_at`. Returns the requests that
+    /// follow, and the change if leadership was acquired or lost.
     pub fn handle_reply(
         &mut self,
         now: Micros,
@@ -573,17 +583,19 @@
         let mut requests = Vec::new();
         let mut change = None;
         match step {
-            ElectionStep::ReadLeaderKey => change = self.leader_key_read(now, reply),
-            ElectionStep::WatchLeaderKey => change = self.leader_key_watched(now, reply),
-            ElectionStep::GrantLease => self.lease_granted(now, reply, sent_at, &mut requests),
-            ElectionStep::ReadTerm => self.term_read(now, reply, &mut requests),
+            ElectionStep::ReadLeaderKey => change = self.handle_leader_key_read(now, reply),
+            ElectionStep::WatchLeaderKey => change = self.handle_leader_key_watch(now, reply),
+            ElectionStep::GrantLease => {
+                self.handle_lease_granted(now, reply, sent_at, &mut requests)
+            }
+            ElectionStep::ReadTerm => self.handle_term_read(now, reply, &mut requests),
             ElectionStep::AcquireLeadership {
                 term,
                 lease_id,
                 lease_requested_at,
             } => {
                 if let Reply::Applied { revision } = reply {
-                    change = Some(self.leadership_acquired(
+                    change = Some(self.handle_leadership_acquired(
                         now,
                         term,
                         lease_id,
@@ -595,21 +607,21 @@
                 }
             }
             ElectionStep::RenewLease { lease_id } => {
-                change = self.lease_renewed(now, lease_id, &reply, sent_at);
+                change = self.handle_lease_renewed(now, lease_id, &reply, sent_at);
             }
-            ElectionStep::RevokeLease => self.lease_revoked(now, &reply),
+            ElectionStep::RevokeLease => self.handle_lease_revoked(now, &reply),
             ElectionStep::GrantReplacementLease { ttl } => {
-                self.replacement_granted(ttl, &reply, sent_at, &mut requests);
+                self.handle_replacement_granted(ttl, &reply, sent_at, &mut requests);
             }
             ElectionStep::AttachReplacementLease { lease_id } => {
-                self.replacement_attached(now, lease_id, &reply, &mut requests);
+                self.handle_replacement_attached(now, lease_id, &reply, &mut requests);
             }
-            ElectionStep::RevokeSpareLease => {}
+            ElectionStep::RevokeUnusedLease => {}
         }
         (requests, change)
     }
 
-    fn leader_key_read(&mut self, now: Micros, reply: Reply) -> Option<LeadershipChange> {
+    fn handle_leader_key_read(&mut self, now: Micros, reply: Reply) -> Option<LeadershipChange> {
         self.read_in_flight = false;
         let Reply::KeyPage {
             items, revision, ..
@@ -624,7 +636,7 @@
         self.observe_leader_key(now, stored.as_ref().and_then(parse_leader_record))
     }
 
-    fn leader_key_watched(&mut self, now: Micros, reply: Reply) -> Option<LeadershipChange> {
+    fn handle_leader_key_watch(&mut self, now: Micros, reply: Reply) -> Option<LeadershipChange> {
         self.watch_in_flight = false;
         match reply {
             Reply::Events { events, revision } => {
@@ -643,7 +655,7 @@
         }
     }
 
-    /// Applies the last change of the leader key.
+    /// Applies the latest change of the leader key.
     fn observe_leader_key_event(
         &mut self,
         now: Micros,
@@ -659,7 +671,7 @@
         let own = stored
             .as_ref()
             .is_some_and(|(record, _)| record.incarnation == self.incarnation);
-        // The watch may show this controller's own acquisition before the reply to it comes.
+        // The watch may report this controller's own acquisition before the reply to it arrives.
         if own && self.leadership.is_none() {
             self.current_leader = stored.map(|(record, _)| record);
             return None;
@@ -667,7 +679,7 @@
         self.observe_leader_key(now, stored)
     }
 
-    fn lease_granted(
+    fn handle_lease_granted(
         &mut self,
         now: Micros,
         reply: Reply,
@@ -684,8 +696,9 @@
         requests.push((ElectionStep::ReadTerm, list_key(TERM_KEY)));
     }
 
-    /// The last term is known: creates the leader key and stores the next term, if neither key has changed.
-    fn term_read(&mut self, now: Micros, reply: Reply, requests: &mut Vec<ElectionRequest>) {
+    /// Handles the read of the highest term: requests the transaction that creates the leader key and stores
+    /// the next term, provided that neither key has changed.
+    fn handle_term_read(&mut self, now: Micros, reply: Reply, requests: &mut Vec<ElectionRequest>) {
         let Reply::KeyPage { items, .. } = reply else {
             return self.abandon_attempt(now, requests);
         };
@@ -714,7 +727,7 @@
         requests.push((step, Op::Transaction(transaction)));
     }
 
-    fn leadership_acquired(
+    fn handle_leadership_acquired(
         &mut self,
         now: Micros,
         term: u64,
@@ -738,7 +751,7 @@
         LeadershipChange::Acquired { term, mod_revision }
     }
 
-    fn lease_renewed(
+    fn handle_lease_renewed(
         &mut self,
         now: Micros,
         lease_id: u64,
@@ -749,7 +762,7 @@
             self.renewal_sent_at = None;
             return None;
         };
-        let lapsed = now >= held.valid_until();
+        let had_lapsed = now >= held.valid_until();
         let replacement = held.replacement.as_mut();
         if let Some(lease) = replacement.filter(|lease| lease.lease_id == lease_id) {
             if matches!(reply, Reply::LeaseUpdated) {
@@ -772,9 +785,9 @@
             }
         }
         match reply {
-            Reply::LeaseUpdated if lapsed => held.valid_since = held.valid_since.max(sent_at),
-            // The lease has expired. If it is the replacement, the key may have expired with it; that is
-            // unknown, so leadership ends.
+            Reply::LeaseUpdated if had_lapsed => held.valid_since = held.valid_since.max(sent_at),
+            // The lease has expired. If it is the replacement lease, the leader key may have been deleted with
+            // it; since that is unknown, leadership ends.
             Reply::NotFound => {
                 self.leadership = None;
                 self.leader_key_read = false;
@@ -785,7 +798,7 @@
         None
     }
 
-    fn lease_revoked(&mut self, now: Micros, reply: &Reply) {
+    fn handle_lease_revoked(&mut self, now: Micros, reply: &Reply) {
         self.attempt_in_flight = false;
         if matches!(reply, Reply::Unavailable | Reply::OutcomeUnknown) {
             self.retry_at = now + REVOKE_RETRY_DELAY;
@@ -794,8 +807,8 @@
         }
     }
 
-    /// A lease with another time to live is granted: attaches the leader key to it.
-    fn replacement_granted(
+    /// Handles the grant of a replacement lease: requests that the leader key be attached to it.
+    fn handle_replacement_granted(
         &mut self,
         ttl: Micros,
         reply: &Reply,
@@ -806,7 +819,7 @@
             return;
         };
         let Some(held) = &mut self.leadership else {
-            return requests.push(revoke_spare_lease(lease_id));
+            return requests.push(revoke_unused_lease(lease_id));
         };
         held.replacement = Some(ReplacementLease {
             lease_id,
@@ -823,7 +836,7 @@
         ));
     }
 
-    fn replacement_attached(
+    fn handle_replacement_attached(
         &mut self,
         now: Micros,
         lease_id: u64,
@@ -835,29 +848,30 @@
             let replacement = held.replacement.as_ref();
             replacement.is_some_and(|lease| lease.lease_id == lease_id)
         }) else {
-            // The watch has shown the outcome before, or leadership is lost.
+            // The watch has already reported the outcome, or leadership is lost.
             return;
         };
         match *reply {
             Reply::Applied { revision } => {
-                if let Some(former) = self.adopt_replacement_lease(revision) {
+                if let Some(replaced) = self.adopt_replacement_lease(revision) {
                     log::info!("lease replaced ttl_ms={}", self.ttl / MILLISECOND);
-                    requests.push(revoke_spare_lease(former));
+                    requests.push(revoke_unused_lease(replaced));
                 }
                 self.next_renewal_at = now;
             }
-            // It may have been applied, or may be yet: both leases are renewed, and the leader key shows
-            // which one it is attached to.
+            // The transaction may have been applied, or may still be. Both leases are renewed until a read of
+            // the leader key shows which one it is attached to.
             Reply::OutcomeUnknown => self.leader_key_read = false,
             _ => {
                 held.replacement = None;
-                requests.push(revoke_spare_lease(lease_id));
+                requests.push(revoke_unused_lease(lease_id));
             }
         }
     }
 }
 
-/// Reads one key. A watch can continue from the revision of the reply.
+/// Reads one key by listing its prefix: unlike a plain read, a listing returns the store revision that a watch
+/// can continue from.
 fn list_key(prefix: &'static str) -> Op {
     Op::List {
         prefix,
@@ -870,11 +884,11 @@
     (ElectionStep::RevokeLease, Op::RevokeLease(lease_id))
 }
 
-fn revoke_spare_lease(lease_id: u64) -> ElectionRequest {
-    (ElectionStep::RevokeSpareLease, Op::RevokeLease(lease_id))
+fn revoke_unused_lease(lease_id: u64) -> ElectionRequest {
+    (ElectionStep::RevokeUnusedLease, Op::RevokeLease(lease_id))
 }
 
-/// The leader record in a stored key, with the key's revision; None where it can't be read.
+/// The leader record in a stored key, with the key's revision; `None` if the value cannot be decoded.
 fn parse_leader_record(item: &KeyValue) -> Option<(LeaderRecord, u64)> {
     let record = serde_json::from_str(item.value.get()).ok()?;
     Some((record, item.mod_revision))
--- a/src/election/tests.rs
+++ b/src/election/tests.rs
@@ -1,11 +1,11 @@
-//! Replacing the lease of a leader by a longer one, step by step, without a state service.
+//! Tests of replacing a leader's lease by a longer one, with scripted replies of the state service.
 
 use super::*;
 
 const SHORT_LEASE: u64 = 1;
 const LONG_LEASE: u64 = 2;
 
-/// A leader with a lease of 1.5 s, and a state service that has become slow.
+/// A leader with a lease of 1.5 s whose state service has become slow: its target TTL is now 3 s.
 fn leader_with_slow_store() -> Election {
     let mut election = Election::new("n-1", 7, (1_500 * MILLISECOND, 3 * SECOND));
     let no_items = || Reply::KeyPage {
@@ -41,7 +41,8 @@
     election
 }
 
-/// Lets the leader request a longer lease at `now`, grants it, and lets it attach the leader key.
+/// Makes the leader request a longer lease at `now` and grants it; the leader then requests that its key be
+/// attached to it.
 fn replace_lease(election: &mut Election, now: Micros) {
     let requests = election.tick(now);
     let requested = requests.iter().find_map(|(step, _)| match step {
@@ -66,7 +67,7 @@
     ));
 }
 
-/// The leases that are renewed by these requests.
+/// The leases that these requests renew.
 fn renewed_leases(requests: &[ElectionRequest]) -> Vec<u64> {
     let lease_ids = requests.iter().filter_map(|(step, _)| match step {
         ElectionStep::RenewLease { lease_id } => Some(*lease_id),
@@ -90,7 +91,10 @@
     assert!(
         matches!(
             requests[..],
-            [(ElectionStep::RevokeSpareLease, Op::RevokeLease(SHORT_LEASE))]
+            [(
+                ElectionStep::RevokeUnusedLease,
+                Op::RevokeLease(SHORT_LEASE)
+            )]
         ) && change.is_none()
     );
     assert_eq!(election.leader_key_revision(), Some(5));
@@ -98,8 +102,8 @@
     assert_eq!(renewed_leases(&election.tick(2 * SECOND)), [LONG_LEASE]);
 }
 
-/// While it is unknown which lease the key is attached to, leadership is valid only as long as both are: it
-/// would otherwise go on under a key that expired with the other one.
+/// Guards against leadership that outlives its key: if the reply to the attachment is lost, the key may be
+/// attached to either lease, so leadership is valid only while both leases are.
 #[test]
 fn with_the_reply_lost_leadership_lasts_as_long_as_the_shorter_of_both_leases() {
     let mut election = leader_with_slow_store();
@@ -107,7 +111,7 @@
     assert!(
         election.has_valid_lease(2_400 * MILLISECOND)
             && !election.has_valid_lease(2_500 * MILLISECOND),
-        "the end of the first lease"
+        "leadership ends with the first lease"
     );
     election.handle_reply(
         SECOND,
@@ -130,15 +134,15 @@
     }
     assert!(
         election.has_valid_lease(3_700 * MILLISECOND),
-        "both are valid"
+        "both leases are valid"
     );
     assert!(
         !election.has_valid_lease(4_200 * MILLISECOND),
-        "the longer one was not renewed"
+        "the longer lease was not renewed"
     );
     election.handle_reply(4 * SECOND, renew_long, Reply::LeaseUpdated, 4 * SECOND);
     assert!(election.has_valid_lease(5_300 * MILLISECOND));
-    // The key is read, and is attached to the longer lease.
+    // A read of the leader key shows that it is attached to the longer lease.
     let record = LeaderRecord {
         node: "n-1".to_owned(),
         incarnation: 7,
@@ -149,7 +153,7 @@
     assert_eq!(change, None);
     assert_eq!(election.leader_key_revision(), Some(9));
     assert!(election.has_valid_lease(6_500 * MILLISECOND));
-    // Had the longer lease expired, leadership would be lost.
+    // If the longer lease has expired instead, leadership is lost.
     let mut expired = leader_with_slow_store();
     replace_lease(&mut expired, SECOND);
     let (_, change) = expired.handle_reply(2 * SECOND, renew_long, Reply::NotFound, SECOND);
--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,14 +1,20 @@
-//! Machine registry: the stored list of all machines that may have been given a task. A new leader must hear
-//! from each of them, or wait for its lease to expire, before it can rely on knowing what runs.
+//! Machine registry: the stored list of all machines that may hold a task. A new leader must hear from each of
+//! them, or wait for its lease to expire, before it knows all tasks that run.
 //!
-//! Owns the division of the machines into pages, each one stored value, so that a thousand machines cost a few
-//! changes; and for each page what is stored, what has to be written and what is in flight. It sends nothing: it
-//! hands out [`RegistryRequest`]s, and is given their results.
+//! The registry is divided into pages, each stored as one value, so that a thousand machines take only a few
+//! writes. [`MachineRegistry`] owns the assignment of machines to pages and, for each page, what is stored, what
+//! has to be written and what is in flight. It does no I/O: [`MachineRegistry::take_due_requests`] returns
+//! [`RegistryRequest`]s, and the caller passes in their results.
 //!
-//! Invariants at the door: a machine is registered before it is given its first task; each write and deletion
-//! has the page's revision as precondition, so that one that is applied late cannot bring back an old silence
-//! mark; at most one request per page is in flight; a page is deleted only once all its machines are stored in
-//! other pages.
+//! The entry of a machine that has become silent carries a silence mark: the time of the last contact with it.
+//!
+//! Invariants:
+//!
+//! - A machine is registered before it is given its first task.
+//! - Each write and deletion has the page's revision as a precondition, so that a request that is applied late
+//!   cannot restore an outdated silence mark.
+//! - At most one request per page is in flight.
+//! - A page is deleted only once all its machines are stored in other pages.
 
 mod page;
 
@@ -22,78 +28,83 @@
 
 pub use page::{Entries, RegistryEntry};
 
-/// Prefix of the keys of all pages.
+/// Prefix of the keys of all registry pages.
 pub const REGISTRY_PREFIX: &str = "roll/";
 /// Prefix of the keys of pages of schema version 1.
 const PAGE_PREFIX_V1: &str = "roll/g-";
 /// Prefix of the keys of pages of schema version 2.
 const PAGE_PREFIX: &str = "roll/p-";
-/// What an entry of schema version 1 takes, with the images that it will come to hold.
+/// Estimated size of an entry of schema version 1, including the images that it will hold later.
 const ENTRY_BYTES_V1: usize = 180;
-/// What an entry of schema version 2 takes, with the images that it will come to hold.
+/// Estimated size of an entry of schema version 2, including the images that it will hold later.
 const ENTRY_BYTES: usize = 26;
-/// What the lists at the beginning of a page of schema version 2 take.
+/// Estimated size of the lists at the beginning of a page of schema version 2.
 const PAGE_LISTS_BYTES: usize = 600;
-/// The most machines of a page: each write of a page costs the leader processor time for all of them. With as
-/// many as fit a large value, the writes for a growing fleet delayed the answers to users.
+/// Maximum number of machines in a page: each write of a page takes processor time of the leader for all of
+/// them. When pages held as many machines as fit a large value, the writes for a growing fleet delayed responses
+/// to users.
 const PAGE_MACHINES_MAX: usize = 160;
-/// New machines and silence marks are written together with those of the next moment.
+/// Delay before new machines and silence marks are written, so that one write covers several changes.
 const WRITE_BATCH_DELAY: Micros = 200 * MILLISECOND;
-/// Which images a machine has cached only helps a new leader's placements: their write waits, the longer the
-/// more machines there are.
+/// Delay, per machine of the fleet, before changes of cached images are written. They only help the placements of
+/// a new leader, so their writes are the rarer the more machines there are.
 const IMAGE_WRITE_DELAY_PER_MACHINE: Micros = 25 * MILLISECOND;
-/// With more pages than this the writes of images are delayed further, in proportion.
-const UNSCALED_PAGES: Micros = 10;
-/// How far apart the migrations of pages begin.
+/// With more pages than this, the delay before writes of images grows in proportion to the number of pages.
+const IMAGE_WRITE_DELAY_BASE_PAGES: Micros = 10;
+/// Interval between the starts of the migrations of two pages.
 const MIGRATION_INTERVAL: Micros = 300 * MILLISECOND;
-/// A machine that is gone is removed from its page after this delay, together with others.
+/// Delay before a departed machine is removed from its stored page, so that one write covers several removals.
 const REMOVAL_DELAY: Micros = 3 * SECOND;
 
-/// Machines as a page was written with them, each with its silence mark.
+/// The machines that a write of a page contains, each with its silence mark if it has one.
 pub type WrittenMachines = Vec<(Arc<str>, Option<Micros>)>;
 
+/// A page of the registry as the leader knows it.
 #[derive(Default)]
 struct RegistryPage {
-    /// Revision of the stored value (0: none); `None`: unknown, to be read.
+    /// Revision of the stored value (0: none is stored); `None` if it is unknown and has to be read.
     mod_revision: Option<u64>,
+    /// The machines to be stored in this page.
     members: BTreeSet<Arc<str>>,
-    /// When it is to be written.
+    /// When the page is to be written; `None` if it need not be.
     due_at: Option<Micros>,
     in_flight: bool,
-    /// The members that its stored value marks as silent.
-    silence_marks: BTreeSet<Arc<str>>,
-    /// Its members are moving to other pages; it is deleted once all of them are stored there.
+    /// The machines that the stored value marks as silent.
+    marked_silent: BTreeSet<Arc<str>>,
+    /// Whether its members are moving to other pages; it is deleted once all of them are stored there.
     retiring: bool,
-    /// A write that was to create it had no answer. It may be carried out at any later time at which the key is
-    /// absent, with the silence marks of then. The page is therefore emptied instead of deleted, as long as this
-    /// node is the leader: that write has the leader's key as precondition.
+    /// Whether the outcome of a write that was to create the page is unknown. Such a write may still be applied
+    /// at any time at which the key is absent, and would restore the silence marks that it contains. The page is
+    /// therefore emptied instead of deleted. This is needed only during the current term, since the write has
+    /// the leader key's revision as a precondition.
     creation_unconfirmed: bool,
 }
 
 impl RegistryPage {
+    /// Makes the page due at this time, unless it is due earlier.
     fn schedule(&mut self, at: Micros) {
         self.due_at = Some(self.due_at.map_or(at, |due_at| due_at.min(at)));
     }
 }
 
-/// A request to the key-value store.
+/// A request to the key-value store, which the caller sends.
 pub enum RegistryRequest {
-    /// Read the page under this key; the result goes to [`MachineRegistry::handle_page_read`].
+    /// Reads the page under this key; the result goes to [`MachineRegistry::handle_page_read`].
     Read(String),
-    /// Write a page; the result goes to [`MachineRegistry::handle_page_written`].
+    /// Writes a page; the result goes to [`MachineRegistry::handle_page_written`].
     Write {
         /// Key of the page.
         key: String,
-        /// Precondition: the key's revision (0: absent).
+        /// Precondition: the key's revision (0: the key must be absent).
         mod_revision: u64,
         /// The new value.
         value: RawJson,
-        /// The machines in it.
+        /// The machines in the new value.
         written: WrittenMachines,
-        /// It has machines that are given no task before it is stored.
+        /// Whether the page contains machines that are not registered yet. They get no task before it is stored.
         registers_machines: bool,
     },
-    /// Delete a page, of which all machines are stored in others; the result goes to
+    /// Deletes a page whose machines are all stored in other pages; the result goes to
     /// [`MachineRegistry::handle_page_deleted`].
     Delete {
         /// Key of the page.
@@ -103,41 +114,43 @@
     },
 }
 
-/// How a write or a deletion ended.
+/// The outcome of a write or deletion of a page.
 pub enum WriteResult {
     /// Applied, at this store revision.
     Applied(u64),
-    /// Certainly not applied, and not because a precondition did not hold.
+    /// Certainly not applied, and not because of a precondition on the page's own key.
     NotApplied,
-    /// May still be applied, or a precondition did not hold: what is stored must be read.
+    /// May have been applied or may still be, or the precondition on the page did not hold: the stored page must
+    /// be read.
     Unknown,
 }
 
-/// The registry, as the leader keeps it.
+/// The machine registry as the leader maintains it.
 pub struct MachineRegistry {
-    /// By key.
+    /// The pages by key.
     pages: BTreeMap<String, RegistryPage>,
-    /// The key of the page that each machine is to stand in.
+    /// The key of the page that each machine is assigned to.
     page_of: HashMap<Arc<str>, String>,
     schema: Schema,
     machines_per_page: usize,
-    /// Machines that are stored in the page that they are to stand in.
-    settled: HashSet<Arc<str>>,
+    /// Machines that are stored in the page that they are assigned to.
+    stored_as_assigned: HashSet<Arc<str>>,
 }
 
-/// What is looked up when pages are prepared for the store.
+/// What the preparation of a page's next request depends on.
 struct PageContext<'a> {
     now: Micros,
     schema: Schema,
-    settled: &'a HashSet<Arc<str>>,
+    stored_as_assigned: &'a HashSet<Arc<str>>,
     workers: &'a WorkerLedger,
     rented: &'a BTreeSet<Arc<str>>,
 }
 
-/// What is to be done with a page that is due.
-enum PageStep {
+/// The next action for a page that is due.
+enum PageAction {
+    /// Send this request.
     Request(RegistryRequest),
-    /// Its machines do not fit a value: how many they are.
+    /// Split the page, because its machines (this many) do not fit one value.
     Split(usize),
 }
 
@@ -148,22 +161,23 @@
         }
         if self.retiring {
             let has_moved = |id: &Arc<str>| {
-                context.settled.contains(id) || !context.workers.machines.contains_key(id)
+                context.stored_as_assigned.contains(id)
+                    || !context.workers.machines.contains_key(id)
             };
             return self.members.iter().all(has_moved);
         }
         self.due_at.is_some_and(|due_at| due_at <= context.now)
     }
 
-    /// What is to be done with the page now; `None` for nothing.
-    fn take_step(&mut self, key: &str, context: &PageContext) -> Option<PageStep> {
+    /// Returns the action that is due for the page and marks it as taken; `None` if nothing is due.
+    fn take_action(&mut self, key: &str, context: &PageContext) -> Option<PageAction> {
         if !self.is_due(context) {
             return None;
         }
         let key = key.to_owned();
         let Some(mod_revision) = self.mod_revision else {
             self.in_flight = true;
-            return Some(PageStep::Request(RegistryRequest::Read(key)));
+            return Some(PageAction::Request(RegistryRequest::Read(key)));
         };
         self.due_at = None;
         if self.retiring && self.creation_unconfirmed {
@@ -173,17 +187,17 @@
         if self.retiring {
             self.in_flight = true;
             let delete = RegistryRequest::Delete { key, mod_revision };
-            return Some(PageStep::Request(delete));
+            return Some(PageAction::Request(delete));
         }
         let machines = self.members.iter();
         let machines: Vec<&Machine> = machines
             .filter_map(|id| context.workers.machines.get(id))
             .collect();
         let Some(value) = page::encode_within(&machines, context.rented, &context.schema) else {
-            return Some(PageStep::Split(machines.len()));
+            return Some(PageAction::Split(machines.len()));
         };
         self.in_flight = true;
-        Some(PageStep::Request(RegistryRequest::Write {
+        Some(PageAction::Request(RegistryRequest::Write {
             key,
             mod_revision,
             value,
@@ -197,17 +211,18 @@
 }
 
 impl MachineRegistry {
-    /// An empty registry that writes in this schema.
+    /// Creates an empty registry that writes in this schema.
     pub fn new(schema: Schema) -> Self {
         Self {
             pages: BTreeMap::new(),
             page_of: HashMap::default(),
             schema,
             machines_per_page: Self::machines_per_page(&schema),
-            settled: HashSet::default(),
+            stored_as_assigned: HashSet::default(),
         }
     }
 
+    /// How many machines a page of this schema is expected to hold.
     fn machines_per_page(schema: &Schema) -> usize {
         let usable_bytes = schema.usable_bytes() * 9 / 10;
         let machines = if schema.version < 2 {
@@ -218,6 +233,7 @@
         machines.clamp(1, PAGE_MACHINES_MAX)
     }
 
+    /// Key prefix of the pages of the current schema.
     fn page_prefix(&self) -> &'static str {
         if self.schema.version < 2 {
             PAGE_PREFIX_V1
@@ -226,8 +242,8 @@
         }
     }
 
-    /// Loads a stored page at the beginning of a term. Returns the machines in it; `None` if it cannot be
-    /// decoded, which is logged.
+    /// Loads a stored page at the beginning of a term. Returns the machines in it; logs an error and returns `None`
+    /// if the page cannot be decoded.
     pub fn load_page(&mut self, key: &str, value: &RawJson, mod_revision: u64) -> Option<Entries> {
         let entries = match page::decode(value) {
             Ok(entries) => entries,
@@ -240,21 +256,22 @@
         page.mod_revision = Some(mod_revision);
         for (id, entry) in &entries {
             if entry.silent_since.is_some() {
-                page.silence_marks.insert(id.clone());
+                page.marked_silent.insert(id.clone());
             }
             if self.page_of.contains_key(id) {
-                // Left from a migration that was not finished: to be written without it.
+                // The machine is in two pages because a migration was interrupted; this page is written
+                // without it.
                 page.due_at = Some(0);
             } else {
                 self.page_of.insert(id.clone(), key.to_owned());
-                self.settled.insert(id.clone());
+                self.stored_as_assigned.insert(id.clone());
                 page.members.insert(id.clone());
             }
         }
         Some(entries)
     }
 
-    /// Writes in another schema from now on, and migrates the pages that do not fit it.
+    /// Switches to another schema for writing, and migrates the pages that do not conform to it.
     pub fn set_schema(&mut self, now: Micros, schema: Schema) {
         if schema == self.schema {
             return;
@@ -264,8 +281,8 @@
         self.migrate_pages(now);
     }
 
-    /// Migrates pages of another schema version, or with too many machines, in the background: first the
-    /// new pages are stored, then the old one is deleted.
+    /// Starts the migration of pages that have another schema version or too many machines. It runs in the
+    /// background: first the new pages are stored, then the old ones are deleted.
     pub fn migrate_pages(&mut self, now: Micros) {
         let prefix = self.page_prefix();
         let is_outdated = |key: &str, page: &RegistryPage| {
@@ -282,7 +299,7 @@
         }
     }
 
-    /// Has the members of a page stored in others, and then the page deleted.
+    /// Moves the members of a page to other pages; once they are stored there, the page is deleted.
     fn retire_page(&mut self, at: Micros, key: &str) {
         let Some(page) = self.pages.get_mut(key) else {
             return;
@@ -292,14 +309,14 @@
         let members = page.members.clone();
         for id in members {
             self.page_of.remove(&id);
-            self.settled.remove(&id);
+            self.stored_as_assigned.remove(&id);
             self.assign_page(&id).schedule(at + WRITE_BATCH_DELAY);
         }
     }
 
-    /// Removes a machine that is certainly gone.
+    /// Removes a machine that certainly no longer exists.
     pub fn remove(&mut self, now: Micros, id: &str) {
-        self.settled.remove(id);
+        self.stored_as_assigned.remove(id);
         if let Some(key) = self.page_of.remove(id)
             && let Some(page) = self.pages.get_mut(&key)
         {
@@ -311,12 +328,14 @@
         }
     }
 
-    /// The page that a machine is to stand in; assigns one if it has none.
+    /// Returns the page that a machine is assigned to; assigns one if it has none.
     fn assign_page(&mut self, id: &Arc<str>) -> &mut RegistryPage {
         let key = match self.page_of.get(id) {
             Some(key) => key.clone(),
             None => {
-                let key = self.find_open_page().unwrap_or_else(|| self.new_page_key());
+                let key = self
+                    .find_page_with_room()
+                    .unwrap_or_else(|| self.new_page_key());
                 self.page_of.insert(id.clone(), key.clone());
                 key
             }
@@ -329,15 +348,17 @@
         page
     }
 
-    fn find_open_page(&self) -> Option<String> {
+    /// The key of a page that can take another machine.
+    fn find_page_with_room(&self) -> Option<String> {
         let prefix = self.page_prefix();
         let mut pages = self.pages.iter();
-        let open = pages.find(|(key, page)| {
+        let with_room = pages.find(|(key, page)| {
             !page.retiring && key.starts_with(prefix) && page.members.len() < self.machines_per_page
         });
-        open.map(|(key, _)| key.clone())
+        with_room.map(|(key, _)| key.clone())
     }
 
+    /// A page key that is not in use.
     fn new_page_key(&self) -> String {
         let prefix = self.page_prefix();
         let mut keys = (0..).map(|n| format!("{prefix}{n}"));
@@ -345,8 +366,8 @@
             .unwrap_or_default()
     }
 
-    /// Takes the machines that have to be registered anew from the ledger, and hands out the requests that
-    /// are due.
+    /// Takes the machines whose entries have to be written from the ledger, and returns the requests that are
+    /// due.
     pub fn take_due_requests(
         &mut self,
         now: Now,
@@ -358,36 +379,36 @@
         let context = PageContext {
             now,
             schema: self.schema,
-            settled: &self.settled,
+            stored_as_assigned: &self.stored_as_assigned,
             workers,
             rented,
         };
         let mut requests = Vec::new();
         let mut overfull = Vec::new();
         for (key, page) in &mut self.pages {
-            match page.take_step(key, &context) {
-                Some(PageStep::Request(request)) => requests.push(request),
-                Some(PageStep::Split(machines)) => overfull.push((key.clone(), machines)),
+            match page.take_action(key, &context) {
+                Some(PageAction::Request(request)) => requests.push(request),
+                Some(PageAction::Split(machines)) => overfull.push((key.clone(), machines)),
                 None => {}
             }
         }
         for (key, machines) in overfull {
-            // Names or addresses are longer than the estimate for an entry.
+            // Names or addresses are longer than the estimated size of an entry allows for.
             self.machines_per_page = self.machines_per_page.min(machines.div_ceil(2)).max(1);
             self.retire_page(now, &key);
         }
         requests
     }
 
-    /// Schedules writes for the machines that the ledger has reported since the last call. Only for those: a
-    /// machine that is about to be stored is not reported again, or its page would be written once more as
-    /// soon as the write in flight is done.
+    /// Schedules writes for the machines that the ledger has reported since the last call, and only for those.
+    /// Scheduling a machine whose write is already in flight would write its page a second time.
     fn schedule_updates(&mut self, now: Micros, workers: &mut WorkerLedger) {
         let machine_count = workers.machines.len() as Micros;
-        // The more pages, the longer: their writes compete with those that starts of tasks wait for.
-        let pages = (self.pages.len() as Micros).max(UNSCALED_PAGES);
+        // The delay grows with the number of pages, because writes of pages compete for the write budget with
+        // those that task starts wait for.
+        let pages = (self.pages.len() as Micros).max(IMAGE_WRITE_DELAY_BASE_PAGES);
         let image_write_delay =
-            IMAGE_WRITE_DELAY_PER_MACHINE * machine_count * pages / UNSCALED_PAGES;
+            IMAGE_WRITE_DELAY_PER_MACHINE * machine_count * pages / IMAGE_WRITE_DELAY_BASE_PAGES;
         for id in workers.take_registry_updates() {
             let Some(machine) = workers.machines.get_mut(&id) else {
                 continue;
@@ -404,8 +425,8 @@
         }
     }
 
-    /// Takes the result of [`RegistryRequest::Read`]: the key's revision (0: absent), or `None` if the read
-    /// failed.
+    /// Handles the result of [`RegistryRequest::Read`]: the key's revision (0: the key is absent), or `None` if
+    /// the read failed.
     pub fn handle_page_read(&mut self, now: Micros, key: &str, mod_revision: Option<u64>) {
         if let Some(page) = self.pages.get_mut(key) {
             page.in_flight = false;
@@ -414,7 +435,7 @@
         }
     }
 
-    /// Takes the result of [`RegistryRequest::Delete`].
+    /// Handles the result of [`RegistryRequest::Delete`].
     pub fn handle_page_deleted(
         &mut self,
         key: &str,
@@ -428,8 +449,9 @@
         match result {
             WriteResult::Applied(_) => {
                 let deleted = self.pages.remove(key).unwrap_or_default();
-                for id in deleted.silence_marks {
-                    // Its mark, if it still holds, stands in the machine's own page.
+                for id in deleted.marked_silent {
+                    // This page no longer marks the machine as silent. Its assigned page, which has the mark if
+                    // it still applies, is written again so that `silence_stored` can be cleared.
                     workers.mark_registry_stale(&id);
                 }
             }
@@ -438,7 +460,7 @@
         }
     }
 
-    /// Takes the result of [`RegistryRequest::Write`].
+    /// Handles the result of [`RegistryRequest::Write`].
     pub fn handle_page_written(
         &mut self,
         now: Micros,
@@ -456,14 +478,15 @@
                 page.mod_revision = Some(*mod_revision);
                 let marked = written.iter().filter(|(_, mark)| mark.is_some());
                 let marked = marked.map(|(id, _)| id.clone()).collect();
-                for id in std::mem::replace(&mut page.silence_marks, marked) {
-                    // Moved to another page, whose write may have waited for this one.
+                for id in std::mem::replace(&mut page.marked_silent, marked) {
+                    // The machine has moved to another page. That page is written again, since
+                    // `silence_stored` could not be cleared while this one marked the machine as silent.
                     if !page.members.contains(&id) {
                         workers.mark_registry_stale(&id);
                     }
                 }
                 for (id, mark) in written {
-                    self.machine_written(key, &id, mark, workers);
+                    self.record_machine_written(key, &id, mark, workers);
                 }
             }
             WriteResult::NotApplied => page.schedule(now + WRITE_BATCH_DELAY),
@@ -475,8 +498,8 @@
         }
     }
 
-    /// A machine is stored in the page under `key`, with this silence mark.
-    fn machine_written(
+    /// Records that a machine is stored in the page under `key`, with this silence mark.
+    fn record_machine_written(
         &mut self,
         key: &str,
         id: &Arc<str>,
@@ -489,13 +512,13 @@
         let before = (machine.registered, machine.silence_stored);
         machine.registered = true;
         if self.page_of.get(id).is_some_and(|own| own == key) {
-            self.settled.insert(id.clone());
+            self.stored_as_assigned.insert(id.clone());
         }
-        // A later leader may read any page that names the machine, also one that is about to be deleted.
+        // A later leader may read the machine's entry in any page, even in one that is about to be deleted.
         let is_marked_elsewhere = self
             .pages
             .iter()
-            .any(|(other, page)| other != key && page.silence_marks.contains(id));
+            .any(|(other, page)| other != key && page.marked_silent.contains(id));
         if mark.is_none() && machine.silent_since.is_none() && !is_marked_elsewhere {
             machine.silence_stored = false;
         }
--- a/src/registry/page.rs
+++ b/src/registry/page.rs
@@ -1,4 +1,4 @@
-//! Encoding of registry pages, in each schema version.
+//! Encoding and decoding of registry pages in each schema version.
 
 use crate::clock::Micros;
 use crate::schema::{
@@ -17,7 +17,7 @@
     pub address: String,
     /// Name of the machine's type.
     pub machine_type: String,
-    /// Zone that it is in.
+    /// The machine's zone.
     pub zone: String,
     /// Whether it is a spot machine.
     pub spot: bool,
@@ -25,25 +25,28 @@
     pub rented: bool,
     /// The images that it has cached.
     pub images: Vec<Arc<str>>,
-    /// Silence mark: time of day of the last contact with a machine that has become silent, in microseconds.
+    /// Silence mark, if the machine has become silent: time of day of the last contact with it, in microseconds.
     pub silent_since: Option<Micros>,
 }
 
 /// The machines of a page, by name.
 pub type Entries = BTreeMap<Arc<str>, RegistryEntry>;
 
-/// What many machines of a page have in common: machine type, zone, whether spot, and whether rented.
-type MachineKind = (String, String, bool, bool);
+/// Attributes that many machines of a page share: machine type, zone, whether it is a spot machine, and whether
+/// this cluster has rented it.
+type SharedAttributes = (String, String, bool, bool);
 
 /// The value of a page in schema version 2.
 ///
-/// Each machine is one text of fields separated by spaces: name and address, both as what differs from the
-/// previous machine's; index of its kind; indexes of its images, separated by dots; and the silence mark, if any.
+/// Each machine is one string of fields separated by spaces: name and address, both prefix-compressed against the
+/// previous machine; index into `shared_attributes`; indexes into `images`, separated by dots; and the silence
+/// mark, if any.
 #[derive(Serialize, Deserialize)]
 struct StoredPage {
     #[serde(rename = "format")]
     schema_version: u32,
-    kinds: Vec<MachineKind>,
+    #[serde(rename = "kinds")]
+    shared_attributes: Vec<SharedAttributes>,
     images: Vec<Arc<str>>,
     machines: Vec<String>,
 }
@@ -52,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// If the value is of neither version, or of one newer than [`SCHEMA_VERSION`].
+/// Returns an error if the value is of neither version, or of a version newer than [`SCHEMA_VERSION`].
 pub(super) fn decode(value: &RawJson) -> Result<Entries, SchemaError> {
     let Ok(page) = serde_json::from_str::<StoredPage>(value.get()) else {
         return Ok(entries_v1(serde_json::from_str(value.get())?));
@@ -70,7 +73,8 @@
     Ok(entries)
 }
 
-/// Decodes one machine of a page. `name` and `address` hold those of the previous machine, and then its own.
+/// Decodes one machine of a page. On entry `name` and `address` are those of the previous machine; on return they
+/// are those of this machine.
 fn decode_machine(
     text: &str,
     page: &StoredPage,
@@ -78,12 +82,22 @@
     address: &mut String,
 ) -> Option<RegistryEntry> {
     let fields: Vec<&str> = text.split(' ').collect();
-    let [compressed_name, compressed_address, kind, images, rest @ ..] = fields.as_slice() else {
+    let [
+        compressed_name,
+        compressed_address,
+        attributes,
+        images,
+        rest @ ..,
+    ] = fields.as_slice()
+    else {
         return None;
     };
     *name = expand_prefix(name, compressed_name)?;
     *address = expand_prefix(address, compressed_address)?;
-    let (machine_type, zone, spot, rented) = page.kinds.get(kind.parse::<usize>().ok()?)?.clone();
+    let (machine_type, zone, spot, rented) = page
+        .shared_attributes
+        .get(attributes.parse::<usize>().ok()?)?
+        .clone();
     let images = images
         .split('.')
         .filter_map(|index| page.images.get(index.parse::<usize>().ok()?));
@@ -102,6 +116,7 @@
     })
 }
 
+/// Converts a page of schema version 1.
 fn entries_v1(page: version_1::StoredPage) -> Entries {
     let images = &page.images;
     let entry = |stored: version_1::RegistryEntry| RegistryEntry {
@@ -122,8 +137,8 @@
     machines.map(|(id, stored)| (id, entry(stored))).collect()
 }
 
-/// The value of a page, without the images if it is too large with them; `None` if it has several machines and
-/// is too large even so.
+/// Encodes a page. Leaves out the images if the value would be too large with them. Returns `None` if the page has
+/// several machines and is too large even without images.
 pub(super) fn encode_within(
     machines: &[&Machine],
     rented: &BTreeSet<Arc<str>>,
@@ -137,13 +152,13 @@
     let usable_bytes = schema.usable_bytes();
     let mut value = encode(machines, rented, true);
     if value.get().len() > usable_bytes {
-        // Images only help placements.
+        // Cached images only improve placements; all other fields are required.
         value = encode(machines, rented, false);
     }
     (value.get().len() <= usable_bytes || machines.len() <= 1).then_some(value)
 }
 
-/// The index of an item in a list, to which it is added if need be.
+/// Returns the index of an item in a list; appends the item if the list does not contain it.
 fn intern<T: PartialEq>(list: &mut Vec<T>, item: T) -> usize {
     match list.iter().position(|known| *known == item) {
         Some(index) => index,
@@ -157,7 +172,7 @@
 fn encode_v2(machines: &[&Machine], rented: &BTreeSet<Arc<str>>, with_images: bool) -> RawJson {
     let mut page = StoredPage {
         schema_version: SCHEMA_VERSION,
-        kinds: Vec::new(),
+        shared_attributes: Vec::new(),
         images: Vec::new(),
         machines: Vec::new(),
     };
@@ -166,19 +181,19 @@
         let Some(address) = machine.address.map(|address| address.to_string()) else {
             continue;
         };
-        let kind = (
+        let attributes = (
             machine.machine_type.clone(),
             machine.zone.clone(),
             machine.spot,
             rented.contains(&machine.id),
         );
-        let kind = intern(&mut page.kinds, kind);
+        let attributes = intern(&mut page.shared_attributes, attributes);
         let cached = machine.images.keys().filter(|_| with_images);
         let images: Vec<String> = cached
             .map(|image| intern(&mut page.images, image.clone()).to_string())
             .collect();
         let mut text = format!(
-            "{} {} {kind} {}",
+            "{} {} {attributes} {}",
             compress_prefix(&previous_name, &machine.id),
             compress_prefix(&previous_address, &address),
             images.join(".")
--- a/src/replica.rs
+++ b/src/replica.rs
@@ -1,13 +1,13 @@
-//! A copy of what a leader needs from the state service: live and stopping jobs with their chunks, the machine
+//! Local copy of the stored data that a leader needs: live and stopping jobs with their chunks, the machine
 //! registry, and the schema version.
 //!
-//! A [`Replica`] is filled page by page and then kept up to date by the changes that a watch reports. Once it is
-//! complete it holds exactly what is stored at one store revision. Every leader is built from one, whether it
-//! was a standby for hours or filled the replica just now.
+//! A [`Replica`] is filled page by page and then kept up to date with the changes that a watch reports. Once it
+//! is complete, it holds exactly what is stored at one store revision. Every new leader starts from a replica,
+//! whether it has been a standby for hours or has only just filled the replica.
 //!
-//! It does no I/O: [`Replica::next_reads`] says what to read, [`Replica::apply_page`] and
-//! [`Replica::apply_changes`] take the replies. Nothing may be decided on a replica that is not complete; how a
-//! replica is verified is described in `docs/standby.md`.
+//! It does no I/O: [`Replica::next_reads`] returns what to read, [`Replica::apply_page`] and
+//! [`Replica::apply_changes`] apply the replies. No decision may be based on an incomplete replica. How a replica
+//! is verified is described in `docs/standby.md`.
 
 use crate::job_record::{JobRecord, LIVE_PREFIX, STOPPING_PREFIX, live_key};
 use crate::registry::REGISTRY_PREFIX;
@@ -25,16 +25,16 @@
     CHUNKS_PREFIX,
     SCHEMA_VERSION_KEY,
 ];
-/// Number of revisions whose checksum over the live jobs is kept, for comparison with the leader's.
+/// Number of revisions for which the checksum over the live jobs is kept, to compare with the leader's checksum.
 const CHECKSUMS_KEPT: usize = 4096;
 
-/// A stored job, decoded when it was read: a failover has no time for that.
+/// The header of a stored job. It is decoded when it is read, so that a failover does not have to do it.
 pub struct JobHeader {
     /// Revision of the job's key.
     pub mod_revision: u64,
     /// Length of the stored value.
     pub bytes: usize,
-    /// The job and the number of its chunks, or why it can't be decoded.
+    /// The job and the number of its chunks, or the error if it cannot be decoded.
     pub decoded: Result<(JobRecord, usize), SchemaError>,
 }
 
@@ -48,40 +48,40 @@
     }
 }
 
-/// How far the reading of one prefix is.
+/// Progress of reading the pages of one prefix.
 #[derive(Clone, Debug, PartialEq)]
 enum PageState {
-    /// The page after this key is to be read.
+    /// The page after this key is to be requested next.
     Due(String),
-    /// A page was requested.
+    /// A page has been requested and not returned yet.
     Requested,
-    /// All pages were read.
+    /// All pages have been read.
     Complete,
 }
 
-/// A read that the replica needs next.
+/// A read of the state service that the replica needs next.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ReplicaRead {
     /// A page of one prefix.
     Page {
         /// One of [`REPLICATED_PREFIXES`].
         prefix: &'static str,
-        /// The last key that was read; empty for the first page.
+        /// The last key of the previous page; empty for the first page.
         after: String,
     },
-    /// All changes of replicated keys since a store revision.
+    /// All changes of replicated keys after a store revision.
     Changes {
         /// The revision up to which all changes are known.
         from: u64,
     },
 }
 
-/// A checksum over keys and their revisions; it does not depend on the order of the keys.
+/// A checksum over keys and their revisions, independent of the order of the keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Checksum(pub u64);
 
 impl Checksum {
-    /// Adds a key at a revision, or removes it again.
+    /// Adds a key with its revision, or removes it if it was added before (the two are the same operation).
     pub fn toggle(&mut self, key: &str, mod_revision: u64) {
         self.0 ^= xxh3_64_with_seed(key.as_bytes(), mod_revision);
     }
@@ -93,19 +93,19 @@
     checksum: Checksum,
 }
 
-/// A replicated key, by where its value is held.
+/// A replicated key, by the part of the replica that holds its value.
 #[derive(Clone, Copy)]
 enum ReplicatedKey<'a> {
-    /// A live job, by its uid.
+    /// A live job with this uid.
     Live(&'a str),
-    /// A stopping job, by its uid.
+    /// A stopping job with this uid.
     Stopping(&'a str),
     /// A registry page, a chunk, or the schema version.
     Other,
 }
 
 impl<'a> ReplicatedKey<'a> {
-    /// None for a key that is not replicated.
+    /// `None` if the key is not replicated.
     fn parse(key: &'a str) -> Option<Self> {
         if let Some(uid) = key.strip_prefix(LIVE_PREFIX) {
             return Some(Self::Live(uid));
@@ -120,7 +120,7 @@
     }
 }
 
-/// A copy of the replicated keys; see the module's documentation.
+/// A copy of the replicated keys; see the module documentation.
 pub struct Replica {
     /// Live jobs by uid.
     pub live: BTreeMap<Arc<str>, JobHeader>,
@@ -128,19 +128,20 @@
     pub stopping: BTreeMap<Arc<str>, JobHeader>,
     /// Registry pages, chunks, and the schema version, by key.
     other_values: BTreeMap<String, KeyValue>,
+    /// One per prefix, in the order of [`REPLICATED_PREFIXES`].
     pages: [PageState; REPLICATED_PREFIXES.len()],
-    /// Once the replica is complete, it holds all changes up to this store revision.
+    /// Store revision up to which all changes are applied, once the replica is complete.
     revision: u64,
-    /// Store revision of the earliest page: changes after it may be missing.
+    /// Lowest store revision that a page was read at: changes after it may be missing.
     first_page_revision: Option<u64>,
-    /// Store revision of the latest page.
+    /// Highest store revision that a page was read at.
     last_page_revision: u64,
-    /// Over all replicated keys.
+    /// Checksum over all replicated keys.
     checksum: Checksum,
-    /// Over the live jobs.
-    jobs_checksum: Checksum,
-    /// The checksum over the live jobs after each change of one, in the order of the revisions.
-    jobs_checksum_history: VecDeque<ChecksumAt>,
+    /// Checksum over the keys of the live jobs.
+    live_jobs_checksum: Checksum,
+    /// The checksum over the live jobs after each change of a live job, ordered by revision.
+    live_jobs_checksum_history: VecDeque<ChecksumAt>,
 }
 
 impl Default for Replica {
@@ -154,8 +155,8 @@
             first_page_revision: None,
             last_page_revision: 0,
             checksum: Checksum::default(),
-            jobs_checksum: Checksum::default(),
-            jobs_checksum_history: VecDeque::new(),
+            live_jobs_checksum: Checksum::default(),
+            live_jobs_checksum_history: VecDeque::new(),
         }
     }
 }
@@ -165,7 +166,7 @@
         self.pages.iter().all(|page| *page == PageState::Complete)
     }
 
-    /// Whether it holds exactly what is stored at [`Replica::revision`].
+    /// Whether the replica holds exactly what is stored at [`Replica::revision`].
     pub fn is_complete(&self) -> bool {
         self.all_pages_read() && self.revision >= self.last_page_revision
     }
@@ -175,7 +176,7 @@
         self.revision
     }
 
-    /// Number of keys held.
+    /// Number of keys in the replica.
     pub fn key_count(&self) -> usize {
         self.live.len() + self.stopping.len() + self.other_values.len()
     }
@@ -185,18 +186,18 @@
         self.checksum
     }
 
-    /// The checksum over the live jobs as of a store revision; None where it is not known: the replica is not
-    /// complete, has not reached that revision, or no longer keeps the checksum.
+    /// The checksum over the live jobs as of a store revision. `None` if the replica is not complete, has not
+    /// reached that revision, or no longer keeps the checksum of that revision.
     pub fn live_jobs_checksum_at(&self, revision: u64) -> Option<Checksum> {
         if !self.is_complete() || revision > self.revision {
             return None;
         }
-        let history = &self.jobs_checksum_history;
-        let later = history.partition_point(|known| known.revision <= revision);
+        let history = &self.live_jobs_checksum_history;
+        let later = history.partition_point(|entry| entry.revision <= revision);
         later.checked_sub(1).map(|last| history[last].checksum)
     }
 
-    /// The reads that are due: pages, or, once all pages are read, the changes since.
+    /// The reads that are due: the next pages or, once all pages are read, the changes since.
     pub fn next_reads(&self) -> Vec<ReplicaRead> {
         let pages = REPLICATED_PREFIXES.iter().zip(&self.pages);
         let due: Vec<ReplicaRead> = pages
@@ -216,27 +217,27 @@
         due
     }
 
-    fn page_of(&mut self, prefix: &str) -> Option<&mut PageState> {
+    fn page_state_mut(&mut self, prefix: &str) -> Option<&mut PageState> {
         let position = REPLICATED_PREFIXES.iter().position(|p| *p == prefix)?;
         Some(&mut self.pages[position])
     }
 
-    /// Records that a page was requested.
+    /// Records that the next page of this prefix was requested.
     pub fn mark_page_requested(&mut self, prefix: &str) {
-        if let Some(page) = self.page_of(prefix) {
+        if let Some(page) = self.page_state_mut(prefix) {
             *page = PageState::Requested;
         }
     }
 
-    /// Records that a requested page was not returned: it is due again.
+    /// Makes the page after the key `after` due again, because its request failed.
     pub fn mark_page_due(&mut self, prefix: &str, after: String) {
-        if let Some(page) = self.page_of(prefix) {
+        if let Some(page) = self.page_state_mut(prefix) {
             *page = PageState::Due(after);
         }
     }
 
-    /// Applies a page that was read at `revision`. Pages are read at different revisions; the changes since the
-    /// earliest one complete what happened in between.
+    /// Applies a page that was read at store revision `revision`. Pages are read at different revisions;
+    /// [`Replica::apply_changes`] with all changes since the lowest one brings them to a common revision.
     pub fn apply_page(
         &mut self,
         prefix: &str,
@@ -252,7 +253,7 @@
         self.first_page_revision = Some(first.min(revision));
         self.revision = first.min(revision);
         self.last_page_revision = self.last_page_revision.max(revision);
-        if let Some(page) = self.page_of(prefix) {
+        if let Some(page) = self.page_state_mut(prefix) {
             *page = match after {
                 Some(after) if truncated => PageState::Due(after),
                 _ => PageState::Complete,
@@ -261,7 +262,8 @@
         self.start_checksum_history();
     }
 
-    /// Takes the pages as complete where the changes between the earliest and the latest one can't be read.
+    /// Treats the pages as complete although the changes between the lowest and the highest page revision cannot
+    /// be read.
     pub fn accept_pages_as_complete(&mut self) {
         self.last_page_revision = self.revision;
         self.start_checksum_history();
@@ -285,17 +287,18 @@
         self.start_checksum_history();
     }
 
-    /// Once the replica is complete, its checksum belongs to a store revision.
+    /// Starts the checksum history once the replica is complete. Before that its checksum matches no store
+    /// revision.
     fn start_checksum_history(&mut self) {
-        if self.is_complete() && self.jobs_checksum_history.is_empty() {
-            self.jobs_checksum_history.push_back(ChecksumAt {
+        if self.is_complete() && self.live_jobs_checksum_history.is_empty() {
+            self.live_jobs_checksum_history.push_back(ChecksumAt {
                 revision: self.revision,
-                checksum: self.jobs_checksum,
+                checksum: self.live_jobs_checksum,
             });
         }
     }
 
-    /// The revision of a key that is held.
+    /// The revision of a key in the replica; `None` if the replica does not hold the key.
     fn held_revision(&self, parsed: ReplicatedKey<'_>, key: &str) -> Option<u64> {
         match parsed {
             ReplicatedKey::Live(uid) => self.live.get(uid).map(|job| job.mod_revision),
@@ -304,7 +307,7 @@
         }
     }
 
-    /// Sets a key, unless it is held at this revision or a later one.
+    /// Sets a key, unless the replica holds it at this revision or a later one.
     fn set(&mut self, item: KeyValue) {
         let KeyValue {
             key,
@@ -343,7 +346,7 @@
         self.record_checksum(&key, mod_revision);
     }
 
-    /// Deletes a key, unless it is held at a later revision.
+    /// Deletes a key, unless the replica holds it at this revision or a later one.
     fn delete(&mut self, key: &str, mod_revision: u64) {
         let Some(parsed) = ReplicatedKey::parse(key) else {
             return;
@@ -367,19 +370,19 @@
         self.record_checksum(key, mod_revision);
     }
 
-    /// Adds a key at a revision to the checksums, or removes it again.
+    /// Adds a key with its revision to the checksums, or removes it if it was added before.
     fn toggle(&mut self, key: &str, mod_revision: u64) {
         self.checksum.toggle(key, mod_revision);
         if key.starts_with(LIVE_PREFIX) {
-            self.jobs_checksum.toggle(key, mod_revision);
+            self.live_jobs_checksum.toggle(key, mod_revision);
         }
     }
 
-    /// Records the checksum over the live jobs after a change. While the replica is filled there is no history,
-    /// since its checksum belongs to no store revision.
+    /// Appends the checksum over the live jobs to the history after a change of a live job. Does nothing while the
+    /// replica is being filled, since its checksum then matches no store revision.
     fn record_checksum(&mut self, key: &str, mod_revision: u64) {
-        let checksum = self.jobs_checksum;
-        let history = &mut self.jobs_checksum_history;
+        let checksum = self.live_jobs_checksum;
+        let history = &mut self.live_jobs_checksum_history;
         if history.is_empty() || !key.starts_with(LIVE_PREFIX) {
             return;
         }
@@ -395,7 +398,7 @@
         }
     }
 
-    /// The pages of the machine registry, in the order of their keys.
+    /// The pages of the machine registry, in key order.
     pub fn registry_pages(&self) -> impl Iterator<Item = &KeyValue> {
         let from_first = self.other_values.range(REGISTRY_PREFIX.to_owned()..);
         from_first
@@ -403,7 +406,7 @@
             .take_while(|item| item.key.starts_with(REGISTRY_PREFIX))
     }
 
-    /// A chunk of a job, by its number.
+    /// The chunk of a job with this number.
     pub fn chunk(&self, uid: &str, number: usize) -> Option<&KeyValue> {
         self.other_values.get(&schema::chunk_key(uid, number))
     }
@@ -413,10 +416,10 @@
         self.other_values.get(SCHEMA_VERSION_KEY)
     }
 
-    /// Falsifies the revision of one live job, to test that the difference is found. Returns false where there
-    /// is no live job.
+    /// Injected fault: falsifies the revision of one live job, to test that the checksum comparison detects it.
+    /// Returns false if there is no live job.
     pub fn corrupt_one_live_job(&mut self) -> bool {
-        // The job that has not changed for longest: its next change would correct the revision.
+        // Takes the job that has not changed for longest: the next change of a job would correct its revision.
         let oldest = self.live.iter_mut().min_by_key(|(_, job)| job.mod_revision);
         let Some((uid, job)) = oldest else {
             return false;
@@ -425,8 +428,8 @@
         job.mod_revision += 1;
         self.toggle(&key, held);
         self.toggle(&key, held + 1);
-        if let Some(last) = self.jobs_checksum_history.back_mut() {
-            last.checksum = self.jobs_checksum;
+        if let Some(last) = self.live_jobs_checksum_history.back_mut() {
+            last.checksum = self.live_jobs_checksum;
         }
         true
     }
--- a/src/schema.rs
+++ b/src/schema.rs
@@ -1,14 +1,14 @@
-//! Storage schema: how jobs are encoded in the key-value store, by the schema version stored there.
+//! Storage schema: how jobs are encoded in the key-value store in each schema version.
 //!
-//! Version 1 stores a job as one value, see [`version_1`]. Version 2 fits small values: a header per job, and
-//! what does not fit the header in numbered chunks under a prefix of their own. Header and chunks change only
-//! together, in one transaction with the header's revision as precondition, so a new leader finds them as of one
-//! moment.
+//! Version 1 stores a job as one value, see [`version_1`]. Version 2 is for stores that accept only small values:
+//! it stores a header per job and, under a separate prefix, numbered chunks with what does not fit the header.
+//! Header and chunks are written only together, in one transaction with the header's revision as a
+//! precondition, so that a new leader always reads a consistent job.
 //!
-//! Both versions are always read. Jobs are written in the stored version, which only goes up, once every
-//! controller of the settings has declared that it supports the next one.
+//! Both versions can always be read. Jobs are written in the stored schema version. The stored version is only
+//! ever raised, and only once every configured controller has declared that it supports the next version.
 //!
-//! Owns the encoding alone: it reads and writes no key, and decides nothing about jobs.
+//! This module only encodes and decodes: it does no I/O and makes no decisions about jobs.
 
 mod prefix_compression;
 pub mod version_1;
@@ -24,48 +24,48 @@
 
 /// The newest schema version that this program supports.
 pub const SCHEMA_VERSION: u32 = 2;
-/// The key of the schema version that all controllers write; absent for version 1.
+/// The key that holds the schema version that all controllers write; absent for version 1.
 pub const SCHEMA_VERSION_KEY: &str = "format";
-/// Prefix of the keys under which each controller declares the schema version that it supports.
+/// Prefix of the keys under which the controllers declare the schema version that they support.
 pub const CONTROLLERS_PREFIX: &str = "node/";
 /// Prefix of the keys of chunks.
 pub const CHUNKS_PREFIX: &str = "piece/";
 
-/// Values are kept this much below the largest that the store takes.
+/// Safety margin between the largest value that is written and the largest that the store accepts.
 const VALUE_SLACK_BYTES: usize = 96;
 /// The longest machine name that can be stored.
 const MACHINE_NAME_BYTES_MAX: usize = 64;
-/// What a chunk takes in a transaction beside its value, at most.
+/// Upper bound of a chunk's size in a transaction without its value.
 const CHUNK_REQUEST_BYTES: usize = 120;
-/// What a job's transaction takes beside its values, at most.
+/// Upper bound of the size of a job's transaction without the values.
 const JOB_REQUEST_BYTES: usize = 400;
 
-/// Why a stored value cannot be read.
+/// Why a stored value cannot be decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum SchemaError {
-    /// Not the JSON that the schema asks for.
+    /// The value is not the JSON that the schema requires.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// Written by a newer program.
-    #[error("its format is {0}")]
+    /// The value was written by a newer program.
+    #[error("schema version {0} is newer than the supported version {supported}", supported = SCHEMA_VERSION)]
     UnsupportedVersion(u32),
-    /// A placement names no tasks.
-    #[error("a placement without tasks")]
+    /// A placement does not list any tasks.
+    #[error("placement without tasks")]
     PlacementWithoutTasks,
-    /// A machine's name refers to more of the previous name than there is.
-    #[error("a machine's name that can't be completed")]
-    IncompleteMachineName,
-    /// A text that should be a task index.
-    #[error("`{0}` is no task")]
+    /// A prefix-compressed machine name refers to a longer prefix than the previous name has.
+    #[error("compressed machine name does not match the previous name")]
+    InvalidMachineName,
+    /// A text is not a task index.
+    #[error("`{0}` is not a task index")]
     InvalidTask(String),
-    /// A range that is empty or beyond the job's tasks.
-    #[error("`{0}` are no tasks of the job")]
+    /// A range is empty or exceeds the job's tasks.
+    #[error("`{0}` is not a range of the job's tasks")]
     InvalidTaskRange(String),
     /// A chunk that the header counts is not stored.
-    #[error("it is missing")]
+    #[error("chunk is missing")]
     MissingChunk,
-    /// An entry of a registry page that is none.
-    #[error("`{0}` is no machine")]
+    /// An entry of a registry page cannot be decoded.
+    #[error("`{0}` is not a registry entry")]
     InvalidRegistryEntry(String),
 }
 
@@ -74,13 +74,13 @@
     format!("{CHUNKS_PREFIX}{uid}/{number}")
 }
 
-/// The job and the chunk number that a chunk's key names; `None` if it is no such key.
+/// Returns the uid of the job and the number of the chunk in a chunk's key; `None` if it is not such a key.
 pub fn parse_chunk_key(key: &str) -> Option<(&str, usize)> {
     let (uid, number) = key.strip_prefix(CHUNKS_PREFIX)?.rsplit_once('/')?;
     Some((uid, number.parse().ok()?))
 }
 
-/// The key under which the controller of that name declares what it supports.
+/// The key under which the controller with this name declares the schema version that it supports.
 pub fn controller_key(name: &str) -> String {
     format!("{CONTROLLERS_PREFIX}{name}")
 }
@@ -93,25 +93,25 @@
     pub version: u32,
 }
 
-/// What a controller declares about itself at its start, under [`controller_key`].
+/// What a controller declares at its start under [`controller_key`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SchemaSupport {
     /// The newest schema version that it supports.
     #[serde(rename = "format")]
     pub schema_version: u32,
-    /// The version of its program.
+    /// The version of the controller program.
     #[serde(rename = "version", default)]
     pub program_version: String,
 }
 
-/// The schema version that is written, and the store's limits that it is written within.
+/// The schema version for writing, and the limits of the store that the values must respect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Schema {
     /// The schema version.
     pub version: u32,
-    /// The largest value that the store takes, in bytes.
+    /// The largest value that the store accepts, in bytes.
     pub value_bytes: usize,
-    /// The most changes of one transaction.
+    /// The maximum number of changes in one transaction.
     pub txn_ops: usize,
 }
 
@@ -121,8 +121,8 @@
         self.value_bytes.saturating_sub(VALUE_SLACK_BYTES)
     }
 
-    /// The most chunks of a job. One transaction must be able to end it: delete the chunks and the header,
-    /// and write the final state.
+    /// The maximum number of chunks of a job. One transaction must be able to finish the job: to delete the chunks
+    /// and the header, and to write the final state.
     pub fn chunks_max(&self) -> usize {
         match self.version {
             0 | 1 => 0,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The capacity of all values of a job for placements and endings, in bytes; a lower bound.
+    /// Lower bound of the capacity of all values of a job for placements and endings, in bytes.
     pub fn job_capacity_bytes(&self, spec_bytes: usize) -> usize {
         match self.version {
             0 | 1 => version_1::job_capacity_bytes(self.value_bytes, spec_bytes),
@@ -138,7 +138,7 @@
         }
     }
 
-    /// What a placement on a machine takes, in bytes; an upper bound.
+    /// Upper bound of the size of a placement on a machine whose name has `name_bytes` bytes, in bytes.
     pub fn placement_bytes(&self, name_bytes: usize) -> usize {
         match self.version {
             0 | 1 => version_1::placement_bytes(name_bytes),
@@ -146,7 +146,7 @@
         }
     }
 
-    /// What a range of done tasks takes, in bytes; an upper bound.
+    /// Upper bound of the size of a range of done tasks, in bytes.
     pub fn range_bytes(&self) -> usize {
         match self.version {
             0 | 1 => version_1::RANGE_BYTES,
@@ -154,12 +154,12 @@
         }
     }
 
-    /// The longest encoded [`JobSpec`] that can be stored with capacity left for some placements, in bytes.
+    /// The maximum size of an encoded [`JobSpec`], in bytes; it leaves capacity for some placements.
     pub fn spec_bytes_max(&self) -> usize {
         self.usable_bytes() * 3 / 4
     }
 
-    /// Whether a job can be stored at all, with at least two of its tasks placed.
+    /// Whether a job can be stored with at least two placements.
     pub fn can_store(&self, spec: &JobSpec) -> bool {
         let spec_bytes = to_raw_json(spec).get().len();
         spec_bytes <= self.spec_bytes_max()
@@ -167,7 +167,7 @@
                 >= 2 * self.placement_bytes(MACHINE_NAME_BYTES_MAX)
     }
 
-    /// The values of a job; `None` if it does not fit the limits.
+    /// Encodes a job; returns `None` if it does not fit the limits.
     pub fn encode_job(&self, record: &JobRecord) -> Option<StoredValues> {
         match self.version {
             0 | 1 => version_1::encode_job(record, self.usable_bytes()).map(StoredValues::single),
@@ -185,7 +185,7 @@
 }
 
 impl StoredValues {
-    /// A job that is one value.
+    /// The values of a job that is stored without chunks.
     pub fn single(header: RawJson) -> Self {
         Self {
             header,
@@ -193,7 +193,7 @@
         }
     }
 
-    /// What writing them takes in a transaction, in bytes; an upper bound.
+    /// Upper bound of the size of a transaction that writes these values, in bytes.
     pub fn request_bytes(&self) -> usize {
         let chunks = self.chunks.iter();
         let chunk_bytes: usize = chunks
@@ -203,12 +203,12 @@
     }
 }
 
-/// Decodes a job's header of either version. Returns the job, still without what its chunks hold, and how many
-/// chunks belong to it.
+/// Decodes a job's header of either version. Returns the job without the contents of its chunks, and the number of
+/// its chunks.
 ///
 /// # Errors
 ///
-/// If the value is of neither version, or of one newer than [`SCHEMA_VERSION`].
+/// Returns an error if the value is of neither version, or of a version newer than [`SCHEMA_VERSION`].
 pub fn decode_job(value: &RawJson) -> Result<(JobRecord, usize), SchemaError> {
     #[derive(Deserialize)]
     struct VersionProbe {
@@ -231,7 +231,8 @@
     header.into_record()
 }
 
-/// Whether a machine of that name can be stored: version 2 separates names by spaces.
+/// Whether a machine with this name can be stored. Version 2 separates names by spaces, so a name must not
+/// contain one.
 pub fn is_storable_name(machine: &str) -> bool {
     !machine.contains(' ') && machine.len() <= MACHINE_NAME_BYTES_MAX
 }
--- a/src/schema/prefix_compression.rs
+++ b/src/schema/prefix_compression.rs
@@ -1,15 +1,15 @@
-//! Compression of a sequence of similar texts: each is written as the length of the prefix that it shares with
-//! the previous one, as one base-36 digit, followed by the rest.
+//! Prefix compression of a sequence of similar strings: each is written as one base-36 digit, the length of the
+//! prefix that it shares with the previous string, followed by the rest.
 
 const DIGITS: &[u8; 36] = b"0123456789abcdefghijklmnopqrstuvwxyz";
 
-/// `text` as what differs from the previous text.
+/// Compresses `text` against the previous string.
 pub fn compress_prefix(previous: &str, text: &str) -> String {
     let shared = previous
         .bytes()
         .zip(text.bytes())
         .take(DIGITS.len() - 1)
-        .take_while(|(before, now)| before == now);
+        .take_while(|(previous_byte, byte)| previous_byte == byte);
     let mut length = shared.count();
     while !text.is_char_boundary(length) {
         length -= 1;
@@ -17,7 +17,8 @@
     format!("{}{}", DIGITS[length] as char, &text[length..])
 }
 
-/// The text that [`compress_prefix`] has shortened against the same previous text; `None` if it cannot have been.
+/// Reverses [`compress_prefix`], given the same previous string. Returns `None` if `compressed` is not valid for
+/// that string.
 pub fn expand_prefix(previous: &str, compressed: &str) -> Option<String> {
     let digit = compressed.bytes().next()?;
     let length = DIGITS.iter().position(|known| *known == digit)?;
--- a/src/schema/version_1.rs
+++ b/src/schema/version_1.rs
@@ -1,6 +1,8 @@
-//! Schema version 1: a job is one value with its placements as a map, and so is a page of the machine registry.
+//! Schema version 1: a job is one JSON value with its placements as a map. A page of the machine registry is one
+//! JSON value with its machines as a map.
 //!
-//! It is written until the stored version goes up, and can be deleted once no deployment runs under it any more.
+//! This version is written until the stored schema version is raised. The module can be deleted once no deployment
+//! has data of this version any more.
 
 use super::SchemaError;
 use crate::clock::Micros;
@@ -11,13 +13,13 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What a record takes beside spec and tasks, at most: field names, node, times and endings.
+/// Upper bound of the size of a record without spec and tasks: field names, node, times and endings.
 const RECORD_BYTES: usize = 1_600;
-/// The same without endings.
+/// Upper bound of the size of a record without spec, tasks and endings.
 const BARE_RECORD_BYTES: usize = 300;
-/// What a range of tasks takes, at most: `[12345,12346],`.
+/// Upper bound of the size of a range of tasks: `[12345,12346],`.
 pub const RANGE_BYTES: usize = 14;
-/// What a placement takes beside the machine's name and its range, at most.
+/// Upper bound of the size of a placement without the machine's name and its range.
 const PLACEMENT_BYTES: usize = 8;
 
 /// The value under `job/<uid>` or `stopping/<uid>`.
@@ -38,12 +40,12 @@
     endings: VecDeque<TaskEnding>,
 }
 
-/// An upper bound of what a placement takes, in bytes.
+/// Upper bound of the size of a placement on a machine whose name has `name_bytes` bytes, in bytes.
 pub fn placement_bytes(name_bytes: usize) -> usize {
     name_bytes + RANGE_BYTES + PLACEMENT_BYTES
 }
 
-/// A lower bound of the capacity for placements, in bytes. With small values, endings are left out.
+/// Lower bound of the capacity for placements, in bytes. Values too small for endings are written without them.
 pub fn job_capacity_bytes(value_bytes: usize, spec_bytes: usize) -> usize {
     let record_bytes = RECORD_BYTES.min((value_bytes / 8).max(BARE_RECORD_BYTES));
     value_bytes.saturating_sub(spec_bytes + record_bytes)
@@ -53,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// If the value is no job of this version.
+/// Returns an error if the value is not a job of this version.
 pub fn decode_job(value: &RawJson) -> Result<JobRecord, SchemaError> {
     let stored: StoredRecord = serde_json::from_str(value.get())?;
     Ok(JobRecord {
@@ -67,8 +69,8 @@
     })
 }
 
-/// The value of a job, without its endings if it would be longer than `usable_bytes` with them; `None` if it
-/// is longer even so.
+/// Encodes a job. Leaves out its endings if the value would be longer than `usable_bytes` with them; returns `None`
+/// if it is too long even without them.
 pub fn encode_job(record: &JobRecord, usable_bytes: usize) -> Option<RawJson> {
     let mut stored = StoredRecord {
         spec: record.spec.clone(),
@@ -81,7 +83,7 @@
     };
     let mut value = to_raw_json(&stored);
     if value.get().len() > usable_bytes {
-        // Endings are for display only; the rest decides what may run.
+        // Endings are shown to operators only; all other fields are needed to decide what may run.
         stored.endings.clear();
         value = to_raw_json(&stored);
     }
@@ -97,7 +99,7 @@
     /// Name of the machine's type.
     #[serde(rename = "sku")]
     pub machine_type: String,
-    /// Zone that it is in.
+    /// The machine's zone.
     pub zone: String,
     /// Whether it is a spot machine.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
@@ -108,7 +110,7 @@
     /// The images that it has cached, as indexes into [`StoredPage::images`].
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<usize>,
-    /// Time of day of the last contact with a machine that has become silent, in microseconds.
+    /// Silence mark, if the machine has become silent: time of day of the last contact with it, in microseconds.
     #[serde(rename = "quiet", default, skip_serializing_if = "Option::is_none")]
     pub silent_since: Option<Micros>,
 }
--- a/src/schema/version_2.rs
+++ b/src/schema/version_2.rs
@@ -1,8 +1,8 @@
-//! Schema version 2: a header per job, and numbered chunks for the tasks that do not fit it.
+//! Schema version 2: a header per job, and numbered chunks for the tasks that do not fit the header.
 //!
-//! Tasks are written as ranges, `3,7-9`. Placements are separated by spaces, `machine=ranges`; machine names,
-//! which are similar, are written as what differs from the previous name within the same value, so each value
-//! can be read by itself.
+//! Tasks are written as ranges, `3,7-9`. Placements are written as `machine=ranges`, separated by spaces. Machine
+//! names, which are similar, are prefix-compressed against the previous name in the same value, so that each
+//! value can be decoded by itself.
 
 use super::{SCHEMA_VERSION, SchemaError, StoredValues, compress_prefix, expand_prefix};
 use crate::clock::Micros;
@@ -13,24 +13,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// What a header takes beside the spec and its tasks, at most: field names, node, times and number of chunks.
+/// Upper bound of the size of a header without spec and tasks: field names, node, times and number of chunks.
 const HEADER_BYTES: usize = 300;
-/// What the fields that are not known yet add to a header that was encoded without them, at most.
-const HEADER_COUNT_BYTES: usize = 60;
-/// What a header takes beside its endings for their field, at most.
+/// Upper bound of what the fields that are still empty (`done`, `placed`, `pieces`) add to an encoded header
+/// besides their tasks.
+const HEADER_TASK_FIELDS_BYTES: usize = 60;
+/// Upper bound of the size of the field `endings` without its elements.
 const ENDINGS_FIELD_BYTES: usize = 16;
-/// What a chunk takes beside its tasks, at most.
+/// Upper bound of the size of a chunk without its tasks.
 const CHUNK_BYTES: usize = 40;
-/// What may stay unused at the end of a chunk, since an entry is not split.
+/// Bytes that may stay unused at the end of a chunk, since an entry is never split.
 const CHUNK_UNUSED_BYTES: usize = 40;
-/// What a placement takes beside the machine's name, at most.
+/// Upper bound of the size of a placement without the machine's name.
 const PLACEMENT_BYTES: usize = 9;
-/// What a range of tasks takes, at most: `99998-99999,`.
+/// Upper bound of the size of a range of tasks: `99998-99999,`.
 pub(super) const RANGE_BYTES: usize = 12;
-/// A machine with more separate ranges of the job's tasks takes several placements.
+/// A machine with more ranges of the job's tasks than this is written as several placements.
 const RANGES_PER_PLACEMENT_MAX: usize = 60;
 
-/// A lower bound of what all values of a job can hold beside the spec, in bytes.
+/// Lower bound of the capacity of all values of a job for placements, in bytes.
 pub(super) fn job_capacity_bytes(
     usable_bytes: usize,
     chunks_max: usize,
@@ -41,7 +42,7 @@
     header + chunks_max * chunk
 }
 
-/// An upper bound of what a placement takes, in bytes.
+/// Upper bound of the size of a placement on a machine whose name has `name_bytes` bytes, in bytes.
 pub(super) fn placement_bytes(name_bytes: usize) -> usize {
     name_bytes + PLACEMENT_BYTES
 }
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The job as far as the header holds it, and how many chunks belong to it.
+    /// Returns the job without the contents of its chunks, and the number of its chunks.
     pub(super) fn into_record(self) -> Result<(JobRecord, usize), SchemaError> {
         let mut record = JobRecord {
             spec: self.spec,
@@ -103,7 +104,7 @@
         Ok((record, self.chunks))
     }
 
-    /// Adds the newest endings that fit: they are for operators only.
+    /// Adds the newest endings that fit. The others are dropped, since endings are only shown to operators.
     fn add_endings(&mut self, endings: &VecDeque<TaskEnding>, mut bytes_left: usize) {
         for ending in endings.iter().rev() {
             let bytes = to_raw_json(ending).get().len() + 1;
@@ -125,11 +126,12 @@
     placed: String,
 }
 
-/// Decodes a chunk and adds what it holds to its job's record.
+/// Decodes a chunk and adds its tasks to the job's record.
 ///
 /// # Errors
 ///
-/// If the value is no chunk, or holds tasks that the job does not have. The record may then have part of it.
+/// Returns an error if the value is not a chunk, or has tasks that the job does not have. Some of its tasks may have
+/// been added to the record by then.
 pub fn decode_chunk(value: &RawJson, record: &mut JobRecord) -> Result<(), SchemaError> {
     let chunk: StoredChunk = serde_json::from_str(value.get())?;
     add_tasks(record, &chunk.done, &chunk.placed)
@@ -143,7 +145,7 @@
         let (name, ranges) = placement
             .rsplit_once('=')
             .ok_or(SchemaError::PlacementWithoutTasks)?;
-        let name = expand_prefix(&previous_name, name).ok_or(SchemaError::IncompleteMachineName)?;
+        let name = expand_prefix(&previous_name, name).ok_or(SchemaError::InvalidMachineName)?;
         let ranges = decode_ranges(ranges, tasks)?;
         record
             .placed
@@ -181,20 +183,20 @@
     }
 }
 
-/// Fills values with tasks, one value after the other.
+/// Distributes tasks over values; starts a new value when the current one is full.
 struct ChunkWriter {
     chunk: StoredChunk,
-    /// The last machine name in `chunk`; empty for none.
+    /// The last machine name in `chunk`; empty if there is none.
     previous_name: String,
-    /// What `chunk` can still take.
+    /// The bytes left in `chunk`.
     bytes_left: usize,
-    /// The values that are full, in order.
+    /// The full values, in order.
     complete: Vec<StoredChunk>,
     usable_bytes: usize,
 }
 
 impl ChunkWriter {
-    /// Reserves that many bytes, if need be in a new chunk; returns whether it is a new one.
+    /// Reserves this many bytes, in a new chunk if necessary. Returns whether it started a new chunk.
     fn reserve(&mut self, bytes: usize) -> bool {
         let starts_chunk = bytes > self.bytes_left;
         if starts_chunk {
@@ -216,7 +218,7 @@
     }
 
     fn add_placement(&mut self, machine: &str, ranges: &str) {
-        // JSON writes a quote or a backslash in two bytes or more.
+        // JSON escapes a quote or a backslash with additional bytes.
         let escape_bytes = to_raw_json(&machine).get().len() - machine.len() - 2;
         let mut name = compress_prefix(&self.previous_name, machine);
         if self.reserve(name.len() + ranges.len() + 2 + escape_bytes) {
@@ -234,14 +236,14 @@
     }
 }
 
-/// The values of a job; `None` if it takes more than `chunks_max` chunks, or its spec does not fit the header.
+/// Encodes a job; returns `None` if it needs more than `chunks_max` chunks, or its spec does not fit the header.
 pub(super) fn encode_job(
     record: &JobRecord,
     usable_bytes: usize,
     chunks_max: usize,
 ) -> Option<StoredValues> {
     let mut header = StoredHeader::without_tasks(record);
-    let header_bytes = to_raw_json(&header).get().len() + HEADER_COUNT_BYTES;
+    let header_bytes = to_raw_json(&header).get().len() + HEADER_TASK_FIELDS_BYTES;
     let mut writer = ChunkWriter {
         chunk: StoredChunk::default(),
         previous_name: String::new(),
@@ -253,14 +255,14 @@
         writer.add_done_range(*range);
     }
     for (machine, ranges) in &record.placed {
-        for some in ranges.chunks(RANGES_PER_PLACEMENT_MAX) {
-            let texts: Vec<String> = some.iter().map(|range| encode_range(*range)).collect();
+        for group in ranges.chunks(RANGES_PER_PLACEMENT_MAX) {
+            let texts: Vec<String> = group.iter().map(|range| encode_range(*range)).collect();
             writer.add_placement(machine, &texts.join(","));
         }
     }
     let mut chunks = writer.complete;
     chunks.push(writer.chunk);
-    // The first value goes into the header.
+    // The tasks of the first value go into the header.
     let first = chunks.remove(0);
     if chunks.len() > chunks_max {
         return None;
--- a/src/standby.rs
+++ b/src/standby.rs
@@ -1,5 +1,6 @@
-//! Which controllers are standbys, how long each waits before it tries to become leader, and why a replica may
-//! not be used for decisions. Pure rules over what every controller knows; it owns no state.
+//! Which controllers are standbys, how long each controller waits before it tries to become leader, and the
+//! reasons why a replica may not be used for decisions. Pure functions over what every controller knows; this
+//! module holds no state.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::replica::Checksum;
@@ -7,46 +8,47 @@
 #[cfg(test)]
 mod tests;
 
-/// Number of standbys beside the leader.
-pub const STANDBYS: usize = 2;
-/// How often a standby reads the changes since its last read. Each read is one request; the bytes
-/// transferred do not depend on how often it reads.
+/// Number of standbys in addition to the leader.
+pub const STANDBY_COUNT: usize = 2;
+/// How often a standby reads the changes since its last read. Each read is one request; how often it reads does
+/// not affect the total number of bytes transferred.
 pub const REPLICATION_INTERVAL: Micros = 4 * SECOND;
-/// Time between two pages while a replica is filled: nothing depends on it soon.
+/// Time between two reads of pages while a replica is filled. Nothing urgent depends on these reads.
 pub const PAGE_INTERVAL: Micros = 500 * MILLISECOND;
-/// Time from discarding a replica to filling it again.
+/// Delay between discarding a replica and filling a new one.
 pub const REBUILD_DELAY: Micros = 10 * SECOND;
-/// A standby that has had no message from the leader for this long reads the changes at once: there may be no
-/// leader, little changes until there is one again, and what is read now need not be read during the failover.
+/// A standby that has received no message from the leader for this long reads the changes at once. The leader
+/// may be gone; without a leader little changes, and what is read now need not be read during the failover.
 pub const LEADER_OVERDUE_AFTER: Micros = 1_500 * MILLISECOND;
-/// How long the second standby lets the first one try to become leader.
+/// How long the second standby waits so that the first one can become leader.
 const SECOND_STANDBY_DELAY: Micros = 120 * MILLISECOND;
-/// How long a controller without a warm replica lets the standbys try to become leader.
-const COLD_NODE_DELAY: Micros = 350 * MILLISECOND;
-/// A controller whose earlier incarnation was the leader when it ended waits this much longer: one that ends
-/// again and again would otherwise become leader each time, only to lose leadership, whenever no other
-/// controller is warm.
+/// How long a controller without a warm replica waits so that a warm standby can become leader.
+const COLD_CONTROLLER_DELAY: Micros = 350 * MILLISECOND;
+/// Additional wait of a controller whose earlier incarnation was the leader when it ended. Without it, a
+/// controller in a crash loop would become leader after each restart, and lose leadership again at the next crash,
+/// whenever no other controller is warm.
 pub const RESTARTED_LEADER_DELAY: Micros = 500 * MILLISECOND;
 
-/// Penalty of a candidate in the leader's zone; more than that of one beside another standby.
+/// Penalty of a candidate in the leader's zone; greater than that of a candidate in the zone of a chosen
+/// standby, which is 1.
 const LEADER_ZONE_PENALTY: usize = 2;
 
-/// The names of the standbys for a leader, in the order of their rank. Every controller computes the same ones:
-/// first those in other zones than the leader, and the second, where possible, in another zone than the first.
+/// Returns the names of the standbys for a leader, in order of rank. Every controller computes the same ones.
+/// Controllers outside the leader's zone are preferred, and a second standby outside the zone of the first.
 ///
-/// `nodes` are the names and zones of all controllers, with the leader among them; their order does not
-/// matter. Without the leader among them there are no standbys.
+/// `nodes` are the names and zones of all controllers including the leader, in any order. If the leader is not
+/// among them, there are no standbys.
 pub fn choose_standbys<'a>(leader: &str, nodes: &[(&'a str, &str)]) -> Vec<&'a str> {
     let mut candidates = nodes.to_vec();
     candidates.sort_unstable();
     let Some(position) = candidates.iter().position(|(name, _)| *name == leader) else {
         return Vec::new();
     };
-    // Counted from the leader on, so that the standbys are not the same two for every leader.
+    // The order starts at the leader, so that different leaders get different standbys.
     candidates.rotate_left(position);
     let (_, leader_zone) = candidates.remove(0);
     let mut chosen: Vec<(&'a str, &str)> = Vec::new();
-    while chosen.len() < STANDBYS {
+    while chosen.len() < STANDBY_COUNT {
         let penalty = |(_, zone): &(&'a str, &str)| {
             let in_same_zone = chosen.iter().filter(|(_, other)| other == zone).count();
             LEADER_ZONE_PENALTY * usize::from(*zone == leader_zone) + in_same_zone
@@ -62,38 +64,39 @@
     chosen.into_iter().map(|(name, _)| name).collect()
 }
 
-/// How long a controller waits before it tries to become leader, once there is none, in microseconds. The
-/// first warm standby does not wait; a controller that is cold or no standby waits for the warm ones.
+/// How long a controller waits before it tries to become leader once there is none, in microseconds. The first
+/// standby does not wait if it is warm; a controller that is cold or not a standby waits longest, to let the
+/// warm standbys go first.
 ///
-/// `rank` is the controller's place among the standbys, None where it is none; `warm` tells whether its
+/// `rank` is the controller's rank among the standbys, `None` if it is not a standby; `warm` tells whether its
 /// replica is complete and verified.
 pub fn candidacy_delay(rank: Option<usize>, warm: bool) -> Micros {
     match rank {
         Some(0) if warm => 0,
         Some(_) if warm => SECOND_STANDBY_DELAY,
-        _ => COLD_NODE_DELAY,
+        _ => COLD_CONTROLLER_DELAY,
     }
 }
 
 /// Why a replica may not be used for decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdReason {
-    /// This controller was no standby.
+    /// This controller was not a standby.
     NotReplicating,
     /// The replica was still being filled.
     Incomplete,
-    /// The leader announced no checksum that the replica's could be compared with.
+    /// The leader announced no checksum to compare the replica's checksum with.
     Unverified,
     /// The replica's checksum differed from the leader's.
     ChecksumDiffers,
-    /// The replica was too old: the state service no longer has all changes since.
+    /// The replica was too old: the state service no longer keeps all changes since its revision.
     ChangesMissing,
     /// The state service refused to list the changes.
     ChangesUnavailable,
 }
 
 impl ColdReason {
-    /// The name that operators see in logs and in the inspection.
+    /// The name that operators see in log lines and in the answers under `/inspect`.
     pub fn as_str(self) -> &'static str {
         match self {
             ColdReason::NotReplicating => "not-following",
@@ -106,7 +109,7 @@
     }
 }
 
-/// A checksum that the leader announced, of the live jobs it knows.
+/// A checksum over the live jobs that the leader announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderChecksum {
     /// The store revision up to which the leader knows all changes.
--- a/src/standby/tests.rs
+++ b/src/standby/tests.rs
@@ -1,4 +1,4 @@
-//! The choice of standbys and the order of their candidacies.
+//! Tests of the choice of standbys and of the order in which controllers try to become leader.
 
 use super::*;
 
--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -1,14 +1,17 @@
-//! Client of the replicated key-value store (the state service) that holds everything that outlives a
+//! Client of the state service: the replicated key-value store that holds everything that must outlive a
 //! controller process.
 //!
-//! Owns this node's queues of requests and its share of the service's request and write budgets. A request
-//! that was certainly not executed is repeated until its deadline; one that may have been executed is never
-//! repeated here: the caller gets [`Reply::OutcomeUnknown`] and has to read what is stored. Does no I/O: calls go out as
-//! [`Output`]s, and their outcomes come back by ticket.
+//! [`StateClient`] owns this node's queues of requests and its share of the service's rate limits for requests
+//! and writes. It retries a request that was certainly not executed until the request's deadline. It never
+//! retries one that may have been executed: the caller gets [`Reply::OutcomeUnknown`] and has to read what is
+//! stored. It does no I/O: calls are emitted as [`Output`]s, and their outcomes are passed back by ticket.
 //!
-//! Invariants at the door: every submitted request ends in exactly one reply; the budgets are charged before a
-//! call leaves; within a priority, requests that can be sent leave in the order in which they were queued; one that
-//! is repeated is queued anew.
+//! Invariants:
+//!
+//! - Every submitted request gets exactly one reply.
+//! - The budgets are charged before a call is emitted.
+//! - Within a priority, the requests that may be sent are sent in the order in which they were queued. A retried
+//!   request is queued at the end again.
 
 mod protocol;
 #[cfg(test)]
@@ -22,73 +25,74 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// A JSON value kept as text: written once, and parsed only by those who need what is in it.
+/// A JSON value kept as text: encoded once, and parsed only where its contents are needed.
 pub type RawJson = Box<RawValue>;
 
-/// The JSON text of a value. `null` if the value cannot be represented, which no type of this crate is.
+/// Encodes a value as JSON text. Returns `null` for a value that JSON cannot represent; no type of this crate has
+/// such values.
 pub fn to_raw_json(value: &impl Serialize) -> RawJson {
     serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned())
 }
 
-/// Which requests go first when the budget is short; the first variant is the most urgent.
+/// The priority of a request when the budget is short, from the most to the least urgent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestPriority {
-    /// What keeps the leader's lease alive. Sent whatever the budget says, and not dropped at its deadline
-    /// while it is still queued.
+    /// Requests that keep the leader's lease alive. They are sent regardless of the budget, and do not expire in
+    /// the queue.
     Vital,
     /// Submissions and cancellations of users.
     Client,
-    /// The leader's own reads and writes.
+    /// Other reads and writes of the leader.
     Leader,
-    /// Polls and other reads that can be requested again.
+    /// Polls and other reads that can be repeated later.
     Background,
 }
 
-/// How many [`RequestPriority`] variants there are.
-const PRIORITIES: usize = 4;
+/// Number of [`RequestPriority`] variants.
+const PRIORITY_COUNT: usize = 4;
 
 /// An operation of the state service.
 #[derive(Clone, Debug)]
 pub enum Op {
     /// Reads one key.
     Get(String),
-    /// Reads a page of the keys under a prefix, in their order.
+    /// Reads a page of the keys with a prefix, in key order.
     List {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: &'static str,
-        /// Only keys after this one; empty for the first page.
+        /// The last key of the previous page; empty for the first page.
         after: String,
-        /// The most keys in the answer.
+        /// Maximum number of keys in the page.
         limit: usize,
     },
     /// Applies changes atomically if the preconditions hold.
     Transaction(Transaction),
-    /// Waits for changes under a prefix.
+    /// Waits for changes of keys with a prefix.
     Watch {
-        /// What the keys begin with.
+        /// The prefix of the keys.
         prefix: &'static str,
-        /// The store revision after which changes are wanted.
+        /// The store revision after which changes are requested.
         from: u64,
-        /// How long the service may hold the answer back while nothing changes.
+        /// How long the service may delay its response while nothing changes.
         block: Micros,
     },
-    /// Asks for a lease.
+    /// Requests a lease.
     GrantLease {
-        /// How long it lives without a renewal.
+        /// TTL of the lease.
         ttl: Micros,
     },
-    /// Renews the lease of that id.
+    /// Renews the lease with this id.
     RenewLease(u64),
-    /// Ends the lease of that id, and removes the keys attached to it.
+    /// Revokes the lease with this id; the keys attached to it are deleted.
     RevokeLease(u64),
 }
 
-/// A compare-and-swap transaction under construction: all changes are applied together, or none.
+/// A compare-and-swap transaction: its changes are applied together, or not at all.
 #[derive(Clone, Debug, Default)]
 pub struct Transaction {
-    /// Keys and the revision that each must have (0: the key must be absent).
+    /// Keys with the revision that each must have (0: the key must be absent).
     pub preconditions: Vec<(String, u64)>,
-    /// What is written and deleted.
+    /// The writes and deletions.
     pub changes: Vec<Change>,
 }
 
@@ -103,7 +107,7 @@
         key: String,
         /// Its new value.
         value: RawJson,
-        /// The lease that the key is attached to: it is deleted when the lease ends.
+        /// The lease that the key is attached to: the key is deleted when the lease expires or is revoked.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease_id: Option<u64>,
     },
@@ -116,13 +120,13 @@
 }
 
 impl Transaction {
-    /// Adds a precondition: the key `key` must have this revision (0: must be absent).
+    /// Adds a precondition: `key` must have this revision (0: it must be absent).
     pub fn require_revision(mut self, key: impl Into<String>, mod_revision: u64) -> Self {
         self.preconditions.push((key.into(), mod_revision));
         self
     }
 
-    /// Adds a write of `value` to the key `key`.
+    /// Adds a write of `value` to `key`.
     pub fn set(self, key: impl Into<String>, value: &impl Serialize) -> Self {
         self.set_raw(key, to_raw_json(value))
     }
@@ -132,7 +136,7 @@
         self.push_set(key.into(), value, None)
     }
 
-    /// Adds a write of a key that lives as long as the lease.
+    /// Adds a write of a key that is attached to a lease.
     pub fn set_with_lease(
         self,
         key: impl Into<String>,
@@ -142,7 +146,7 @@
         self.push_set(key.into(), to_raw_json(value), Some(lease_id))
     }
 
-    /// Adds the deletion of the key `key`.
+    /// Adds the deletion of `key`.
     pub fn delete(mut self, key: impl Into<String>) -> Self {
         self.changes.push(Change::Delete { key: key.into() });
         self
@@ -176,24 +180,24 @@
 pub struct WatchEvent {
     /// The key.
     pub key: String,
-    /// Its new value; `None`: the key was deleted.
+    /// Its new value; `None` if the key was deleted.
     pub value: Option<RawJson>,
     /// The store revision of the change.
     pub mod_revision: u64,
 }
 
-/// How a request ended.
+/// The result of a request.
 #[derive(Clone, Debug)]
 pub enum Reply {
     /// The key that was read.
     KeyValue(KeyValue),
-    /// There is no such key, or no such lease.
+    /// The key or lease does not exist.
     NotFound,
     /// A page of keys.
     KeyPage {
-        /// The keys, in their order.
+        /// The keys with their values, in key order.
         items: Vec<KeyValue>,
-        /// There are more keys after the last one.
+        /// Whether there are more keys after the last one.
         truncated: bool,
         /// The store revision that the page was read at.
         revision: u64,
@@ -208,46 +212,48 @@
         /// The keys whose preconditions did not hold.
         failed: Vec<String>,
     },
-    /// Changes seen by a watch; none if it timed out.
+    /// The changes that a watch reports; empty if it timed out.
     Events {
-        /// The changes, in the order of their revisions.
+        /// The changes, ordered by revision.
         events: Vec<WatchEvent>,
-        /// The store revision up to which the changes are complete.
+        /// The store revision up to which all changes have been reported.
         revision: u64,
     },
-    /// The watch asked for changes older than those the service keeps: read the keys again.
+    /// The service no longer keeps all changes that the watch requested; the keys have to be read again.
     Compacted,
     /// A lease was granted.
     LeaseGranted {
-        /// Its id.
+        /// The id of the lease.
         lease_id: u64,
     },
     /// A lease was renewed or revoked.
     LeaseUpdated,
     /// The request was certainly not executed.
     Unavailable,
-    /// The request may have been executed, or may still be at any later time.
+    /// The request may have been executed, or may still be executed at any later time.
     OutcomeUnknown,
-    /// The service refused the request as malformed, or for an expired lease; with the beginning of its text.
+    /// The service refused the request, for example as malformed or because of an expired lease. Contains the
+    /// beginning of its error text.
     Refused(String),
 }
 
 /// A request that is queued or in flight.
 struct PendingRequest<P> {
+    /// The caller's note of what the request is for.
     purpose: P,
     priority: RequestPriority,
     op: Op,
     queued_at: Micros,
-    /// After it the request is neither sent nor repeated.
+    /// After this time the request is neither sent nor retried.
     deadline: Micros,
-    /// When it may be sent (again).
+    /// The request is not sent before this time.
     not_before: Micros,
-    /// When it was last sent.
+    /// When the request was last sent.
     sent_at: Micros,
 }
 
 impl<P> PendingRequest<P> {
-    /// How many keys it writes or deletes: what it takes from the write budget.
+    /// How many keys the request writes or deletes: its cost in the write budget.
     fn change_count(&self) -> usize {
         match &self.op {
             Op::Transaction(transaction) => transaction.changes.len(),
@@ -255,7 +261,7 @@
         }
     }
 
-    /// Whether it is a write of the leader that has waited so long that it goes before clients' writes.
+    /// Whether this is a write of the leader that has waited so long that it may overtake clients' writes.
     fn is_starved_leader_write(&self, now: Micros) -> bool {
         let waiting_since = self.queued_at.max(self.not_before);
         self.priority == RequestPriority::Leader
@@ -264,10 +270,12 @@
     }
 }
 
-/// A budget that refills at a steady rate and holds at most what one second brings.
+/// A rate limiter that refills at a constant rate and holds at most the tokens of one second. The number of tokens may be
+/// negative, since some requests are sent on credit.
 struct TokenBucket {
-    level: f64,
-    /// Tokens per second, and the most that it holds.
+    /// Tokens available at `refilled_at`; negative while the bucket is in debt.
+    tokens: f64,
+    /// Tokens per second, and the maximum number of tokens.
     rate: f64,
     refilled_at: Micros,
 }
@@ -275,104 +283,110 @@
 impl TokenBucket {
     fn new(rate: f64) -> Self {
         Self {
-            level: rate,
+            tokens: rate,
             rate,
             refilled_at: 0,
         }
     }
 
-    fn level_at(&self, now: Micros) -> f64 {
+    fn tokens_at(&self, now: Micros) -> f64 {
         let gained = to_secs(now.saturating_sub(self.refilled_at)) * self.rate;
-        (self.level + gained).min(self.rate)
+        (self.tokens + gained).min(self.rate)
     }
 
     fn refill(&mut self, now: Micros) {
-        self.level = self.level_at(now);
+        self.tokens = self.tokens_at(now);
         self.refilled_at = now;
     }
 }
 
-/// The client. `P` is the caller's own note of what a request is for; it comes back with the reply.
+/// The client of the state service. `P` is the caller's note of what a request is for; it is returned with the
+/// reply.
 pub struct StateClient<P> {
     addr: SocketAddr,
     request_budget: TokenBucket,
     write_budget: TokenBucket,
-    /// Requests a second that all nodes together may send.
+    /// Requests per second that all nodes together may send.
     cluster_request_rate: f64,
-    /// Changes a second that all nodes together may write.
+    /// Changes per second that all nodes together may write.
     cluster_write_rate: f64,
     node_count: f64,
-    /// By priority; within one, in the order of submission.
-    queues: [VecDeque<PendingRequest<P>>; PRIORITIES],
+    /// One queue per priority, in the order of submission.
+    queues: [VecDeque<PendingRequest<P>>; PRIORITY_COUNT],
     in_flight: HashMap<Ticket, PendingRequest<P>>,
-    /// Since when requests fail; `None` once one has been answered.
+    /// Since when requests have been failing; `None` once one has been answered.
     failing_since: Option<Micros>,
-    /// When a probe was last due, see [`StateClient::should_probe`].
+    /// When a probe was last requested, see [`StateClient::should_probe`].
     probed_at: Micros,
     is_leader: bool,
-    /// When a starved write of the leader may next go before clients' writes.
-    leader_turn_at: Micros,
-    /// The limits that the service has enforced since they were last taken.
+    /// When a starved write of the leader may next overtake clients' writes.
+    next_starved_write_at: Micros,
+    /// The limits that the service has enforced since [`StateClient::take_refused_limits`] was last called.
     refused_limits: RefusedLimits,
 }
 
-/// The limits of the state service that a refusal has revealed: they may be lower than those kept to.
+/// Which limits of the state service have caused refusals: they may be lower than the limits that this client
+/// uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RefusedLimits {
-    /// A transaction was refused: too large a value, or too many changes.
+    /// A transaction was refused for too large a value or too many changes.
     pub size: bool,
-    /// A transaction was refused because of the rate of changes.
+    /// A transaction was refused for exceeding the rate of changes.
     pub rate: bool,
 }
 
-/// How often a failing state service is probed.
+/// Minimum time between two probes of a failing state service.
 const PROBE_INTERVAL: Micros = 500 * MILLISECOND;
 
-/// A leader's write that has waited this long goes before clients' writes at this node, and as soon as the
-/// write budget is not in debt: if the whole transaction had to be saved up first, its deadline would pass.
+/// A leader's write that has waited this long is starved: it may overtake this node's client writes, and is sent
+/// as soon as the write budget is out of debt. If it had to wait for the budget of the whole transaction, its
+/// deadline would pass.
 const LEADER_WRITE_STARVED_AFTER: Micros = 400 * MILLISECOND;
-/// After a starved write of the leader, clients have the node's write budget to themselves for this long: in a
-/// burst of submissions the leader's writes do not cease either.
-const LEADER_TURN_INTERVAL: Micros = 2 * SECOND;
+/// Minimum time between two starved writes of the leader that overtake clients' writes. In a burst of submissions
+/// the leader's writes therefore continue, and clients still get the write budget most of the time.
+const STARVED_WRITE_INTERVAL: Micros = 2 * SECOND;
 
-/// The leader's share of the cluster's requests. Polls and submissions arrive at all nodes alike, so the
-/// others share the rest.
+/// The leader's share of the cluster's request rate. The other nodes share the rest equally, since polls and
+/// submissions arrive evenly at all nodes.
 const LEADER_REQUEST_SHARE: f64 = 0.5;
-/// The leader's share of the cluster's changes: it writes on behalf of all nodes.
+/// The leader's share of the cluster's write rate: it writes on behalf of all nodes.
 const LEADER_WRITE_SHARE: f64 = 0.8;
 
-/// How often the queues are looked at while a budget is short.
+/// How often the queues are checked while a budget is short.
 const BUDGET_POLL_INTERVAL: Micros = 10 * MILLISECOND;
-/// A background read is started only while this many requests are left, for submissions that may come.
+/// A background read is started only while the budget allows this many requests, which leaves some for submissions.
 const BACKGROUND_RESERVE_REQUESTS: f64 = 2.0;
-/// How long after a refusal for the rate a request is repeated.
+/// Delay before a request is retried after the service refused it for its rate.
 const RATE_LIMIT_RETRY_DELAY: Micros = 40 * MILLISECOND;
-/// How long after a failure a request that was not executed is repeated.
+/// Delay before a request that failed without being executed is retried.
 const RETRY_DELAY: Micros = 200 * MILLISECOND;
-/// A request is repeated only if its deadline is further away than this.
+/// A request is retried only if its deadline is further away than this.
 const RETRY_TIME_LEFT_MIN: Micros = 250 * MILLISECOND;
 
-/// What holds for one walk over the queues.
+/// State of one pass over the queues.
 struct SendPass {
     now: Micros,
-    /// A starved write of the leader waits, and it is the leader's turn: clients' writes yield.
-    leader_starved: bool,
-    /// A starved write of the leader may still be sent in this walk.
-    leader_turn: bool,
-    /// A write is waiting for budget: later ones, also smaller ones, must not overtake it without end.
+    /// A starved write of the leader is queued and may overtake: clients' writes are held back.
+    leader_write_starved: bool,
+    /// A starved write of the leader may still be sent in this pass.
+    may_send_starved_write: bool,
+    /// A write is waiting for budget. Later writes are held back, even smaller ones, which could otherwise overtake
+    /// it forever.
     writes_blocked: bool,
 }
 
-/// What a walk over the queues does with a request.
+/// The decision about one queued request.
 enum SendDecision {
     Send,
+    /// It stays in the queue.
     Keep,
+    /// Its deadline has passed.
     Expire,
 }
 
 impl<P> StateClient<P> {
-    /// A client of the service at `addr` for one of `nodes` controllers, which together may send
-    /// `request_rate` requests and write `write_rate` changes a second.
+    /// Creates the client of one of `nodes` controllers for the service at `addr`. All controllers together may
+    /// send `request_rate` requests and write `write_rate` changes per second.
     pub fn new(addr: SocketAddr, request_rate: f64, write_rate: f64, nodes: usize) -> Self {
         let mut client = Self {
             addr,
@@ -386,14 +400,15 @@
             failing_since: None,
             probed_at: 0,
             is_leader: false,
-            leader_turn_at: 0,
+            next_starved_write_at: 0,
             refused_limits: RefusedLimits::default(),
         };
         client.set_is_leader(false);
         client
     }
 
-    /// Sets this node's share of the budgets: larger for the leader, see `LEADER_WRITE_SHARE`.
+    /// Sets this node's share of the cluster's rates, which depends on whether it is the leader; see
+    /// `LEADER_REQUEST_SHARE` and `LEADER_WRITE_SHARE`.
     pub fn set_is_leader(&mut self, is_leader: bool) {
         self.is_leader = is_leader;
         let node_count = self.node_count;
@@ -410,34 +425,34 @@
         self.write_budget.rate = self.cluster_write_rate * share(LEADER_WRITE_SHARE);
     }
 
-    /// Keeps to other rates of the whole cluster from now on.
+    /// Changes the rates of the whole cluster.
     pub fn set_rates(&mut self, request_rate: f64, write_rate: f64) {
         self.cluster_request_rate = request_rate;
         self.cluster_write_rate = write_rate;
         self.set_is_leader(self.is_leader);
     }
 
-    /// The limits that were refused since this was last called.
+    /// Returns which limits have caused refusals since the last call.
     pub fn take_refused_limits(&mut self) -> RefusedLimits {
         std::mem::take(&mut self.refused_limits)
     }
 
-    /// Queues a request. It leaves with [`StateClient::send_queued`]; `patience` bounds how long it is
-    /// queued, and repeated while it was certainly not executed.
+    /// Queues a request, which [`StateClient::send_queued`] sends. `timeout` limits how long it stays queued, and
+    /// how long it is retried as long as it was certainly not executed.
     pub fn submit(
         &mut self,
         now: Micros,
         purpose: P,
         priority: RequestPriority,
         op: Op,
-        patience: Micros,
+        timeout: Micros,
     ) {
         self.queues[priority as usize].push_back(PendingRequest {
             purpose,
             priority,
             op,
             queued_at: now,
-            deadline: now + patience,
+            deadline: now + timeout,
             not_before: now,
             sent_at: 0,
         });
@@ -447,7 +462,7 @@
     pub fn wake_at(&self) -> Option<Micros> {
         let queued = self.queues.iter().flatten();
         let earliest = queued.map(|request| request.not_before).min()?;
-        let is_budget_short = self.request_budget.level < 1.0 || self.write_budget.level < 1.0;
+        let is_budget_short = self.request_budget.tokens < 1.0 || self.write_budget.tokens < 1.0;
         Some(if is_budget_short {
             earliest.max(self.request_budget.refilled_at + BUDGET_POLL_INTERVAL)
         } else {
@@ -455,21 +470,20 @@
         })
     }
 
-    /// Whether the state service has not answered since it last failed. Users' requests are then
-    /// better answered by another node: while a service does not answer this one, each of them would hang
-    /// until its timeout.
+    /// Whether the state service has not answered since a request failed. Another node should then handle users'
+    /// requests; at this node each would wait until its timeout.
     pub fn is_failing(&self) -> bool {
         self.failing_since.is_some()
     }
 
-    /// For how long the service has been failing; 0 if it is not.
+    /// How long the service has been failing; 0 if it is not failing.
     pub fn failing_for(&self, now: Micros) -> Micros {
         self.failing_since
             .map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Whether a request should be sent now only to find out whether the service has recovered. True at most
-    /// once per `PROBE_INTERVAL`.
+    /// Whether to send a request now only to find out whether the service has recovered. Returns true at most once
+    /// per `PROBE_INTERVAL`.
     pub fn should_probe(&mut self, now: Micros) -> bool {
         let due = self.is_failing() && now >= self.probed_at + PROBE_INTERVAL;
         if due {
@@ -478,29 +492,29 @@
         due
     }
 
-    /// Whether a background read would be sent at once, with some budget left for submissions.
+    /// Whether a background read would be sent at once and leave some budget for submissions.
     pub fn has_background_budget(&self, now: Micros) -> bool {
         self.queued(RequestPriority::Background) == 0
-            && self.request_budget.level_at(now) >= BACKGROUND_RESERVE_REQUESTS
+            && self.request_budget.tokens_at(now) >= BACKGROUND_RESERVE_REQUESTS
     }
 
-    /// How many requests of this priority wait to be sent.
+    /// Number of queued requests of this priority.
     pub fn queued(&self, priority: RequestPriority) -> usize {
         self.queues[priority as usize].len()
     }
 
-    /// How many changes can be written at once before further ones have to wait.
+    /// How many changes can be written now without waiting for the budget to refill; negative while it is in debt.
     pub fn available_changes(&self) -> f64 {
-        self.write_budget.level
+        self.write_budget.tokens
     }
 
-    /// The changes a second that this node may write.
+    /// Changes per second that this node may write.
     pub fn write_rate(&self) -> f64 {
         self.write_budget.rate
     }
 
-    /// Sends what the budgets allow, the most urgent first. Returns the requests whose deadline passed before
-    /// they could be sent.
+    /// Sends the requests that the budgets allow, the most urgent first. Returns the requests whose deadline passed
+    /// before they could be sent.
     pub fn send_queued(
         &mut self,
         now: Micros,
@@ -509,19 +523,20 @@
     ) -> Vec<(P, Reply)> {
         self.request_budget.refill(now);
         self.write_budget.refill(now);
-        // Clients go first and on credit. While more of their writes arrive than the budget allows, the
-        // leader's (placements, for one: no task starts before its placement is stored) would never be sent.
-        let leader_turn = now >= self.leader_turn_at;
+        // Clients' writes have priority and are sent on credit. While more of them arrive than the budget allows,
+        // the leader's writes would never be sent, and no task would start, since its placement must be stored
+        // first.
+        let may_send_starved_write = now >= self.next_starved_write_at;
         let mut leader_queue = self.queues[RequestPriority::Leader as usize].iter();
         let mut pass = SendPass {
             now,
-            leader_starved: leader_turn
+            leader_write_starved: may_send_starved_write
                 && leader_queue.any(|request| request.is_starved_leader_write(now)),
-            leader_turn,
+            may_send_starved_write,
             writes_blocked: false,
         };
         let mut expired = Vec::new();
-        for index in 0..PRIORITIES {
+        for index in 0..PRIORITY_COUNT {
             for request in std::mem::take(&mut self.queues[index]) {
                 match self.decide(&request, &mut pass) {
                     SendDecision::Send => self.send(now, request, last_ticket, outputs),
@@ -533,33 +548,38 @@
         expired
     }
 
+    /// Decides whether a queued request is sent in this pass.
     fn decide(&mut self, request: &PendingRequest<P>, pass: &mut SendPass) -> SendDecision {
         let is_vital = request.priority == RequestPriority::Vital;
         let is_write = request.change_count() > 0;
-        let takes_leader_turn = pass.leader_turn && request.is_starved_leader_write(pass.now);
-        let yields = pass.leader_starved && request.priority == RequestPriority::Client && is_write;
+        let overtakes_clients =
+            pass.may_send_starved_write && request.is_starved_leader_write(pass.now);
+        let yields_to_leader =
+            pass.leader_write_starved && request.priority == RequestPriority::Client && is_write;
         if !is_vital && request.deadline < pass.now {
             return SendDecision::Expire;
         }
         if request.not_before > pass.now {
             return SendDecision::Keep;
         }
-        let can_write =
-            || !is_write || (!pass.writes_blocked && self.can_write(request, takes_leader_turn));
-        if !is_vital && (yields || !self.can_request(request) || !can_write()) {
-            pass.writes_blocked |= is_write && !yields;
+        let can_write = || {
+            !is_write
+                || (!pass.writes_blocked && self.write_budget_allows(request, overtakes_clients))
+        };
+        if !is_vital && (yields_to_leader || !self.request_budget_allows(request) || !can_write()) {
+            pass.writes_blocked |= is_write && !yields_to_leader;
             return SendDecision::Keep;
         }
-        if takes_leader_turn {
-            pass.leader_turn = false;
-            self.leader_turn_at = pass.now + LEADER_TURN_INTERVAL;
+        if overtakes_clients {
+            pass.may_send_starved_write = false;
+            self.next_starved_write_at = pass.now + STARVED_WRITE_INTERVAL;
         }
         SendDecision::Send
     }
 
-    /// What a request may overdraw the budgets by, as a share of one second of one node's even part. A client
-    /// that waits may overdraw: the shares of the other nodes are seldom used up at the same moment, and
-    /// the debt is paid back before anything else is sent.
+    /// How far a request may overdraw the budgets, as a fraction of what an equal share of the cluster's rate
+    /// brings in one second. Requests of clients may overdraw: the other nodes seldom use up their shares at the
+    /// same moment, and the debt is repaid before anything else is sent.
     fn credit(request: &PendingRequest<P>) -> f64 {
         if request.priority == RequestPriority::Client {
             1.0
@@ -568,20 +588,22 @@
         }
     }
 
-    fn can_request(&self, request: &PendingRequest<P>) -> bool {
+    /// Whether the request budget allows this request now.
+    fn request_budget_allows(&self, request: &PendingRequest<P>) -> bool {
         let credit = Self::credit(request) * self.cluster_request_rate / self.node_count;
-        self.request_budget.level >= 1.0 - credit
+        self.request_budget.tokens >= 1.0 - credit
     }
 
-    fn can_write(&self, request: &PendingRequest<P>, takes_leader_turn: bool) -> bool {
+    /// Whether the write budget allows this write now.
+    fn write_budget_allows(&self, request: &PendingRequest<P>, overtakes_clients: bool) -> bool {
         let changes = request.change_count() as f64;
-        let needed = if takes_leader_turn {
+        let needed = if overtakes_clients {
             changes.min(1.0)
         } else {
             let credit = Self::credit(request) * self.cluster_write_rate / self.node_count;
             changes.min(self.write_budget.rate) - credit
         };
-        self.write_budget.level >= needed
+        self.write_budget.tokens >= needed
     }
 
     /// Charges the budgets for a request and emits its call.
@@ -592,15 +614,15 @@
         last_ticket: &mut Ticket,
         outputs: &mut Vec<Output>,
     ) {
-        self.request_budget.level -= 1.0;
-        self.write_budget.level -= request.change_count() as f64;
+        self.request_budget.tokens -= 1.0;
+        self.write_budget.tokens -= request.change_count() as f64;
         let ticket = protocol::encode(&request.op).send(self.addr, last_ticket, outputs);
         request.sent_at = now;
         self.in_flight.insert(ticket, request);
     }
 
-    /// Takes the outcome of a call. Returns the purpose of its request, the reply, and when the request was
-    /// sent; `None` if it will be repeated, or if the call is not one of this client's.
+    /// Handles the outcome of a call. Returns the purpose of its request, the reply, and when the request was sent;
+    /// `None` if the request will be retried, or if the call is not one of this client's.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -611,7 +633,7 @@
         let reply = match outcome {
             Outcome::Reply { status: 429, .. } => {
                 self.refused_limits.rate |= request.change_count() > 0;
-                self.request_budget.level = self.request_budget.level.min(0.0);
+                self.request_budget.tokens = self.request_budget.tokens.min(0.0);
                 request.not_before = now + RATE_LIMIT_RETRY_DELAY;
                 self.queues[request.priority as usize].push_back(request);
                 return None;
@@ -636,7 +658,7 @@
         Some((request.purpose, reply, request.sent_at))
     }
 
-    /// Whether the call of that ticket is one of this client's.
+    /// Whether the call with this ticket is one of this client's.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.in_flight.contains_key(&ticket)
     }
--- a/src/state_client/protocol.rs
+++ b/src/state_client/protocol.rs
@@ -1,7 +1,7 @@
-//! The state service's HTTP protocol: how an operation becomes a call, and an answer a reply.
+//! HTTP protocol of the state service: encodes operations as calls and decodes responses as replies.
 //!
-//! Pure functions over bytes. The names on the wire are those of the service's protocol and stand only here,
-//! in `serde(rename)` and in the paths; the rest of the program uses the terms of the field.
+//! Pure functions over bytes. The protocol's own names (`stamp` for a revision, `epoch` for the store revision,
+//! `permit` for a lease id) occur only here and in `serde(rename)` attributes.
 
 use super::{Change, KeyValue, Op, RawJson, Reply, Transaction, WatchEvent, to_raw_json};
 use crate::clock::{MILLISECOND, Micros, SECOND};
@@ -9,19 +9,18 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
 
-/// How long an ordinary answer is waited for.
+/// Timeout of an ordinary call.
 const CALL_TIMEOUT: Micros = 2 * SECOND;
-/// How long the answer to a renewal is waited for: shorter, so that a lost one can be followed by another
-/// before the lease expires.
+/// Timeout of a lease renewal: short, so that another renewal can follow a lost one before the lease expires.
 const RENEWAL_TIMEOUT: Micros = SECOND;
-/// How long the answer to a watch is waited for beyond the time that the service may block it.
+/// Timeout of a watch in addition to the time for which the service may delay its response.
 const WATCH_TIMEOUT_MARGIN: Micros = 3 * SECOND;
-/// A refusal's text is kept up to this length.
+/// Maximum length of the error text that is kept from a refusal.
 const REFUSAL_BYTES_MAX: usize = 200;
-/// Part of the service's refusal of a write that is attached to an expired lease.
+/// Part of the service's error text when it refuses to attach a key to an expired lease.
 pub(super) const LEASE_EXPIRED_REASON: &str = "no such lease";
 
-/// The call that carries out an operation.
+/// Encodes an operation as an HTTP call.
 pub(super) fn encode(op: &Op) -> HttpCall {
     let get = |path| HttpCall::without_body("GET", path, CALL_TIMEOUT);
     match op {
@@ -94,7 +93,7 @@
     serde_json::to_vec(&body).unwrap_or_default()
 }
 
-/// The reply that an HTTP answer to `op` stands for.
+/// Decodes the HTTP response to `op`.
 pub(super) fn decode(op: &Op, status: u16, body: &[u8]) -> Reply {
     let reply = match (op, status) {
         (_, 503) => Some(Reply::Unavailable),
@@ -140,7 +139,7 @@
 fn decode_applied(body: &[u8]) -> Reply {
     match parse_value(body)["epoch"].as_u64() {
         Some(revision) => Reply::Applied { revision },
-        // Applied, but the revision is not known: the caller must read what is stored.
+        // The transaction was applied, but its revision is unknown: the caller must read what is stored.
         None => Reply::OutcomeUnknown,
     }
 }
--- a/src/state_client/tests.rs
+++ b/src/state_client/tests.rs
@@ -1,8 +1,10 @@
+//! Tests of the order in which the state client sends requests under a limited budget.
+
 use super::*;
 use crate::messages::Outcome;
 
-/// Clients submit without pause at a node that is the leader: the leader's own writes get their turn, and
-/// the clients' keep theirs.
+/// Guards against starvation of the leader's own writes while clients submit continuously at the leader's node.
+/// Clients' writes have the higher priority; both kinds must get through.
 #[test]
 fn endless_client_writes_do_not_starve_the_leader() {
     let addr = "10.2.0.1:2379".parse().expect("an address");
@@ -44,12 +46,15 @@
             sent.push(purpose);
         }
     }
-    // Ten seconds at 20 changes a second.
+    // Ten seconds at 20 changes per second, plus the initial budget and the credit.
     assert!(
         (5..=15).contains(&by_leader),
-        "{by_leader} writes of the leader"
+        "{by_leader} leader writes sent"
     );
     let by_clients = sent.len() - by_leader;
-    assert!(by_clients >= 25, "{by_clients} of clients");
-    assert!(by_clients * 2 + by_leader * 12 <= 245, "the budget holds");
+    assert!(by_clients >= 25, "{by_clients} client writes sent");
+    assert!(
+        by_clients * 2 + by_leader * 12 <= 245,
+        "writes exceed the budget"
+    );
 }
