--- a/src/state_client.rs
+++ b/src/state_client.rs
@@ -270,8 +270,8 @@
     }
 }
 
-/// A rate limiter that refills at a constant rate and holds at most the tokens of one second. The number of tokens may be
-/// negative, since some requests are sent on credit.
+/// A rate limiter that refills at a constant rate and holds at most the tokens of one second. The number of tokens
+/// may be negative, since some requests are sent on credit.
 struct TokenBucket {
     /// Tokens available at `refilled_at`; negative while the bucket is in debt.
     tokens: f64,
