--- a/src/registry.rs
+++ b/src/registry.rs
@@ -1,5 +1,5 @@
-//! Machine registry: the stored list of all machines that may hold a task. A new leader must hear from each of
-//! them, or wait for its lease to expire, before it knows all tasks that run.
+//! Machine registry: the stored list of all machines that may hold a task. A new leader must hear from each
+//! machine, or wait for the machine's lease to expire, before it knows all tasks that run.
 //!
 //! The registry is divided into pages, each stored as one value, so that a thousand machines take only a few
 //! writes. [`MachineRegistry`] owns the assignment of machines to pages and, for each page, what is stored, what
@@ -47,7 +47,7 @@
 /// Delay before new machines and silence marks are written, so that one write covers several changes.
 const WRITE_BATCH_DELAY: Micros = 200 * MILLISECOND;
 /// Delay, per machine of the fleet, before changes of cached images are written. They only help the placements of
-/// a new leader, so their writes are the rarer the more machines there are.
+/// a new leader, so they are written less often the more machines there are.
 const IMAGE_WRITE_DELAY_PER_MACHINE: Micros = 25 * MILLISECOND;
 /// With more pages than this, the delay before writes of images grows in proportion to the number of pages.
 const IMAGE_WRITE_DELAY_BASE_PAGES: Micros = 10;
