--- a/src/accounting.rs
+++ b/src/accounting.rs
@@ -1,67 +1,68 @@
-//! Workload accounting: what became of the jobs and task attempts of each class and each team
-//! since this leader was elected.
+//! Workload accounting: counts the events of jobs and task attempts by class and by team since this
+//! leader was elected.
 //!
-//! Owns counters alone, at constant cost for each event and bounded memory. Operators read them in
-//! `/inspect` and in the log; no decision rests on them, and nothing of them is stored.
+//! Each event has a constant cost, and memory is bounded. Operators see the counters in the answers
+//! of `/inspect` and in the log. No decision depends on them, and they are not stored.
 
 use crate::wire::JobSpec;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Classes and teams are named by users; past that many names the rest is counted together.
+/// The maximum number of classes, and of teams, that are counted separately. Users choose these
+/// names, so their number is not bounded otherwise.
 const NAMES_MAX: usize = 200;
+/// The name under which events of all further classes or teams are counted.
 const OTHER_NAMES: &str = "(others)";
 
 /// Why a task was commanded to stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StopReason {
-    /// Preempted by work of higher priority.
+    /// It was preempted for a job of a higher tier.
     Preempted,
-    /// The provider is about to reclaim its machine.
+    /// The cloud provider is about to reclaim its spot machine.
     SpotNotice,
     /// Its job was cancelled.
     Cancelled,
-    /// The task is done already, or its job is over.
+    /// The task is already done, or its job has finished.
     Redundant,
 }
 
-/// What became of a job or of an attempt of a task.
+/// An event in the life of a job or of a task attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkloadEvent {
-    /// A job was accepted, or found in the store at the failover.
+    /// A job was accepted, or a new leader loaded it from the state service.
     Accepted {
-        /// Its tasks that are still to be done.
+        /// The number of its tasks that are not done.
         tasks: u64,
     },
-    /// An attempt runs.
+    /// An attempt started to run.
     Started,
-    /// An attempt did its task.
+    /// An attempt succeeded.
     Done,
-    /// An attempt was stopped; without a reason, by an earlier leader's command.
+    /// An attempt was stopped for this reason; `None` if an earlier leader commanded the stop.
     Stopped(Option<StopReason>),
     /// An attempt ended with an error.
     Failed,
-    /// The machine of an attempt is gone, or came back without it.
+    /// The machine of an attempt is gone, or reports again without the attempt.
     MachineLost,
-    /// The lease of the attempt's worker ran out.
+    /// The lease of the attempt's worker expired.
     LeaseExpired,
 }
 
-/// How many jobs and task attempts of one class or team came to each outcome. The names of the
-/// fields are those of the `/inspect` output.
+/// The counters of one class or team. The names of the fields appear in the `/inspect` output.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct WorkloadCounts {
     /// Jobs accepted.
     pub jobs: u64,
-    /// Tasks to be done of those jobs.
+    /// Tasks of those jobs that were not done when the jobs were counted.
     pub tasks: u64,
-    /// Attempts that ran.
+    /// Attempts that started to run.
     pub started: u64,
-    /// Attempts that did their task.
+    /// Attempts that succeeded.
     pub done: u64,
-    /// Attempts preempted by work of higher priority.
+    /// Attempts that were preempted.
     pub preempted: u64,
-    /// Attempts stopped because the provider reclaims the machine.
+    /// Attempts stopped because the cloud provider is about to reclaim the machine.
     pub spot_notice: u64,
     /// Attempts stopped because their job was cancelled.
     pub cancelled: u64,
@@ -69,13 +70,13 @@
     pub failed: u64,
     /// Attempts lost with their machine.
     pub machine_lost: u64,
-    /// Attempts killed by the end of their worker's lease.
+    /// Attempts killed because their worker's lease expired.
     pub lease_expired: u64,
 }
 
 impl WorkloadCounts {
-    fn record(&mut self, outcome: WorkloadEvent) {
-        let count = match outcome {
+    fn record(&mut self, event: WorkloadEvent) {
+        let count = match event {
             WorkloadEvent::Accepted { tasks } => {
                 self.jobs += 1;
                 self.tasks += tasks;
@@ -86,7 +87,8 @@
             WorkloadEvent::Stopped(Some(StopReason::Preempted)) => &mut self.preempted,
             WorkloadEvent::Stopped(Some(StopReason::SpotNotice)) => &mut self.spot_notice,
             WorkloadEvent::Stopped(Some(StopReason::Cancelled)) => &mut self.cancelled,
-            // No work was lost by it, or an earlier leader commanded the stop and has counted it.
+            // A redundant stop loses no work. A stop without a reason was commanded by an earlier
+            // leader, which has counted it.
             WorkloadEvent::Stopped(Some(StopReason::Redundant) | None) => return,
             WorkloadEvent::Failed => &mut self.failed,
             WorkloadEvent::MachineLost => &mut self.machine_lost,
@@ -99,15 +101,15 @@
 /// The counts of each class and of each team.
 #[derive(Debug, Default, Serialize)]
 pub struct WorkloadAccounting {
-    /// By the class that the job's user gave.
+    /// The counters by the class that the user gave for the job.
     pub classes: BTreeMap<String, WorkloadCounts>,
-    /// By the team that the job is charged to.
+    /// The counters by the team whose quota the job is charged to.
     pub teams: BTreeMap<String, WorkloadCounts>,
 }
 
 impl WorkloadAccounting {
-    /// Counts an outcome for the class and for the team of its job.
-    pub fn record(&mut self, spec: &JobSpec, outcome: WorkloadEvent) {
+    /// Counts an event for the class and for the team of its job.
+    pub fn record(&mut self, spec: &JobSpec, event: WorkloadEvent) {
         for (counts, name) in [
             (&mut self.classes, &*spec.class),
             (&mut self.teams, &*spec.team),
@@ -118,13 +120,13 @@
                 OTHER_NAMES
             };
             match counts.get_mut(name) {
-                Some(known) => known.record(outcome),
-                None => counts.entry(name.to_owned()).or_default().record(outcome),
+                Some(known) => known.record(event),
+                None => counts.entry(name.to_owned()).or_default().record(event),
             }
         }
     }
 
-    /// One line on all classes, for the log.
+    /// The counters of all classes as one line for the log.
     pub fn summary(&self) -> String {
         let summarize = |(name, counts): (&String, &WorkloadCounts)| {
             let WorkloadCounts {
--- a/src/accounting/tests.rs
+++ b/src/accounting/tests.rs
@@ -15,7 +15,7 @@
     let mut accounting = WorkloadAccounting::default();
     let (quick_spec, slow_spec) = (spec("quick", "ours"), spec("slow", "ours"));
     accounting.record(&quick_spec, WorkloadEvent::Accepted { tasks: 4 });
-    for outcome in [
+    for event in [
         WorkloadEvent::Started,
         WorkloadEvent::Started,
         WorkloadEvent::Done,
@@ -23,7 +23,7 @@
         WorkloadEvent::Stopped(Some(StopReason::Redundant)),
         WorkloadEvent::Stopped(None),
     ] {
-        accounting.record(&quick_spec, outcome);
+        accounting.record(&quick_spec, event);
     }
     accounting.record(&slow_spec, WorkloadEvent::Accepted { tasks: 2 });
     accounting.record(&slow_spec, WorkloadEvent::LeaseExpired);
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -1,10 +1,10 @@
-//! Free capacity of the machines and usage of the teams.
+//! The free capacity of the machines and the resource usage of the teams.
 //!
-//! Owns a summary of the worker ledger: for each machine what is free on it, and the sums over the
-//! cluster. It is kept up to date by the machines that changed, since the cost of an event must not
-//! grow with the number of machines. The ledger is the truth: whatever stands here can be derived
-//! from it again, and is from time to time. Places nothing; the scheduler reserves here what it is
-//! about to plan, so that the next decision counts it.
+//! [`ClusterCapacity`] is derived from the worker ledger: the free capacity of each machine, and
+//! sums over the cluster. Only machines that have changed are updated, so that the cost of an event
+//! does not grow with the number of machines. The ledger is authoritative; everything is recomputed
+//! from it periodically. This module places no tasks: the scheduler allocates the resources of a
+//! task here before it plans the task, so that its next decision takes them into account.
 
 use crate::clock::{Micros, SECOND};
 use crate::fault_injection::{InjectedFault, fault_injected};
@@ -14,12 +14,13 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Amounts (cores, accelerators, GB) that differ by less than this count as equal.
+/// Amounts of a resource (cores, accelerators, GB) that differ by less than this are treated as
+/// equal.
 pub const EPSILON: f64 = 1e-6;
-/// How often the sums are derived anew, against the drift of floating-point sums.
+/// How often the sums are recomputed from the ledger, to remove accumulated floating-point errors.
 const REBUILD_INTERVAL: Micros = 30 * SECOND;
 
-/// An amount of each resource, such as what is free on a machine.
+/// An amount of each resource, such as the free capacity of a machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Resources {
     /// CPU cores.
@@ -31,7 +32,7 @@
 }
 
 impl Resources {
-    /// What an empty machine of the type has.
+    /// The resources of an empty machine of the type.
     pub fn of(machine_type: &MachineType) -> Self {
         Self {
             cores: machine_type.cores,
@@ -40,14 +41,14 @@
         }
     }
 
-    /// Takes off what one task of the job needs.
+    /// Subtracts the resources of one task of the job.
     pub fn subtract(&mut self, spec: &JobSpec) {
         self.cores -= spec.cores;
         self.accelerators -= spec.accelerators;
         self.memory_gb -= spec.memory_gb;
     }
 
-    /// Adds what one task of the job needs.
+    /// Adds the resources of one task of the job.
     pub fn add(&mut self, spec: &JobSpec) {
         self.cores += spec.cores;
         self.accelerators += spec.accelerators;
@@ -69,7 +70,7 @@
             && spec.memory_gb <= self.memory_gb + EPSILON
     }
 
-    /// Whether any task may fit at all.
+    /// Whether any cores or accelerators are left.
     fn has_compute(&self) -> bool {
         self.cores > EPSILON || self.accelerators > EPSILON
     }
@@ -89,8 +90,8 @@
     }
 }
 
-/// What a machine has left beside what it holds; `None` when its type or the size of something on
-/// it is not known.
+/// The free capacity of a machine; `None` if its machine type or the size of a task on it is
+/// unknown.
 pub fn free_resources(machine: &Machine, types: &[MachineType]) -> Option<Resources> {
     let mut free = type_of(machine, types).map(Resources::of)?;
     for (_, entry) in machine.held_tasks() {
@@ -103,7 +104,7 @@
     types.iter().find(|t| t.name == machine.machine_type)
 }
 
-/// What a team uses, counted by everything that may be on a machine; checked against its quota.
+/// The resources of all tasks of a team that may be on machines; compared with the team's quota.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// CPU cores.
@@ -119,7 +120,7 @@
         self.accelerators += spec.accelerators;
     }
 
-    /// Takes one task of the job off.
+    /// Subtracts one task of the job.
     fn subtract(&mut self, spec: &JobSpec) {
         self.cores -= spec.cores;
         self.accelerators -= spec.accelerators;
@@ -136,18 +137,18 @@
     }
 }
 
-/// What one machine contributes, as of its last update.
+/// The capacity and usage of one machine, as of its last update.
 #[derive(Clone, Debug, Default)]
 pub struct MachineCapacity {
-    /// What is free for new tasks; `None` when the machine takes none now.
+    /// Free capacity for new tasks; `None` while the machine accepts none.
     pub free: Option<Resources>,
-    /// What tasks that are being stopped will free.
+    /// Resources of the tasks that are being stopped.
     pub being_freed: Resources,
-    /// Its size is known, and that of everything it holds.
+    /// Whether the machine type and the sizes of all tasks on the machine are known.
     size_known: bool,
-    /// All its cores, free or not.
+    /// Total cores of the machine.
     cores: f64,
-    /// What each team uses of it.
+    /// What each team uses on the machine.
     usage: Vec<(Arc<str>, Usage)>,
 }
 
@@ -165,7 +166,7 @@
             ..Self::default()
         };
         for (_, entry) in machine.held_tasks() {
-            // Beside a task of unknown size nothing may be placed.
+            // Nothing may be placed on a machine that has a task of unknown size.
             let Some(spec) = &entry.spec else {
                 free = None;
                 continue;
@@ -186,7 +187,7 @@
         capacity
     }
 
-    /// Charges one task of the job to its team.
+    /// Adds one task of the job to its team's usage.
     fn charge(&mut self, spec: &JobSpec) {
         match self.usage.iter_mut().find(|(team, _)| *team == spec.team) {
             Some((_, usage)) => usage.add(spec),
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Takes one task of the job off its team's usage.
+    /// Subtracts one task of the job from its team's usage.
     fn refund(&mut self, spec: &JobSpec) {
         if let Some((_, usage)) = self.usage.iter_mut().find(|(team, _)| *team == spec.team) {
             usage.subtract(spec);
@@ -209,26 +210,26 @@
 /// Free capacity and usage over all machines.
 #[derive(Default)]
 pub struct ClusterCapacity {
-    /// Every machine of the ledger, by name.
+    /// The machines of the ledger, by name.
     pub machines: BTreeMap<Arc<str>, MachineCapacity>,
-    /// What is free on the machines that take new tasks and have cores or accelerators left.
+    /// Free capacity of the machines that accept new tasks and have cores or accelerators left.
     pub machines_with_capacity: BTreeMap<Arc<str>, Resources>,
     team_usage: HashMap<Arc<str>, Usage>,
-    /// Cores of all machines whose type is known.
+    /// Total cores of the machines whose type is known.
     pub total_cores: f64,
     /// Cores that are free for new tasks.
     pub free_cores: f64,
-    /// When the sums are next derived anew.
+    /// When everything is recomputed next.
     rebuild_at: Micros,
-    /// How many machines were examined, for tests that bound the work.
+    /// How many machines were examined; tests use it to bound the cost of events.
     pub machines_examined: u64,
 }
 
 impl ClusterCapacity {
-    /// Updates the machines that changed; with `whole` also those that only the passing of time
-    /// has made available or unavailable for new tasks. `silence` is the time after which a
-    /// machine that sends nothing is unavailable. Every `REBUILD_INTERVAL` everything is derived
-    /// anew.
+    /// Updates the machines that changed in the ledger. With `full`, also updates those that became
+    /// available or unavailable for new tasks only because time passed. A machine is unavailable
+    /// once its last heartbeat is older than `heartbeat_grace_period`. Recomputes everything every
+    /// `REBUILD_INTERVAL`.
     pub fn refresh(
         &mut self,
         now: Micros,
@@ -258,16 +259,16 @@
         }
     }
 
-    /// The machines that are missing here, or that are available and counted as not, or the other
-    /// way round.
+    /// The machines that are missing here or whose recorded availability differs from the current
+    /// one.
     fn machines_with_outdated_availability(
         &self,
         now: Micros,
         workers: &WorkerLedger,
         heartbeat_grace_period: Micros,
     ) -> Vec<Arc<str>> {
-        // Both maps are in the order of names, so they are walked side by side: a look-up by name for
-        // each machine was most of what this cost.
+        // Both maps are ordered by name, so one pass iterates over both in parallel. Looking up
+        // each machine by name would be most of the cost.
         let mut known = self.machines.iter().peekable();
         let mut outdated = Vec::new();
         for (id, machine) in &workers.machines {
@@ -286,7 +287,7 @@
         outdated
     }
 
-    /// Derives everything anew from the ledger.
+    /// Recomputes everything from the ledger.
     pub fn rebuild(
         &mut self,
         now: Micros,
@@ -310,6 +311,7 @@
         }
     }
 
+    /// Adds a machine to the sums over the cluster.
     fn add_machine(&mut self, new: &MachineCapacity) {
         self.total_cores += new.cores;
         for (team, usage) in &new.usage {
@@ -321,6 +323,7 @@
         self.free_cores += new.free.map_or(0.0, |free| free.cores);
     }
 
+    /// Subtracts a machine from the sums over the cluster.
     fn subtract_machine(&mut self, old: &MachineCapacity) {
         self.total_cores -= old.cores;
         self.free_cores -= old.free.map_or(0.0, |free| free.cores);
@@ -342,7 +345,8 @@
         let new = MachineCapacity::of(machine, types, now, heartbeat_grace_period);
         let free = new.free;
         self.add_machine(&new);
-        // A machine that is known is written over: it changes far more often than it comes or goes.
+        // The entry of a known machine is replaced in place: machines change far more often than
+        // they are added or removed.
         let old = match self.machines.get_mut(&machine.id) {
             Some(known) => Some(std::mem::replace(known, new)),
             None => self.machines.insert(machine.id.clone(), new),
@@ -352,7 +356,7 @@
         }
         match free.filter(Resources::has_compute) {
             Some(free) => match self.machines_with_capacity.get_mut(&machine.id) {
-                Some(open) => *open = free,
+                Some(known) => *known = free,
                 None => {
                     self.machines_with_capacity.insert(machine.id.clone(), free);
                 }
@@ -364,15 +368,15 @@
         }
     }
 
-    /// What a team uses of all machines.
+    /// What a team uses on all machines.
     pub fn team_usage(&self, team: &str) -> Usage {
         self.team_usage.get(team).copied().unwrap_or_default()
     }
 
-    /// Reserves the resources of a task that is about to be planned on the machine; the next update
-    /// of the machine finds the task there. The reservation counts as part of the machine, so that
-    /// this update takes it off: the team would else be charged for the task twice, and kept from
-    /// using what it may.
+    /// Allocates the resources of a task that is about to be planned on the machine. They are also
+    /// added to the machine's usage: its next update, which finds the task in the ledger, then
+    /// subtracts the old usage. Otherwise the team would be charged twice for the task and could
+    /// not use its whole quota.
     pub fn allocate(&mut self, id: &Arc<str>, spec: &JobSpec) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.charge(spec);
@@ -381,8 +385,8 @@
                 self.free_cores -= spec.cores;
                 if !free.has_compute() {
                     self.machines_with_capacity.remove(id);
-                } else if let Some(open) = self.machines_with_capacity.get_mut(id) {
-                    *open = *free;
+                } else if let Some(known) = self.machines_with_capacity.get_mut(id) {
+                    *known = *free;
                 }
             }
         }
@@ -392,7 +396,7 @@
             .add(spec);
     }
 
-    /// Takes a reservation back.
+    /// Undoes [`ClusterCapacity::allocate`].
     pub fn deallocate(&mut self, id: &Arc<str>, spec: &JobSpec) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.refund(spec);
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,12 +1,12 @@
-//! Client of the cloud provider: machine types, renting, releasing and listing machines.
+//! Client of the cloud provider's API: reads the machine types, and lists, rents and releases machines.
 //!
-//! Owns what this controller knows from the provider, and its share of the provider's rate of calls. Does no I/O:
-//! calls go out as [`Output`]s, their outcomes come back by ticket, and what they mean for the rest of the program
-//! is returned as [`CloudEvent`]s. It decides neither how many machines are wanted nor which are released.
+//! The client keeps the answers of the provider and limits its rate of calls. It does no I/O: it emits calls as
+//! [`Output`]s, receives their outcomes by ticket, and returns the results as [`CloudEvent`]s. The caller decides
+//! how many machines to rent and which to release.
 //!
-//! Invariants at the door: a rental's name is never used for another rental, by any controller, so that a
-//! repeated request rents the same machines; a machine that is missing from a list is never taken for gone,
-//! since lists lag behind.
+//! Invariants:
+//! - no two rentals, by any controller, have the same name, so that a repeated request rents the same machines;
+//! - a machine that is missing from a list is not treated as gone, since lists lag behind the provider's state.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
 use crate::fault_injection::{InjectedFault, fault_injected};
@@ -23,71 +23,77 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How long an answer is waited for.
+/// Timeout of a call.
 const CALL_TIMEOUT: Micros = 4 * SECOND;
-/// How long after a failure a call is repeated.
+/// How long after a failed call it is retried.
 const RETRY_DELAY: Micros = SECOND;
-/// How often the leader reads the machine types again.
+/// How often the leader refreshes the machine types.
 const TYPES_REFRESH_INTERVAL: Micros = 120 * SECOND;
 /// How often the leader lists the machines.
 const LIST_INTERVAL: Micros = 4 * SECOND;
-/// How long after one page of a list the next one is read.
+/// How long after one page of a list the next one is requested.
 const LIST_PAGE_INTERVAL: Micros = 300 * MILLISECOND;
-/// The most machines of one page of a list.
+/// The maximum number of machines on one page of a list.
 const LIST_PAGE_MACHINES: usize = 500;
-/// A machine counts as listed this long after the last list that it was in.
+/// A machine counts as listed for this long after the last list that contained it.
 const LISTED_FOR: Micros = 60 * SECOND;
-/// How long nothing is listed or rented after the provider has said that it is in trouble.
+/// How long no machines are listed or rented after the provider has answered [`UNAVAILABLE_ERROR`].
 const UNAVAILABLE_DELAY: Micros = 3 * SECOND;
-/// The provider's error when it is in trouble as a whole, as opposed to lacking the requested machines.
+/// The error with which the provider answers when it is unavailable, as opposed to out of the requested machines.
 const UNAVAILABLE_ERROR: &str = "trouble";
-/// How long an offer is not requested after the provider has first lacked machines of it.
+/// The first backoff for an offer, after the provider has run out of such machines.
 const BACKOFF_MIN: Micros = 6 * SECOND;
-/// The longest that an offer is not requested; the backoff grows by a half each time.
+/// Upper bound of the backoff for an offer, which grows by a half each time.
 const BACKOFF_MAX: Micros = 25 * SECOND;
-/// The most machines that are released by one call.
+/// The maximum number of machines that one call releases.
 const RELEASE_BATCH_MACHINES: usize = 100;
-/// The most machines that are rented by one call.
+/// The maximum number of machines that one call rents.
 const RENTAL_MACHINES_MAX: u32 = 50;
-/// A boot that takes more than the machine type's boot time by this factor is late: most take 0.6 to 1.5 times
-/// as long.
+/// A boot is late once it has taken longer than this many times the boot time of the machine type. Most boots
+/// take 0.6 to 1.5 times that boot time.
 const LATE_BOOT_FACTOR: f64 = 1.6;
-/// A boot is stuck after the machine type's boot time by this factor, and [`STUCK_BOOT_MARGIN_S`].
+/// A boot is stuck once it has taken longer than this many times the boot time of the machine type plus
+/// [`STUCK_BOOT_MARGIN_S`].
 const STUCK_BOOT_FACTOR: f64 = 3.0;
+/// See [`STUCK_BOOT_FACTOR`].
 const STUCK_BOOT_MARGIN_S: f64 = 20.0;
-/// The boot time of a machine type that is not known.
+/// Assumed boot time of an unknown machine type.
 const DEFAULT_BOOT_S: f64 = 60.0;
 
-/// One kind of machine that can be rented.
+/// A kind of machine that can be rented.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Offer {
     /// Name of the machine type.
     pub machine_type: String,
     /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot machine, which the provider may take back.
+    /// Whether it is a spot machine, which the provider may reclaim.
     pub spot: bool,
 }
 
+/// A call to the provider.
 #[derive(Clone, Debug)]
 enum CloudCall {
+    /// Reads the machine types.
     Types,
+    /// Lists one page of the machines.
     List {
-        /// Only machines after this one; empty for the first page.
+        /// Only machines after this one are listed; empty for the first page.
         after: String,
     },
+    /// Rents machines.
     Rent {
         offer: Offer,
         machines: u32,
-        /// The provider rents the same machines for the same name.
+        /// Name of the rental. The provider rents the same machines for the same name.
         rental: String,
     },
-    Release {
-        machines: Vec<Arc<str>>,
-    },
+    /// Releases machines.
+    Release { machines: Vec<Arc<str>> },
 }
 
 impl CloudCall {
+    /// Encodes the call as an HTTP request.
     fn encode(&self) -> HttpCall {
         let get = |path| HttpCall::without_body("GET", path, CALL_TIMEOUT);
         match self {
@@ -122,41 +128,41 @@
     HttpCall::post(path.to_owned(), body, CALL_TIMEOUT)
 }
 
-/// A call that is to be repeated.
+/// A call that will be retried.
 #[derive(Clone, Debug)]
 struct PendingRetry {
     call: CloudCall,
     due_at: Micros,
 }
 
-/// An offer that the provider lacked machines of.
+/// The backoff for an offer of which the provider has run out of machines.
 #[derive(Clone, Copy, Debug)]
 struct Backoff {
-    /// It is not requested before.
+    /// No machine of the offer is requested before this time.
     until: Micros,
-    /// How long it is not requested.
+    /// The current length of the backoff.
     delay: Micros,
 }
 
-/// A machine that was rented or listed as booting, and that has not sent a heartbeat yet.
+/// A machine that was rented, or is listed as booting, and has not sent a heartbeat yet.
 #[derive(Clone, Debug)]
 pub struct BootingMachine {
-    /// What it was rented as.
+    /// The offer by which it was rented.
     pub offer: Offer,
-    /// When its boot began, on this process's steady clock.
+    /// When its boot began, on the steady clock of this process.
     pub since: Micros,
 }
 
-/// What an outcome means for the rest of the program.
+/// A result of a call to the provider.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CloudEvent {
     /// The provider has sent the machine types.
     TypesUpdated,
-    /// Machines were rented, perhaps fewer than requested; they are booting.
+    /// Machines were rented, possibly fewer than requested. They are booting.
     Rented {
         /// Names of the machines.
         machines: Vec<Arc<str>>,
-        /// What was requested.
+        /// The offer that was requested.
         offer: Offer,
     },
     /// A machine is listed as failed.
@@ -165,44 +171,49 @@
     Released(Vec<Arc<str>>),
 }
 
-/// The client.
+/// The client of the cloud provider.
 pub struct CloudClient {
     addr: SocketAddr,
     /// Name of this controller.
     node_name: String,
-    /// The machine types, from the provider or assumed.
+    /// The machine types, either sent by the provider or assumed, see [`CloudClient::assume_types`].
     pub types: Vec<MachineType>,
-    /// When the machine types are next read.
+    /// When the machine types are read next.
     types_due_at: Micros,
     types_in_flight: bool,
-    /// The provider has sent the machine types to this process.
+    /// Whether the provider has sent the machine types to this process.
     types_confirmed: bool,
+    /// Calls without an outcome yet.
     in_flight: HashMap<Ticket, CloudCall>,
-    /// When the machines are next listed.
+    /// When the machines are listed next.
     list_due_at: Micros,
+    /// Whether a page of the list has been requested, or the next page is due soon.
     list_in_flight: bool,
     /// Machines that are booting, by name.
     pub booting: BTreeMap<Arc<str>, BootingMachine>,
-    /// When each machine was last in a list.
+    /// When each machine was last listed.
     pub listed: BTreeMap<Arc<str>, Micros>,
     backoffs: BTreeMap<Offer, Backoff>,
-    /// Offers of which machines have been rented before, so that a lost machine may be replaced.
+    /// Offers of which machines have been rented before, so that a lost machine can probably be replaced.
     previously_rented: BTreeSet<Offer>,
+    /// The provider is treated as unavailable until then.
     unavailable_until: Micros,
     retries: Vec<PendingRetry>,
+    /// Number of rentals that this process has requested.
     rentals_requested: u64,
-    /// Of this process, see [`CloudClient::rent`].
+    /// Incarnation of this process, see [`CloudClient::rent`].
     incarnation: u64,
-    /// Machines that are to be released.
+    /// Machines to be released by the next calls.
     releases: Vec<Arc<str>>,
-    /// The time between calls that rent or release.
+    /// Minimum time between calls that rent or release.
     call_interval: Micros,
+    /// The earliest time of the next call that rents or releases.
     next_call_at: Micros,
 }
 
 impl CloudClient {
-    /// A client of the provider at `addr` for the controller of that name. `incarnation` differs for each of its
-    /// processes; `call_rate` is the provider's limit in calls a second.
+    /// Creates a client of the provider at `addr` for the controller `node_name`. `incarnation` is different for
+    /// each process of that controller; `call_rate` is the provider's limit in calls per second.
     pub fn new(addr: SocketAddr, node_name: &str, incarnation: u64, call_rate: f64) -> Self {
         Self {
             addr,
@@ -223,7 +234,7 @@
             rentals_requested: 0,
             incarnation,
             releases: Vec::new(),
-            // Half of the limit: the other nodes read the types now and then.
+            // Half of the limit, since the other controllers also read the machine types occasionally.
             call_interval: from_secs(2.0 / call_rate),
             next_call_at: 0,
         }
@@ -234,8 +245,8 @@
         self.types_confirmed
     }
 
-    /// Takes machine types that the provider sent to an earlier process, until it sends them to this one.
-    /// Returns whether they were taken.
+    /// Uses machine types that the provider sent to an earlier process until it sends them to this one. Returns
+    /// false if `types` is empty or the provider has already sent the types to this process.
     pub fn assume_types(&mut self, types: &[MachineType]) -> bool {
         if self.types_confirmed || types.is_empty() {
             return false;
@@ -244,14 +255,14 @@
         true
     }
 
-    /// The machine type of that name.
+    /// The machine type with this name.
     pub fn machine_type_named(&self, name: &str) -> Option<&MachineType> {
         self.types
             .iter()
             .find(|machine_type| machine_type.name == name)
     }
 
-    /// Forgets what only a leader keeps track of. Rentals whose outcome is not known are still repeated.
+    /// Clears the state that only a leader keeps. Rentals with an unknown outcome are still retried.
     pub fn reset(&mut self) {
         self.booting.clear();
         self.listed.clear();
@@ -262,7 +273,7 @@
             .retain(|retry| matches!(retry.call, CloudCall::Rent { .. }));
     }
 
-    /// When [`CloudClient::tick`] should next be called.
+    /// When [`CloudClient::tick`] should be called next.
     pub fn wake_at(&self, is_leader: bool) -> Micros {
         let mut at = Micros::MAX;
         if self.wants_types(is_leader) {
@@ -281,6 +292,7 @@
         at
     }
 
+    /// Whether the machine types should be read: a leader refreshes them, other controllers read them once.
     fn wants_types(&self, is_leader: bool) -> bool {
         !self.types_in_flight && (!self.types_confirmed || is_leader)
     }
@@ -289,7 +301,7 @@
         self.list_due_at.max(self.unavailable_until)
     }
 
-    /// Sends the calls that are due. Only a leader lists, releases and repeats.
+    /// Sends the calls that are due. Only a leader lists and releases machines and retries calls.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -329,8 +341,8 @@
         self.in_flight.insert(ticket, call);
     }
 
-    /// Whether machines of this offer can be rented now: no rental is unsettled, and neither the provider nor
-    /// the offer is backed off from.
+    /// Whether machines of this offer can be rented now: no other rental is in flight or due for a retry, the
+    /// provider is available, the call rate allows it, and the offer is not in backoff.
     pub fn can_rent(&self, now: Micros, offer: &Offer) -> bool {
         let retried = self.retries.iter().map(|retry| &retry.call);
         let mut unsettled = self.in_flight.values().chain(retried);
@@ -342,7 +354,7 @@
                 .is_none_or(|backoff| now >= backoff.until)
     }
 
-    /// Rents machines of an offer; at most `RENTAL_MACHINES_MAX` at a time.
+    /// Sends a request to rent machines of an offer, at most `RENTAL_MACHINES_MAX` of them.
     pub fn rent(
         &mut self,
         now: Micros,
@@ -352,7 +364,7 @@
         outputs: &mut Vec<Output>,
     ) {
         self.rentals_requested += 1;
-        // Incarnation and count make the name one that is never used again, by any node.
+        // The controller's name, the incarnation and the count make the name unique among all controllers.
         let incarnation = if fault_injected(InjectedFault::HireReused) {
             0
         } else {
@@ -377,24 +389,24 @@
         self.send(call, last_ticket, outputs);
     }
 
-    /// Whether machines of this offer have been rented before, so that a lost one may be replaced.
+    /// Whether machines of this offer have been rented before, so that a lost one can probably be replaced.
     pub fn is_replaceable(&self, offer: &Offer) -> bool {
         self.previously_rented.contains(offer)
     }
 
-    /// Has a machine released, together with others.
+    /// Schedules a machine for release; several machines are released by one call.
     pub fn release(&mut self, machine: Arc<str>) {
         if !self.releases.contains(&machine) {
             self.releases.push(machine);
         }
     }
 
-    /// Whether the call of that ticket is one of this client's.
+    /// Whether this client has sent the call with this ticket and has no outcome of it yet.
     pub fn owns(&self, ticket: Ticket) -> bool {
         self.in_flight.contains_key(&ticket)
     }
 
-    /// Takes the outcome of a call.
+    /// Handles the outcome of a call.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -467,7 +479,7 @@
                 log::error!("rental refused as malformed rental={rental}");
                 self.back_off(now, &offer);
             }
-            // May have been executed: the same name rents the same machines.
+            // The request may have been executed. A retry under the same name rents the same machines.
             _ => self.retry(
                 now + RETRY_DELAY,
                 CloudCall::Rent {
@@ -480,7 +492,7 @@
         Vec::new()
     }
 
-    /// The provider has rented machines; fewer than requested if it has no more.
+    /// Handles a successful rental; it has fewer machines than requested if the provider has no more.
     fn handle_rented(
         &mut self,
         now: Micros,
@@ -522,10 +534,12 @@
         Vec::new()
     }
 
+    /// Schedules a retry of a call, or the first try of the call for the next page of a list.
     fn retry(&mut self, due_at: Micros, call: CloudCall) {
         self.retries.push(PendingRetry { call, due_at });
     }
 
+    /// Starts or extends the backoff for an offer.
     fn back_off(&mut self, now: Micros, offer: &Offer) {
         let previous = self.backoffs.get(offer);
         let delay = previous.map_or(BACKOFF_MIN, |backoff| {
@@ -560,6 +574,7 @@
         events
     }
 
+    /// Adds a machine that is listed as booting, unless it is already known.
     fn observe_booting(&mut self, now: Micros, machine: &ListedMachine) {
         let offer = Offer {
             machine_type: machine.machine_type.clone(),
@@ -574,17 +589,18 @@
             });
     }
 
-    /// Whether a boot takes longer than most do.
+    /// Whether a machine has been booting for longer than most boots take.
     pub fn is_boot_late(&self, now: Micros, machine: &BootingMachine) -> bool {
         now > machine.since + from_secs(self.boot_s(machine) * LATE_BOOT_FACTOR)
     }
 
+    /// The usual boot time of the machine's type, in seconds.
     fn boot_s(&self, machine: &BootingMachine) -> f64 {
         self.machine_type_named(&machine.offer.machine_type)
             .map_or(DEFAULT_BOOT_S, |machine_type| machine_type.boot_s)
     }
 
-    /// Machines whose boot has taken so long that it will not succeed.
+    /// The machines that have been booting for so long that the boot is assumed to have failed.
     pub fn stuck_boots(&self, now: Micros) -> Vec<Arc<str>> {
         let is_stuck = |machine: &BootingMachine| {
             let boot_s_max = self.boot_s(machine) * STUCK_BOOT_FACTOR + STUCK_BOOT_MARGIN_S;
--- a/src/dependency_graph.rs
+++ b/src/dependency_graph.rs
@@ -1,12 +1,14 @@
-//! Jobs that wait for others: who depends on whom, which dependencies' outcomes have yet to be read, and which
-//! priority and deadline a dependency inherits from its dependents.
+//! The dependencies between jobs: which jobs wait for which others, the outcomes of dependencies that have yet to
+//! be read, and the priority and deadline that a dependency inherits from its dependents.
 //!
-//! Owns the edges between waiting jobs and their unmet dependencies for one leader term. Does no I/O: it names
-//! the outcomes to be read, and takes what was read. What is held about a finished job has always been read
-//! from the key-value store, or written there by this leader.
+//! The outcome of a dependency is its stored final state: done or cancelled. The graph holds the edges from
+//! waiting jobs to their unmet dependencies for one leader term. It does no I/O: it lists the outcomes that the
+//! caller has to read, and the caller passes in the results. An outcome is always taken from the state service,
+//! either read from there or written there by this leader.
 //!
-//! Invariants at the door: a job is in the graph exactly while it has an unmet dependency; each outcome is in
-//! flight at most once.
+//! Invariants:
+//! - a job is in the graph exactly while it has an unmet dependency;
+//! - at most one read of each outcome is in flight.
 
 use crate::clock::{Micros, SECOND, from_secs};
 use crate::jobs::{Job, JobTable};
@@ -15,22 +17,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How long after an unreadable or missing final state it is read again.
+/// How long after a read that found no readable final state the outcome is read again.
 const OUTCOME_RETRY_INTERVAL: Micros = SECOND;
-/// The most final states that are read at a time.
+/// The maximum number of concurrent reads of outcomes.
 const OUTCOME_READS_MAX: usize = 16;
-/// What a job takes beside the run time of its tasks: starts, heartbeats, saving its end.
+/// Time that a job takes in addition to the run time of its tasks: for starts, heartbeats and storing its end.
 const JOB_OVERHEAD: Micros = SECOND;
-/// Inheritance stops after this many edges. Only accepted jobs can be named as dependencies, so there are no
-/// cycles, unless a stored value says otherwise.
+/// Inheritance of priorities and deadlines stops after this many edges, in case of a cycle. Only jobs that were
+/// accepted before can be named as dependencies, so only a corrupt stored job can form a cycle.
 const PROPAGATION_STEPS_MAX: usize = 10_000;
-/// The same for each waiting job, where many wait.
+/// With many waiting jobs, that limit is this many edges per waiting job.
 const PROPAGATION_STEPS_PER_JOB: usize = 16;
 
+/// A job that waits for its dependencies.
 #[derive(Default)]
 struct WaitingJob {
+    /// The dependencies that are not known to be done.
     unmet: BTreeSet<Arc<str>>,
-    /// Time of day of its acceptance, or of the latest known end of its dependencies if that is later.
+    /// Time of day when the job was accepted or its latest known dependency was done, whichever is later.
     ready_at: Micros,
 }
 
@@ -38,16 +42,18 @@
 #[derive(Default)]
 pub struct DependencyGraph {
     waiting: HashMap<Arc<str>, WaitingJob>,
-    /// By dependency, the jobs that still wait for it.
+    /// The jobs that still wait for a dependency, by dependency.
     dependents_by_job: HashMap<Arc<str>, BTreeSet<Arc<str>>>,
-    /// Dependencies that may be finished: their outcomes are to be read, not before that time.
+    /// Dependencies that may have finished, so that their outcomes have to be read, and the earliest time to read
+    /// each of them.
     outcomes_to_read: BTreeMap<Arc<str>, Micros>,
+    /// Dependencies whose outcomes are being read.
     outcomes_in_flight: HashSet<Arc<str>>,
 }
 
 impl DependencyGraph {
-    /// Adds a job that waits for its dependencies, accepted at this time of day. `is_live` says which of them
-    /// are certainly not finished; the outcomes of the others are to be read.
+    /// Adds a job that waits for its dependencies and was accepted at this time of day. `is_live` returns whether
+    /// a dependency has certainly not finished; the outcomes of the other dependencies will be read.
     pub fn add(&mut self, spec: &JobSpec, accepted_at: Micros, is_live: impl Fn(&str) -> bool) {
         let unmet: BTreeSet<_> = spec.waits_on.iter().cloned().collect();
         for dependency in &unmet {
@@ -64,14 +70,14 @@
         self.waiting.insert(spec.uid.clone(), waiting);
     }
 
-    /// Has a job's outcome read, since it may be finished, if any job depends on it.
+    /// Requests a read of the outcome of a job that may have finished, if any job depends on it.
     pub fn request_outcome(&mut self, uid: &Arc<str>) {
         if self.has_dependents(uid) && !self.outcomes_in_flight.contains(uid) {
             self.outcomes_to_read.insert(uid.clone(), 0);
         }
     }
 
-    /// Hands out the dependencies whose outcomes are to be read now; they count as in flight.
+    /// Returns the dependencies whose outcomes the caller has to read now, and marks the reads as in flight.
     pub fn take_outcomes_to_read(&mut self, now: Micros) -> Vec<Arc<str>> {
         let reads_left = OUTCOME_READS_MAX.saturating_sub(self.outcomes_in_flight.len());
         let due = self
@@ -86,17 +92,17 @@
         due
     }
 
-    /// Whether any outcome is to be read, now or later.
+    /// Whether any outcome has to be read, now or later.
     pub fn has_outcomes_to_read(&self) -> bool {
         !self.outcomes_to_read.is_empty()
     }
 
-    /// A read of an outcome has ended, in whatever way.
+    /// Records that the read of an outcome has ended, successfully or not.
     pub fn outcome_read_ended(&mut self, uid: &str) {
         self.outcomes_in_flight.remove(uid);
     }
 
-    /// A read has not shown the outcome: it is repeated later.
+    /// Schedules another read of an outcome after a read that did not return it.
     pub fn retry_outcome(&mut self, now: Micros, uid: &Arc<str>) {
         if self.has_dependents(uid) {
             self.outcomes_to_read
@@ -104,8 +110,8 @@
         }
     }
 
-    /// A job is stored as done since `finished_at`, a time of day. Returns the jobs that now have no unmet
-    /// dependency, each with the time of day since when it is ready.
+    /// Records that a job's final state is stored as done at the time of day `finished_at`. Returns the jobs that
+    /// have no unmet dependency any more, each with the time of day when it became ready.
     pub fn dependency_done(&mut self, uid: &str, finished_at: Micros) -> Vec<(Arc<str>, Micros)> {
         self.outcomes_to_read.remove(uid);
         let mut ready = Vec::new();
@@ -124,7 +130,8 @@
         ready
     }
 
-    /// A job is stored as cancelled. Returns the waiting jobs that directly depend on it.
+    /// Records that a job's final state is stored as cancelled. Returns the waiting jobs that directly depend on
+    /// it.
     pub fn dependency_cancelled(&mut self, uid: &str) -> Vec<Arc<str>> {
         self.outcomes_to_read.remove(uid);
         let dependents = self.dependents_by_job.remove(uid).unwrap_or_default();
@@ -134,7 +141,7 @@
             .collect()
     }
 
-    /// Removes a waiting job that is finished itself, or about to be.
+    /// Removes a waiting job that has finished, or is about to.
     pub fn remove(&mut self, uid: &str) {
         let Some(waiting) = self.waiting.remove(uid) else {
             return;
@@ -150,24 +157,24 @@
         }
     }
 
-    /// Whether any job waits for this one.
+    /// Whether any job waits for this job.
     pub fn has_dependents(&self, uid: &str) -> bool {
         self.dependents_by_job.contains_key(uid)
     }
 
-    /// The jobs that wait for this one.
+    /// The jobs that wait for this job.
     pub fn dependents(&self, uid: &str) -> Vec<Arc<str>> {
         let dependents = self.dependents_by_job.get(uid);
         dependents.into_iter().flatten().cloned().collect()
     }
 
-    /// The dependencies that a job still waits for.
+    /// The dependencies for which a job still waits.
     pub fn unmet_dependencies(&self, uid: &str) -> Vec<Arc<str>> {
         let waiting = self.waiting.get(uid);
         waiting.map_or_else(Vec::new, |job| job.unmet.iter().cloned().collect())
     }
 
-    /// How many jobs wait for others.
+    /// The number of jobs that wait for other jobs.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -177,8 +184,8 @@
         self.waiting.is_empty()
     }
 
-    /// Passes priority and deadline on from a job to its unmet dependencies, direct and indirect. An edge is
-    /// followed as often as what is passed along it changes. `run_time` estimates a job's run time.
+    /// Propagates priority and deadline from a job to its unmet dependencies, direct and indirect. An edge is
+    /// followed again whenever the values propagated along it change. `run_time` estimates the run time of a job.
     pub fn propagate_to_dependencies(
         &self,
         jobs: &mut JobTable,
@@ -206,7 +213,8 @@
         }
     }
 
-    /// What its dependents require of a job: a priority, and the time of day by which it must be done.
+    /// The priority that a job inherits from its dependents, and the time of day by which it must be done so that
+    /// they can meet their deadlines.
     fn requirements(
         &self,
         jobs: &JobTable,
@@ -226,8 +234,8 @@
     }
 }
 
-/// The time of day by which a job must start to meet its own deadline and those of its dependents, if there is
-/// any, given its estimated run time.
+/// The time of day by which a job must start to meet its own deadline and those of its dependents, given its
+/// estimated run time; `None` if there is no deadline.
 pub fn latest_start(job: &Job, run_time: Micros) -> Option<Micros> {
     let own = job
         .spec
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -1,13 +1,17 @@
-//! The leader's live jobs, and what every controller remembers of jobs to answer polls.
+//! The leader's live jobs, and what every controller keeps about jobs to answer clients' polls.
 //!
-//! A [`Job`] owns the state of its tasks: each is pending, may be placed on machines, or is done. [`JobTable`]
-//! owns the live jobs of one leader term and numbers them, [`FinalStateCache`] the final states that this node has
-//! read, and [`JobProgress`] the progress that the leader last announced. Nothing here does I/O or decides where a
-//! task runs; `job_record` has the stored form.
+//! - [`Job`] holds the state of a job's tasks: each is pending, may be placed on machines, or is done.
+//! - [`JobTable`] holds the live jobs of one leader term and assigns their numbers.
+//! - [`FinalStateCache`] holds the answers about finished jobs whose final states this controller has read.
+//! - [`JobProgress`] holds the progress of live jobs that the leader last announced.
 //!
-//! Invariants at the door: a task that is done never becomes pending again; a task becomes pending only once
-//! none of its attempts can be on a machine; `pending_count` is the length of `pending`; a job keeps its
-//! number for the whole term, also while workers still report its tasks after its end.
+//! This module does no I/O and does not decide where a task runs. `job_record` defines the stored form of a job.
+//!
+//! Invariants:
+//! - a task that is done never becomes pending again;
+//! - a task becomes pending only when none of its attempts can be on a machine any more;
+//! - `pending_count` is the number of tasks in `pending`;
+//! - a job keeps its number for the whole term, even while workers still report its tasks after its end.
 
 use crate::clock::Micros;
 use crate::job_record::{JobRecord, TaskEnding, TaskRange};
@@ -22,20 +26,21 @@
 use std::sync::Arc;
 use zerocopy::{FromBytes, IntoBytes};
 
-/// How many endings of attempts are kept per job.
+/// The maximum number of attempt endings that are kept per job.
 const ENDINGS_MAX: usize = 12;
-/// The cause of an ending, as the worker reported it, is kept up to this length.
+/// The cause of an ending, as reported by the worker, is truncated to this length.
 const CAUSE_CHARS_MAX: usize = 80;
-/// A job that has failed on this many machines, and of which no task is done, is suspect.
+/// A job is suspect if its tasks have failed on this many machines and none of them is done.
 const SUSPECT_MACHINES_MIN: usize = 3;
-/// The estimate of a machine name's length: names are similar, and this is a long one.
+/// Estimated length of a machine name: machine names have similar lengths, and this is a long one.
 const TYPICAL_MACHINE_NAME_BYTES: usize = 12;
 
-/// A set of task indexes as ranges, in order.
+/// Converts a set of task indexes to a list of ranges in ascending order.
 pub fn ranges(set: &RangeSet<u32>) -> Vec<TaskRange> {
     set.iter().map(|range| (range.start, range.end)).collect()
 }
 
+/// The number of indexes in the set.
 fn count(set: &RangeSet<u32>) -> u64 {
     set.iter()
         .map(|range| u64::from(range.end - range.start))
@@ -44,7 +49,7 @@
 
 /// A live job, as the leader keeps it.
 pub struct Job {
-    /// Its number within this leader's term.
+    /// The number of the job within this leader's term.
     pub number: u32,
     /// The job as its user submitted it.
     pub spec: Arc<JobSpec>,
@@ -54,15 +59,16 @@
     pub accepted_at: Micros,
     /// Name of the controller that accepted it.
     pub accepted_by: String,
-    /// Revision of its stored header.
+    /// `mod_revision` of its stored header.
     pub mod_revision: u64,
-    /// Time of day from which its waits count, in microseconds; `None` while it waits for its dependencies.
+    /// Time of day when it became ready to start, in microseconds; `None` while it waits for its dependencies.
     pub ready_at: Option<Micros>,
-    /// The highest priority of the jobs that depend on it, directly or through others.
+    /// The highest priority of the jobs that depend on it, directly or indirectly.
     pub inherited_priority: Priority,
-    /// Time of day by which it must be done for the deadlines of the jobs that depend on it, in microseconds.
+    /// Time of day by which it must be done so that the jobs that depend on it can meet their deadlines, in
+    /// microseconds.
     pub due_at: Option<Micros>,
-    /// How many chunks belong to its stored header.
+    /// How many chunks are stored in addition to its header.
     pub chunks: usize,
     /// The tasks that are done.
     pub done: RangeSet<u32>,
@@ -72,44 +78,47 @@
     pub pending: RangeSet<u32>,
     /// How many tasks are in `pending`.
     pub pending_count: u64,
-    /// By task, where its attempts may be: machine and attempt number.
+    /// For each task, the attempts that may be on machines: machine and attempt number.
     pub placements: BTreeMap<u32, Vec<(Arc<str>, u64)>>,
-    /// Planned starts that are neither stored nor part of a save in flight: machine, task, attempt number.
+    /// Planned starts whose placements are neither stored nor part of a write in flight: machine, task, attempt
+    /// number.
     pub unsaved_starts: Vec<(Arc<str>, TaskId, u64)>,
-    /// Successful attempts that workers report until they are acknowledged, which is done once the end is
-    /// stored: machine, task index, attempt number.
+    /// Successful attempts whose ends the leader has not acknowledged to the workers, which report them until
+    /// then; an end is acknowledged once it is stored. Machine, task index, attempt number.
     pub unacknowledged: Vec<(Arc<str>, u32, u64)>,
-    /// The latest endings of attempts, the oldest first.
+    /// How the latest attempts ended, the oldest first.
     pub endings: VecDeque<TaskEnding>,
-    /// Its user has cancelled it: none of its tasks may remain.
+    /// Whether it was cancelled, so that its tasks must be stopped and no more may start.
     pub cancelled: bool,
-    /// A write of its record is in flight.
+    /// Whether a write of its record is in flight.
     pub save_in_flight: bool,
-    /// What is stored of it must be read again before the next write.
+    /// Whether its stored record must be read again before the next write.
     pub reread_pending: bool,
-    /// Since when its record differs from the stored one.
+    /// Since when its record has differed from the stored one; `None` if it does not.
     pub dirty_since: Option<Micros>,
-    /// It must be saved at once: a start or the job's end waits for it.
+    /// Whether it must be saved without delay, because a start or the job's end waits for the write.
     pub save_urgent: bool,
     /// How many attempts have failed on each machine.
     pub failures_by_machine: BTreeMap<Arc<str>, u32>,
-    /// None of its tasks is started before, after failures.
+    /// Backoff: no task of the job is started before this time, on the steady clock.
     pub not_before: Micros,
-    /// The longest that an attempt ran before it failed.
+    /// The longest run time of an attempt that failed.
     pub longest_failed_run: Micros,
-    /// How many trials of a suspect job have failed, each followed by a longer wait.
+    /// How many trials of a suspect job have failed; the backoff grows with each.
     pub failed_trials: u32,
-    /// How many tasks of a suspect job may be started now, as a trial of whether they fail again.
+    /// How many tasks of a suspect job may be started now to test whether they fail again; `None` if there is
+    /// no such limit.
     pub trial_tasks: Option<u64>,
-    /// Logarithms of the run times of the tasks that ran without interruption: sum and count.
+    /// Natural logarithms of the run times of tasks that ran without interruption: their sum and their count.
     pub ln_run_times: (f64, f64),
-    /// Tasks that have saved a checkpoint: the run time of the last attempt is not that of the whole task.
+    /// Tasks that have saved a checkpoint, so that the run time of the last attempt is not that of the whole
+    /// task.
     pub checkpointed_tasks: BTreeSet<u32>,
 }
 
 impl Job {
-    /// The job of a stored record. Its placements are not taken from there: they are reconciled with what the
-    /// machines report.
+    /// Creates the job from its stored record. The placements in the record are not adopted here, since they must
+    /// be reconciled with the heartbeats of the machines.
     pub fn from_record(number: u32, record: &JobRecord, mod_revision: u64) -> Self {
         let tasks = record.spec.tasks as u32;
         let mut done = RangeSet::new();
@@ -124,7 +133,7 @@
             pending.remove(range.clone());
         }
         let pending_count = count(&pending);
-        // A job that has started was found to be ready by the leader that started it.
+        // An earlier leader starts a job only once its dependencies are done.
         let has_started = !record.placed.is_empty() || !record.done.is_empty();
         let is_ready = record.spec.waits_on.is_empty() || has_started;
         Self {
@@ -161,7 +170,7 @@
         }
     }
 
-    /// The record of the job as it is to be stored.
+    /// The record of the job to be stored.
     pub fn record(&self) -> JobRecord {
         let mut placed: BTreeMap<Arc<str>, RangeSet<u32>> = BTreeMap::new();
         for (index, attempts) in &self.placements {
@@ -186,7 +195,7 @@
         }
     }
 
-    /// The capacity left for placements in its stored values, in bytes; a lower bound.
+    /// A lower bound of the space left for placements in the job's stored header and chunks, in bytes.
     pub fn placement_bytes_left(&self, schema: &Schema) -> usize {
         let placements = self.placements.values().flatten();
         let placed_bytes: usize = placements
@@ -198,27 +207,30 @@
             .saturating_sub(done_bytes + placed_bytes)
     }
 
-    /// Whether it waits for its dependencies: none of its tasks may start, and its wait is not counted.
+    /// Whether the job waits for its dependencies. Until they are done, none of its tasks may start, and the time
+    /// does not count as waiting time.
     pub fn waits_for_dependencies(&self) -> bool {
         self.ready_at.is_none()
     }
 
-    /// Time of day from which its waits count, in microseconds.
+    /// Time of day from which its waiting time counts, in microseconds.
     pub fn waiting_since(&self) -> Micros {
         self.ready_at.unwrap_or(self.accepted_at)
     }
 
-    /// Its own priority, or that of a job that depends on it if it is higher.
+    /// The highest of its own priority and the priorities of the jobs that depend on it.
     pub fn priority(&self) -> Priority {
         self.inherited_priority.max(self.spec.priority)
     }
 
-    /// Whether the job itself seems to be faulty: it fails on whatever machine it is placed.
+    /// Whether the job itself, rather than the machines, seems to be faulty: its tasks have failed on several
+    /// machines and none has succeeded.
     pub fn is_suspect(&self) -> bool {
         self.failures_by_machine.len() >= SUSPECT_MACHINES_MIN && self.done.is_empty()
     }
 
-    /// How many pending tasks may be started now: as many as the stored values have capacity for.
+    /// How many pending tasks may be started now, given the space for placements in the stored record and the
+    /// limit for a suspect job.
     pub fn startable_tasks(&self, schema: &Schema) -> u64 {
         if self.waits_for_dependencies() {
             return 0;
@@ -230,7 +242,7 @@
             .min(placements_left as u64)
     }
 
-    /// Whether all tasks are done. A service never is.
+    /// Whether all tasks are done. Always false for a service.
     pub fn is_done(&self) -> bool {
         self.spec.kind != JobKind::Service && self.remaining_tasks() == 0
     }
@@ -245,6 +257,7 @@
         self.pending.iter().next().map(|range| range.start)
     }
 
+    /// Removes a task from the pending ones, if it is one of them.
     fn remove_pending(&mut self, index: u32) {
         if self.pending.contains(&index) {
             self.pending.remove(index..index + 1);
@@ -252,7 +265,7 @@
         }
     }
 
-    /// Notes that an attempt of a task may be on a machine.
+    /// Records that an attempt of a task may be on a machine.
     pub fn add_placement(&mut self, index: u32, machine: &Arc<str>, attempt: u64) {
         self.remove_pending(index);
         let attempts = self.placements.entry(index).or_default();
@@ -260,8 +273,8 @@
         attempts.push((machine.clone(), attempt));
     }
 
-    /// Notes that an attempt is certainly on no machine any more. The task is pending once no other attempt
-    /// can be on one, unless it is done.
+    /// Records that an attempt is certainly not on its machine any more. Unless the task is done, it becomes
+    /// pending once none of its attempts can be on a machine.
     pub fn remove_placement(&mut self, index: u32, machine: &Arc<str>, attempt: u64) {
         if let Some(attempts) = self.placements.get_mut(&index) {
             attempts.retain(|(on, number)| !(on == machine && *number == attempt));
@@ -279,7 +292,7 @@
         }
     }
 
-    /// Notes that a task is done.
+    /// Records that a task is done.
     pub fn finish_task(&mut self, index: u32) {
         if u64::from(index) < self.spec.tasks {
             self.done.insert(index..index + 1);
@@ -287,7 +300,7 @@
         }
     }
 
-    /// Keeps why an attempt ended, shortened, in place of the oldest ending if there are too many.
+    /// Records how an attempt ended, with a truncated cause. Drops the oldest endings beyond `ENDINGS_MAX`.
     pub fn record_ending(&mut self, mut ending: TaskEnding) {
         if let Some((end, _)) = ending.cause.char_indices().nth(CAUSE_CHARS_MAX) {
             ending.cause.truncate(end);
@@ -298,7 +311,7 @@
         }
     }
 
-    /// Notes that the record differs from the stored one.
+    /// Records that the job differs from its stored record.
     pub fn mark_dirty(&mut self, now: Micros) {
         self.dirty_since = self.dirty_since.or(Some(now));
     }
@@ -307,29 +320,31 @@
 /// The leader's live jobs.
 #[derive(Default)]
 pub struct JobTable {
-    /// The jobs by their numbers.
+    /// The jobs by number.
     pub by_number: BTreeMap<u32, Job>,
+    /// The numbers of the live jobs, by job id.
     numbers: HashMap<Arc<str>, u32>,
-    /// The numbers of jobs that are not live and of which workers have reported tasks.
+    /// The numbers of jobs that are not live but whose tasks workers may still report, by job id.
     unknown_numbers: HashMap<Arc<str>, u32>,
     last_number: u32,
 }
 
 impl JobTable {
-    /// The live job of that id.
+    /// The live job with this id.
     pub fn get(&self, uid: &str) -> Option<&Job> {
         self.by_number.get(self.numbers.get(uid)?)
     }
 
-    /// The live job of that id.
+    /// The live job with this id, for changes.
     pub fn get_mut(&mut self, uid: &str) -> Option<&mut Job> {
         self.by_number.get_mut(self.numbers.get(uid)?)
     }
 
-    /// Adds a live job from its record, stored at this revision; returns its number.
+    /// Adds a live job from its record, which is stored at this revision; returns the job's number.
     pub fn add(&mut self, record: &JobRecord, mod_revision: u64) -> u32 {
         self.last_number += 1;
-        // A task that was reported before the job was known has numbered it: the ledger uses that number.
+        // If a task of the job was reported before the job was known, the job already has a number, which the
+        // worker ledger uses.
         let number = self
             .unknown_numbers
             .remove(&record.spec.uid)
@@ -340,15 +355,15 @@
         number
     }
 
-    /// Removes a job that is live no more.
+    /// Removes a job that is no longer live.
     pub fn remove(&mut self, uid: &str) -> Option<Job> {
         let number = self.numbers.remove(uid)?;
-        // Tasks of it that workers still report keep the number until the workers have dropped them.
+        // Workers may still report tasks of the job, for which it keeps its number.
         self.unknown_numbers.insert(uid.into(), number);
         self.by_number.remove(&number)
     }
 
-    /// Forgets the numbers of jobs that are not live, but for those that are in use.
+    /// Removes the numbers of jobs that are not live, except those in use.
     pub fn prune(&mut self, is_used: impl Fn(u32) -> bool) {
         self.unknown_numbers.retain(|_, number| is_used(*number));
     }
@@ -373,17 +388,18 @@
     }
 }
 
-/// Answers about finished jobs whose final states this node has read. Final states never change, so an answer
-/// can be kept for as long as there is capacity.
+/// Caches the answers to polls about finished jobs. Final states never change, so an answer stays valid until it
+/// is evicted.
 pub struct FinalStateCache {
+    /// The answers by job id.
     known: HashMap<String, Value>,
-    /// Job ids in the order in which they came.
+    /// Job ids in the order in which they were added.
     order: VecDeque<String>,
     jobs_max: usize,
 }
 
 impl FinalStateCache {
-    /// An empty cache for at most that many jobs.
+    /// Creates an empty cache for at most `jobs_max` jobs.
     pub fn new(jobs_max: usize) -> Self {
         Self {
             known: HashMap::default(),
@@ -392,12 +408,12 @@
         }
     }
 
-    /// The answer about a job, if it is known to be finished.
+    /// The answer about a finished job, if it is in the cache.
     pub fn get(&self, uid: &str) -> Option<&Value> {
         self.known.get(uid)
     }
 
-    /// Keeps the answer about a finished job, in place of the oldest if there are too many.
+    /// Adds the answer about a finished job, and evicts the oldest one if the cache is full.
     pub fn put(&mut self, uid: &str, body: Value) {
         if self.known.insert(uid.to_owned(), body).is_none() {
             self.order.push_back(uid.to_owned());
@@ -410,19 +426,19 @@
     }
 }
 
-/// The progress of the live jobs, as the leader last announced it.
+/// The progress of the live jobs as last announced by the leader.
 #[derive(Default)]
 pub struct JobProgress {
-    /// In the order of their ids.
+    /// One row per job, ordered by job id.
     rows: Vec<ProgressRow>,
 }
 
-/// The most rows of a progress frame: what a frame takes, less the sender's name.
+/// The maximum number of rows in a progress frame; 1,024 bytes of the frame are left for the sender's name.
 const PROGRESS_ROWS_MAX: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
 
 impl JobProgress {
-    /// What the leader announces of its live jobs, and how many of them do not fit a frame. Polls of those are
-    /// answered from the state service.
+    /// Encodes the progress of the live jobs for the leader's announcement. Returns the frame, and the number of
+    /// jobs that did not fit into it: polls for those are answered from the state service.
     pub fn encode_frame(rows: impl Iterator<Item = ProgressRow>) -> (Vec<u8>, usize) {
         let mut rows: Vec<ProgressRow> = rows.collect();
         let left_out = rows.len().saturating_sub(PROGRESS_ROWS_MAX);
@@ -430,8 +446,7 @@
         (rows.as_bytes().to_vec(), left_out)
     }
 
-    /// Takes an announcement of the leader, which replaces the one before. Bytes beyond the last whole row
-    /// are ignored.
+    /// Replaces the progress with a new announcement of the leader. An incomplete row at its end is ignored.
     pub fn replace(&mut self, body: &[u8]) {
         self.rows.clear();
         let rows = body.chunks_exact(size_of::<ProgressRow>());
@@ -440,7 +455,7 @@
         self.rows.sort_unstable_by_key(|row| row.uid);
     }
 
-    /// Adds a job that this node has just accepted, until the leader's next announcement.
+    /// Adds a job that this controller has just accepted; the leader's next announcement replaces the entry.
     pub fn add(&mut self, uid: &str) {
         if let Some(row) = ProgressRow::new(uid, 0, 0)
             && let Err(position) = self.rows.binary_search_by_key(&row.uid, |known| known.uid)
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,15 +1,22 @@
-//! Task assignment after E-Ant: pheromone per job class and machine type, draws in proportion to it,
-//! first fit within a type, jobs weighted by fairness. What goes beyond the paper is said at the
-//! place and in `docs/design.md`.
+//! Assigns tasks to machines with E-Ant, an ant-colony scheduling algorithm: each pair of a job
+//! class and a machine type has a pheromone level, the machine type of a task is drawn at random in
+//! proportion to it, the first machine of that type on which the task fits is used, and jobs are
+//! weighted by fairness. Numbers in parentheses, such as (3), and sections, such as IV.C, refer to
+//! the E-Ant paper. `docs/design.md` and the comments of the code say where the scheduler departs
+//! from it.
 //!
-//! The scheduler owns the pheromone, the free capacity, the learned run times and the reservations,
-//! all of one leader term. It does no I/O: it plans starts and stops in the worker ledger and in the
-//! jobs, and the caller stores and sends them. The same inputs and seed give the same decisions, so
-//! neither the order of draws nor that of floating-point operations may change unnoticed.
+//! The scheduler owns the pheromone levels, the free capacity, the learned run times and the
+//! reservations of one leader term. It does no I/O: it plans starts and stops in the worker ledger
+//! and in the jobs, and the caller stores them and sends the commands. The same inputs and the same
+//! seed must give the same decisions, so a change of the order of random draws or of floating-point
+//! operations changes behaviour.
 //!
-//! Submodules, from the lowest: `context`, `feasibility` and `unplaceable` know no state;
-//! `objectives`, `job_order`, `reservation` and `ranking` read it; `booking`, `aging` and `preempt`
-//! change it; `placement` runs a pass over all of them. `demand` and `wait_reason` only report.
+//! Submodules, in the order of their dependencies:
+//! - `context`, `feasibility` and `unplaceable` do not access the scheduler's state;
+//! - `objectives`, `job_order`, `reservation` and `ranking` read it;
+//! - `booking`, `aging` and `preempt` change it;
+//! - `placement` runs a scheduling pass with all of these;
+//! - `demand` and `wait_reason` read the state for autoscaling and for operators.
 
 mod aging;
 mod booking;
@@ -46,64 +53,64 @@
 pub use pheromone::{ClassKey, Pheromone, fairness_weight};
 use reservation::{AgedReservation, Reservation};
 
-/// The time over which the completion rate is averaged.
+/// Time constant of the exponentially weighted average of the completion rate.
 const COMPLETION_RATE_WINDOW_S: f64 = 8.0;
-/// The weight of the newest run in the learned ratio of real to estimated run time.
+/// Weight of the newest run in the learned ratio of actual to estimated run time.
 const RUN_RATIO_NEW_WEIGHT: f64 = 0.1;
-/// The weight of all runs before it.
+/// Weight of the ratio learned from all earlier runs.
 const RUN_RATIO_OLD_WEIGHT: f64 = 0.9;
-/// One run changes the learned ratio as if it had been no lower than this.
+/// Lower bound of the ratio of a single run.
 const RUN_RATIO_MIN: f64 = 0.1;
-/// One run changes the learned ratio as if it had been no higher than this.
+/// Upper bound of the ratio of a single run.
 const RUN_RATIO_MAX: f64 = 10.0;
-/// The least run time that is expected of any task.
+/// Lower bound of the expected run time of a task.
 const EXPECTED_RUN_TIME_MIN_S: f64 = 1.0;
-/// Prices are per hour, run times in seconds.
+/// Converts prices per hour to prices per second.
 const SECONDS_PER_HOUR: f64 = 3600.0;
 
 /// The scheduler of one leader term.
 pub struct Scheduler {
     pheromone: Pheromone,
-    /// The storage schema: it limits how many placements of a job can be stored.
+    /// The schema in which jobs are stored; it limits how many placements of a job can be stored.
     pub schema: Schema,
-    /// The draws of machine types.
+    /// Random generator for the draws of machine types.
     rng: SmallRng,
-    /// The paper's β (8).
+    /// The exponent β of the fairness weight, equation (8).
     fairness_exponent: f64,
-    /// The paper's ρ (4): the part of the pheromone that evaporates in a round.
+    /// The share ρ of the pheromone that evaporates in each round, equation (4).
     evaporation: f64,
     objectives: Vec<Objective>,
-    /// Real over estimated run time per class, learned.
+    /// Learned ratio of actual to estimated run time, by the job's class.
     run_ratio: HashMap<Arc<str>, f64>,
     round_length: Micros,
     next_round_at: Micros,
-    /// Capacity that is withheld from some of the work, by machine.
+    /// The reservation of each reserved machine.
     reservations: BTreeMap<Arc<str>, Reservation>,
-    /// What is free on each machine, and what each team uses.
+    /// The free capacity of each machine and the usage of each team.
     pub capacity: ClusterCapacity,
-    /// When the capacity of all machines is recomputed next.
+    /// When the availability of all machines is checked next.
     full_refresh_at: Micros,
-    /// When the next pass may preempt.
+    /// The earliest time of the next pass that may preempt tasks.
     next_preemption_at: Micros,
-    /// Jobs that wait for a machine that holds their image.
+    /// Numbers of the jobs that wait for capacity on a machine that has their image cached.
     waiting_for_image: HashSet<u32>,
-    /// First tasks of aged jobs, and when they were planned.
+    /// The first tasks placed for aged jobs, and when each was planned.
     aged_first_tasks: HashMap<TaskId, Micros>,
-    /// The machine reserved for each aged job, by job.
+    /// The machine reserved for each aged job, by job number.
     aged_reservations: BTreeMap<u32, AgedReservation>,
-    /// Cores a second that tasks left by ending, averaged at `completion_rate_at`.
+    /// Cores per second that ending tasks have freed, as averaged at `completion_rate_at`.
     completion_rate: f64,
     completion_rate_at: Micros,
-    /// How many cores of running work may be preempted at the moment; each preemption takes its
-    /// cores off.
+    /// How many cores of running tasks may still be preempted; each preemption subtracts the cores
+    /// of its task.
     pub preemption_allowance: f64,
-    /// Gigabytes a second by machine type.
+    /// Rate at which machines fetch images, in gigabytes per second, by machine type.
     fetch_rates: BTreeMap<String, f64>,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet, for a term that begins at `now` (steady clock). The
-    /// draws follow from the seed.
+    /// Creates the scheduler of a term that begins at `now` (steady clock), without learned values.
+    /// `seed` determines the random draws.
     pub fn new(
         props: &Properties,
         settings: &Settings,
@@ -135,7 +142,8 @@
         }
     }
 
-    /// Ends the pheromone round, the paper's (4) and (5), when it is due. Returns whether it did.
+    /// Ends the pheromone round if it is due, and returns whether it was. At the end of a round the
+    /// pheromone levels are updated by equations (4) and (5).
     pub fn end_round_if_due(&mut self, now: Micros, types: &[MachineType]) -> bool {
         let is_due = now >= self.next_round_at;
         if is_due {
@@ -146,8 +154,9 @@
         is_due
     }
 
-    /// Learns from a task that ended well after running for `ran`. Its cost, which takes the place
-    /// of the paper's energy (IV.B), is price × booked share of the machine × run time.
+    /// Updates the pheromone and the learned run time with a task that succeeded after running for
+    /// `ran`. Where the paper uses the energy of a task (IV.B), this uses its cost: price × share
+    /// of the machine that it requested × run time.
     pub fn learn_from_completion(
         &mut self,
         spec: &JobSpec,
@@ -175,9 +184,10 @@
         }
     }
 
-    /// Sets the completion rate from the tasks that are held, as if each ended once per expected
-    /// run time, and returns it. A new leader has seen no task end yet: without this it would
-    /// preempt for each task that waits, since nothing seems to come free.
+    /// Estimates the completion rate from the tasks on the machines, as if each freed its cores
+    /// once per expected run time; stores and returns the estimate. A new leader has not seen any
+    /// task end. With a completion rate of 0 it would preempt for every waiting task, as if no
+    /// capacity became free by itself.
     pub fn estimate_completion_rate(&mut self, now: Micros, workers: &WorkerLedger) -> f64 {
         let held = workers
             .machines
@@ -190,21 +200,21 @@
         self.completion_rate
     }
 
-    /// Notes that a task ended by itself and left its cores.
+    /// Adds a task that ended by itself, freeing this many cores, to the completion rate.
     pub fn record_completion(&mut self, now: Micros, cores: f64) {
         self.completion_rate = self.completion_rate(now) + cores / COMPLETION_RATE_WINDOW_S;
         self.completion_rate_at = now;
     }
 
-    /// The completion rate: cores a second that come free because tasks end by themselves, as an
-    /// exponentially weighted average of the last seconds.
+    /// The completion rate: cores per second that become free because tasks end by themselves, as
+    /// an exponentially weighted average over `COMPLETION_RATE_WINDOW_S`.
     pub fn completion_rate(&self, now: Micros) -> f64 {
         let age_s = to_secs(now.saturating_sub(self.completion_rate_at));
         self.completion_rate * (-age_s / COMPLETION_RATE_WINDOW_S).exp()
     }
 
-    /// How long a task of the job is expected to run: the user's estimate, corrected by what was
-    /// learned of the class.
+    /// How long a task of the job is expected to run: the user's estimate times the ratio of actual
+    /// to estimated run time that was learned for the job's class.
     pub fn expected_run_time(&self, spec: &JobSpec) -> Micros {
         let ratio = self.run_ratio.get(&spec.class).copied().unwrap_or(1.0);
         from_secs((spec.estimate_s * ratio).max(EXPECTED_RUN_TIME_MIN_S))
--- a/src/scheduler/aging.rs
+++ b/src/scheduler/aging.rs
@@ -1,8 +1,9 @@
-//! Aging: guards jobs against starvation. The first task of a job that has waited too long is placed
-//! before all other work, and where it fits nowhere a machine is reserved for it while the running
-//! tasks end by themselves.
+//! Aging: prevents starvation of jobs. The first task of a job that has waited too long is placed
+//! before the tasks of all other jobs. If it fits on no machine, a machine is reserved for it until
+//! enough of the running tasks there have ended.
 //!
-//! Never preempts, and never exceeds a quota. Gangs start whole, so nothing here is for them.
+//! Aging never preempts tasks and never exceeds a quota. It does not apply to gangs, whose tasks
+//! all start together.
 
 use super::Scheduler;
 use super::booking::{Placement, plan_tasks};
@@ -18,21 +19,23 @@
 use crate::worker_ledger::{Machine, WorkerLedger};
 use std::sync::Arc;
 
-/// Each job has to begin within that time (PROTOCOL, and the operators' requirement on the largest
-/// jobs).
+/// The time within which the first task of each job must start, required by the protocol
+/// specification (PROTOCOL) and, for the largest jobs, by the operators.
 const FIRST_START_DEADLINE: Micros = 240 * SECOND;
-/// A job is aged when it has waited for this long: half of the time within which it must begin.
+/// A job is aged when it has waited for this long: half of the time within which it must start.
 const AGED_AFTER: Micros = FIRST_START_DEADLINE / 2;
-/// A start counts when no command stops the task within 30 s (PROTOCOL): the first task of an aged
-/// job is not preempted before.
+/// The first task of an aged job is not preempted before it has run for this long: by the
+/// protocol specification (PROTOCOL) a start counts only if no command stops the task within 30 s.
 pub(super) const FIRST_TASK_PROTECTION: Micros = 32 * SECOND;
-/// A first task is protected no longer than this after it was planned, even if it never ran.
+/// The protection of a first task ends at the latest this long after the task was planned, even if
+/// it never ran.
 const FIRST_TASK_PROTECTION_MAX: Micros = 180 * SECOND;
-/// At most the machines divided by this, and always one, are reserved at a time.
+/// The maximum number of machines reserved for aged jobs at a time is the number of machines
+/// divided by this, but at least one.
 const AGED_RESERVATIONS_DIVISOR: usize = 32;
 
-/// A job of which nothing has started for too long. The order of the fields is that of service: the
-/// oldest first.
+/// A job of which no task has started for too long. The derived order, by the fields in their
+/// order, is the order in which aged jobs are served: the oldest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AgedJob {
     waiting_since: Micros,
@@ -41,10 +44,10 @@
 }
 
 impl Scheduler {
-    /// Places the first task of each aged job before all other work, the oldest job first. Served
-    /// only by what is gained for the work left, the largest jobs of the lowest class would wait for
-    /// as long as smaller ones come. One task of each costs the others little; the rest of the job
-    /// waits for its turn as before.
+    /// Places the first task of each aged job before the tasks of all other jobs, the oldest job
+    /// first. In queue order alone, which favours jobs with little remaining work, the largest jobs
+    /// of the lowest tier would wait for as long as smaller jobs arrive. Placing one task of each
+    /// aged job costs the other jobs little; its other tasks are placed in queue order.
     pub(super) fn place_aged_jobs(
         &mut self,
         pass: &PassContext,
@@ -63,7 +66,7 @@
             };
             let spec = job.spec.clone();
             if !self.is_within_quota(pass.settings, &spec) || unplaceable.covers(&spec) {
-                // Capacity that its team may not use is not withheld from others.
+                // The team may not use the capacity now, so it is not withheld from other jobs.
                 self.release_aged_reservation(number);
                 continue;
             }
@@ -92,7 +95,7 @@
         placed
     }
 
-    /// Drops the reservations of jobs that have started or are over.
+    /// Releases the reservations of jobs that are no longer aged: they have started or finished.
     fn release_reservations_of_started_jobs(&mut self, aged_jobs: &[AgedJob]) {
         let is_aged = |number: &u32| aged_jobs.iter().any(|aged| aged.number == *number);
         let reserved = self.aged_reservations.keys().copied();
@@ -102,7 +105,7 @@
         }
     }
 
-    /// Drops the reservation of an aged job, if it has one.
+    /// Releases the reservation of an aged job, if it has one.
     fn release_aged_reservation(&mut self, number: u32) {
         if let Some(aged) = self.aged_reservations.remove(&number)
             && self
@@ -114,10 +117,10 @@
         }
     }
 
-    /// Reserves the machine on which a task of the job should fit the soonest, and from then on
-    /// renews that reservation. Without it, what comes free is taken in small parts by whatever is
-    /// small, and a task that needs most of a machine never fits. Nothing is preempted for it and it
-    /// counts towards no quota: a leader that ends leaves nothing of it.
+    /// Reserves the machine on which a task of the job is expected to fit first, or renews the
+    /// reservation that the job already has. Without a reservation, small tasks take up capacity as
+    /// soon as it becomes free, and a task that needs most of a machine never fits. Nothing is
+    /// preempted for the reservation, and it counts towards no quota. It is lost with the leader.
     fn renew_aged_reservation(&mut self, pass: &PassContext, job: &Job, workers: &WorkerLedger) {
         let now = pass.now.steady;
         let may_serve = |machine: &Machine| {
@@ -160,6 +163,7 @@
             .insert(job.number, AgedReservation { machine, ready_at });
     }
 
+    /// Reserves a machine for an aged job, or renews the reservation.
     fn reserve_for_aged(&mut self, machine: Arc<str>, ready_at: Micros, now: Micros) {
         let reservation = Reservation {
             reserved_for: ReservedFor::AgedJob,
@@ -169,8 +173,9 @@
         self.reservations.insert(machine, reservation);
     }
 
-    /// When a task should fit on the machine, if what runs there ends as expected and nothing more
-    /// comes; None where it never does.
+    /// When a task of the job is expected to fit on the machine if the running tasks end as
+    /// expected and no others are placed there; `None` if it cannot fit, or if the size of a
+    /// running task is unknown.
     fn machine_ready_at(
         &self,
         now: Micros,
@@ -190,7 +195,8 @@
             let held = entry.spec.as_ref()?;
             free.subtract(held);
             let run = self.expected_run_time(held);
-            // What has run for longer than expected is taken to run for half as long again.
+            // A task that has run for longer than expected is assumed to need half of its expected
+            // run time more.
             let left = match entry.running_since {
                 Some(since) if now < since + run => since + run - now,
                 Some(_) => run / 2,
@@ -211,7 +217,7 @@
     }
 }
 
-/// The jobs of which nothing has started for too long, the oldest first.
+/// The jobs of which no task has started for too long, the oldest first.
 fn aged_jobs(wall: Micros, queue: &[QueuedJob], table: &JobTable) -> Vec<AgedJob> {
     let is_aged = |job: &Job| {
         job.spec.kind != JobKind::Gang
--- a/src/scheduler/booking.rs
+++ b/src/scheduler/booking.rs
@@ -1,8 +1,8 @@
-//! Finds machines for the tasks of one job and books them, first in the free capacity alone, then
-//! in the worker ledger and the job.
+//! Finds machines for the tasks of one job and books them.
 //!
-//! A booking can be undone until [`plan_tasks`] has turned it into a [`Placement`]. Nothing here is
-//! sent to a machine: a start goes out only after the placement is stored.
+//! A [`Booking`] takes the capacity for a task and marks the task as placed in its job; it can be
+//! undone. [`plan_tasks`] then turns bookings into [`Placement`]s, which are entered in the worker
+//! ledger. No command is sent from here: a task is started only after its placement is stored.
 
 use super::Scheduler;
 use super::context::PassContext;
@@ -17,10 +17,10 @@
 use crate::worker_ledger::WorkerLedger;
 use std::sync::Arc;
 
-/// Stands for the attempt of a booked task, which has no number before it is planned.
+/// Placeholder for the attempt number of a booked task, which gets its number when it is planned.
 const PROVISIONAL_ATTEMPT: u64 = u64::MAX;
 
-/// A start that is planned in the worker ledger and in the job, and not yet stored or sent.
+/// A planned start: entered in the worker ledger and in the job, but neither stored nor sent yet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// The machine that the task is to run on.
@@ -31,7 +31,7 @@
     pub attempt: u64,
 }
 
-/// A task for which a machine was found, with its capacity taken.
+/// A task for which capacity on a machine is taken.
 pub(super) struct Booking {
     /// Index of the task in its job.
     index: u32,
@@ -39,7 +39,7 @@
 }
 
 impl Scheduler {
-    /// Whether the team of the job may use the capacity for one more task.
+    /// Whether one more task of the job is within the quota of its team.
     pub(super) fn is_within_quota(&self, settings: &Settings, spec: &JobSpec) -> bool {
         let usage = self.capacity.team_usage(&spec.team);
         let Some(team) = settings.team(&spec.team) else {
@@ -50,9 +50,9 @@
                 || usage.accelerators + spec.accelerators <= team.gpus_max + EPSILON)
     }
 
-    /// Finds machines for as many waiting tasks as fit, and books them in the free capacity and in
-    /// the job. Each task draws its machine type by pheromone, the paper's (3), and takes the first
-    /// machine of that type in its order.
+    /// Books machines for as many waiting tasks of the job as fit. For each task a machine type is
+    /// drawn in proportion to the pheromone levels, equation (3), and the first machine of that
+    /// type is used.
     pub(super) fn find_machines(
         &mut self,
         pass: &PassContext,
@@ -64,8 +64,9 @@
         let class = ClassKey::of(&spec);
         let mut queues = self.candidate_machines(pass, job, query, workers);
         let mut bookings = Vec::new();
-        // Every placement stands in the stored values of the job, which are few and small: a job
-        // too wide for them runs as many tasks at a time as fit.
+        // All placements are stored in the job's header and chunks, whose number and size are
+        // limited. A job with more tasks than fit there runs only as many at a time as can be
+        // stored.
         let mut bytes_left = job.placement_bytes_left(&self.schema);
         let tasks_max = job.trial_tasks.map_or(usize::MAX, |tasks| tasks as usize);
         while let Some(index) = job.next_pending() {
@@ -99,8 +100,8 @@
         bookings
     }
 
-    /// Removes from the front of each queue the machines that no longer fit a task or are no longer
-    /// allowed: they stay so for this pass.
+    /// Removes the machines at the front of each queue (the end of its vector) on which a task no
+    /// longer fits or is no longer allowed; neither changes back during a pass.
     fn drop_unfit_machines(&self, queues: &mut MachineQueues, job: &Job, workers: &WorkerLedger) {
         for queue in queues.values_mut() {
             while let Some((_, id)) = queue.last() {
@@ -116,7 +117,7 @@
         queues.retain(|_, queue| !queue.is_empty());
     }
 
-    /// Gives the booked capacity back; the tasks wait again.
+    /// Undoes the bookings: returns their capacity and makes the tasks pending again.
     pub(super) fn undo_bookings(&mut self, job: &mut Job, bookings: &mut Vec<Booking>) {
         let spec = job.spec.clone();
         for Booking { index, machine } in bookings.drain(..) {
@@ -126,8 +127,8 @@
     }
 }
 
-/// Plans the booked tasks in the worker ledger and in the job. Each gets an attempt number of its
-/// own, unless there is a common one: the tasks of a gang know each other by it.
+/// Plans the booked tasks in the worker ledger and in the job. Each task gets its own attempt
+/// number, or `common_attempt` if that is set: the tasks of a gang identify each other by it.
 pub(super) fn plan_tasks(
     now: Micros,
     job: &mut Job,
--- a/src/scheduler/context.rs
+++ b/src/scheduler/context.rs
@@ -1,24 +1,22 @@
-//! The inputs of one scheduler pass that stay the same while it runs.
-//!
-//! Owns nothing: it borrows the settings and the machine types from the caller and carries the time
-//! at which the pass began, so that all decisions of a pass are made for the same moment.
+//! The inputs that stay constant during one scheduler pass: the settings, the machine types and the
+//! time at which the pass began, so that all decisions of a pass use the same time.
 
 use crate::clock::{Micros, Now};
 use crate::settings::Settings;
 use crate::wire::MachineType;
 
-/// A machine without a heartbeat for this many report periods takes no new tasks.
+/// A machine gets no new tasks after this many report periods without a heartbeat.
 const HEARTBEAT_GRACE_REPORT_PERIODS: u64 = 3;
 
-/// How long after its last heartbeat a machine may still be given new tasks.
+/// How long after its last heartbeat a machine may still get new tasks.
 pub fn heartbeat_grace_period(settings: &Settings) -> Micros {
     settings.report_period() * HEARTBEAT_GRACE_REPORT_PERIODS
 }
 
-/// The time of a pass and the configuration that it works with.
+/// The time and the configuration of a scheduler pass.
 #[derive(Clone, Copy)]
 pub(super) struct PassContext<'a> {
-    /// The moment at which the pass began, on both clocks.
+    /// When the pass began, on the steady clock and as time of day.
     pub(super) now: Now,
     /// The settings of this controller.
     pub(super) settings: &'a Settings,
@@ -29,7 +27,7 @@
 }
 
 impl<'a> PassContext<'a> {
-    /// The context of a pass that begins now.
+    /// The context of a pass that begins at `now`.
     pub(super) fn new(now: Now, settings: &'a Settings, types: &'a [MachineType]) -> Self {
         Self {
             now,
--- a/src/scheduler/demand.rs
+++ b/src/scheduler/demand.rs
@@ -1,7 +1,7 @@
-//! The demand for more machines: what of the waiting work would not fit on the machines that are
-//! there or booting.
+//! Computes the demand for more machines: the waiting tasks that do not fit on the machines that
+//! are registered or booting.
 //!
-//! Reads only; whether machines are rented for it is decided elsewhere.
+//! Changes no state; the autoscaler decides whether machines are rented for the demand.
 
 use super::Scheduler;
 use super::feasibility::is_type_allowed;
@@ -15,9 +15,9 @@
 use crate::worker_ledger::WorkerLedger;
 use std::sync::Arc;
 
-/// A machine that was silent for less than this is expected to be usable again.
+/// A machine whose last heartbeat is no older than this is expected to become usable again.
 const SILENCE_TOLERANCE: Micros = 60 * SECOND;
-/// The most tasks that one machine is taken to hold.
+/// Upper bound of the number of tasks that one machine is assumed to hold.
 const TASKS_PER_MACHINE_MAX: u64 = 1 << 20;
 
 /// Tasks of one job that do not fit.
@@ -26,17 +26,20 @@
     tasks: u64,
 }
 
-/// The work that does not fit on the machines that are there or booting, and what they have left.
+/// The waiting tasks that do not fit on the registered and booting machines, and the capacity that
+/// these machines have left.
 pub struct Demand {
     unplaced: Vec<UnplacedTasks>,
-    /// Cores that would be free once all that fits had started, with those of booting machines.
+    /// Cores that would still be free after all waiting tasks that fit had started, including those
+    /// of booting machines.
     pub free_cores: f64,
     /// Cores of all machines in the cluster.
     pub total_cores: f64,
 }
 
 impl Demand {
-    /// How many machines of this type, zone and rental kind the unplaced work would fill.
+    /// How many machines of this type, zone and rental kind (spot or not) the tasks that do not fit
+    /// would fill.
     pub fn machines_needed(&self, machine_type: &MachineType, zone: &str, spot: bool) -> u32 {
         let mut machines = 0.0;
         for UnplacedTasks { spec, tasks } in &self.unplaced {
@@ -53,9 +56,9 @@
 }
 
 impl Scheduler {
-    /// The waiting work that does not fit on the machines that are there or booting. `booting` has
-    /// the machine type of each machine that was rented and has not reported yet, and whether it is
-    /// a spot machine.
+    /// Computes which waiting tasks do not fit on the registered and booting machines. `booting`
+    /// lists each machine that was rented and has not sent a heartbeat yet: its machine type, and
+    /// whether it is a spot machine.
     pub fn unmet_demand(
         &self,
         now: Micros,
@@ -102,7 +105,8 @@
         }
     }
 
-    /// What is free, or soon will be, on each machine that is there or booting.
+    /// The capacity that is free, or is expected to be free soon, on each registered or booting
+    /// machine.
     fn expected_capacity(
         &self,
         now: Micros,
@@ -117,7 +121,7 @@
             let entry = self.capacity.machines.get(&machine.id);
             match entry.and_then(|entry| entry.free) {
                 Some(free) => expected.push(free),
-                // A machine that is silent for a moment is capacity that will be there.
+                // A machine that has just missed heartbeats is expected to be usable again soon.
                 None if machine.is_usable(now, SILENCE_TOLERANCE) => {
                     expected.extend(free_resources(machine, types));
                 }
@@ -133,7 +137,7 @@
     }
 }
 
-/// Fits the tasks into the free capacity, first fit; returns how many are left.
+/// Subtracts the tasks from the free capacity, first fit; returns how many of them do not fit.
 fn fill(free: &mut [Resources], spec: &JobSpec, mut tasks: u64) -> u64 {
     for machine in free {
         while tasks > 0 && machine.fits(spec) {
--- a/src/scheduler/feasibility.rs
+++ b/src/scheduler/feasibility.rs
@@ -1,5 +1,6 @@
-//! Whether a job can run at all on the machine types that the provider offers, within the limits of
-//! its team. Depends on the submission and the configuration alone, not on what is running.
+//! Checks whether a job can ever run, given the machine types that the provider offers and the
+//! quota of its team. Depends only on the submission and the configuration, not on the running
+//! tasks.
 
 use crate::capacity::{EPSILON, Resources};
 use crate::settings::{Settings, Team};
@@ -12,7 +13,7 @@
         .is_none_or(|types| types.iter().any(|allowed| allowed == machine_type))
 }
 
-/// The reason why a job can never run, as it is told to the user who submitted it; None if it can.
+/// The reason why a job can never run, as returned to the user who submitted it; `None` if it can.
 pub fn impossible_reason(
     spec: &JobSpec,
     types: &[MachineType],
@@ -26,7 +27,7 @@
         .or_else(|| unspreadable(spec, settings))
 }
 
-/// The reason if the tasks that must run at the same time exceed the limits of their team.
+/// The reason if the tasks that must run at the same time exceed the quota of their team.
 fn over_team_limit(spec: &JobSpec, team: &Team) -> Option<String> {
     let tasks_at_once = if spec.kind == JobKind::Array {
         1.0
@@ -48,7 +49,7 @@
     None
 }
 
-/// The reason if no allowed machine type has the size of a task and is offered in the job's zone.
+/// The reason if no allowed machine type is large enough for a task and offered in the job's zone.
 fn no_fitting_type(spec: &JobSpec, types: &[MachineType], settings: &Settings) -> Option<String> {
     if let Some(zone) = &spec.zone
         && !settings.deployment.zones.is_empty()
@@ -70,8 +71,9 @@
     None
 }
 
-/// The reason if the tasks must be spread over zones and only one is allowed. The tasks of an array
-/// may run one at a time; those of other kinds run side by side.
+/// The reason if the tasks must be spread over zones but only one zone is allowed. The tasks of an
+/// array job may run one at a time, so they are exempt; the tasks of other jobs run at the same
+/// time.
 fn unspreadable(spec: &JobSpec, settings: &Settings) -> Option<String> {
     let one_zone = spec.one_zone || spec.zone.is_some() || settings.deployment.zones.len() == 1;
     (spec.spread && one_zone && spec.kind != JobKind::Array && spec.tasks > 1)
--- a/src/scheduler/job_order.rs
+++ b/src/scheduler/job_order.rs
@@ -1,8 +1,7 @@
-//! The order in which jobs are served: by tier first, then by the fairness weight of the paper and
-//! by what is gained for the work left.
+//! The order in which jobs are served: first by tier, then by the fairness weight of the E-Ant
+//! paper times the gain per remaining work (see `objectives`).
 //!
-//! Reads the job table and decides nothing else: the order says who is asked first, never which
-//! machine a task gets.
+//! Changes no state. The order determines which job is placed first, not which machine a task gets.
 
 use super::context::PassContext;
 use super::pheromone::fairness_weight;
@@ -18,11 +17,13 @@
 /// first, and only tasks of a lower tier are preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum Tier {
-    /// Normal and low priority without an objective that can still be met.
+    /// Low or normal priority with no objective that can still be met. A job of normal priority
+    /// without any objective is in `Normal`.
     BestEffort,
     /// Low priority with an objective that can still be met.
     Low,
-    /// Normal priority with an objective that can still be met. The lowest tier that may preempt.
+    /// Normal priority with an objective that can still be met, or with none. The lowest tier for
+    /// which tasks are preempted.
     Normal,
     /// Within the guaranteed cores of the job's team.
     Guaranteed,
@@ -32,43 +33,43 @@
     Production,
 }
 
-/// A job that has a task to start, with its tier.
+/// A job that has tasks to start, with its tier.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QueuedJob {
     /// Number of the job in the job table.
     pub(super) number: u32,
-    /// The tier it is served in.
+    /// The tier in which it is served.
     pub(super) tier: Tier,
 }
 
 /// The result of ordering the jobs at the start of a pass.
 pub(super) struct JobOrder {
-    /// Jobs with a task that may start now, the one to be served first in front.
+    /// Jobs with a task that may start now, in the order in which they are served.
     pub(super) queue: Vec<QueuedJob>,
-    /// The tier of each live job, also of those with nothing to start, by job number. Jobs that
-    /// are being cancelled or that wait for other jobs have none.
+    /// The tier of each live job by job number, including jobs with no task to start. Cancelled
+    /// jobs and jobs that wait for other jobs have no tier.
     pub(super) tiers: HashMap<u32, Tier>,
 }
 
-/// What decides the place of a job in the queue.
+/// The properties that determine the position of a job in the queue.
 struct RankedJob {
     number: u32,
     tier: Tier,
-    /// The fairness weight η^β of the paper's (8), times the gain per remaining work.
+    /// The fairness weight η^β, equation (8), times the gain per remaining work.
     weight: f64,
     waiting_since: Micros,
     has_task_to_start: bool,
 }
 
 impl Scheduler {
-    /// Orders the live jobs; `total_cores` is the size of the cluster.
+    /// Orders the live jobs. `total_cores` are the cores of all machines.
     pub(super) fn job_order(
         &self,
         pass: &PassContext,
         table: &JobTable,
         total_cores: f64,
     ) -> JobOrder {
-        // What waits for other jobs is no work yet, and its team is owed nothing for it.
+        // Jobs that wait for other jobs have nothing to start and get no share of the cluster.
         let jobs = table.by_number.values();
         let live: Vec<&Job> = jobs
             .filter(|job| !job.cancelled && !job.waits_for_dependencies())
@@ -120,7 +121,7 @@
     }
 }
 
-/// The cores that the settings guarantee to a team; 0 for an unknown one.
+/// The cores that the settings guarantee to a team; 0 for an unknown team.
 pub(super) fn guaranteed_cores(settings: &Settings, team: &str) -> f64 {
     settings.team(team).map_or(0.0, |team| team.cpus)
 }
@@ -136,7 +137,8 @@
     }
 }
 
-/// Jobs that fit into their team's guarantee together with the team's earlier unfinished jobs.
+/// The jobs that fit into their team's guarantee together with all earlier unfinished jobs of the
+/// team.
 fn jobs_within_guarantee(live: &[&Job], settings: &Settings) -> HashSet<u32> {
     let mut by_age: Vec<&&Job> = live.iter().collect();
     by_age.sort_by_key(|job| (job.waiting_since(), job.number));
--- a/src/scheduler/objectives.rs
+++ b/src/scheduler/objectives.rs
@@ -1,7 +1,7 @@
-//! The service objectives of a job class, as far as they bear on a job: how much time is left, what
-//! is gained by serving it, and what a fetch of its image means for them.
+//! Applies the service objectives of job classes to a job: the time left for them, the gain of
+//! serving the job now, and whether an image fetch would make it miss them.
 //!
-//! Objectives come from the settings (`objectives`). Nothing here changes state.
+//! The objectives are configured in the settings (`objectives`). This module changes no state.
 
 use super::Scheduler;
 use super::context::PassContext;
@@ -12,33 +12,34 @@
 use crate::settings::Objective;
 use crate::wire::Priority;
 
-/// What a running task counts for in the remaining work, against one that waits: it is mostly paid
-/// for.
+/// Weight of a running task in the remaining work, relative to a waiting one: most of the resources
+/// that it needs are already allocated.
 const RUNNING_TASK_WORK_SHARE: f64 = 0.2;
-/// Tasks that ask for fewer cores count as this many in the remaining work.
+/// Lower bound of the cores with which a task counts in the remaining work.
 const WORK_CORES_MIN: f64 = 0.1;
-/// The gain of a job without an objective that can still be met.
+/// The gain of serving a job that has no objective that can still be met.
 const BASE_GAIN: f64 = 0.05;
-/// Added to the remaining work; bounds the weight of the smallest jobs.
+/// Added to the remaining work, to bound the weight of jobs with little work.
 const WORK_OFFSET_CORE_S: f64 = 20.0;
-/// The slack at which the gain of an objective has fallen to half.
+/// The slack at which the gain of an objective is half of that at no slack.
 const GAIN_HALF_SLACK_S: f64 = 60.0;
 
-/// A fetch is expected to take this many times as long as at the full rate of the machine type.
+/// An image fetch is expected to take this many times as long as at the full fetch rate of the
+/// machine type.
 pub(super) const FETCH_TIME_FACTOR: f64 = 1.2;
-/// Slack is ample if it is this many times the fetch.
+/// Slack is ample if it is at least this many times the duration of the image fetch.
 const AMPLE_SLACK_FACTOR: f64 = 3.0;
 
-/// The kinds of objectives that the scheduler knows; the settings may name others.
+/// The kinds of objectives that the scheduler supports. It ignores other kinds in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ObjectiveKind {
-    /// Done within a multiple of the job's own deadline, counted from the submission.
+    /// The job is done within a multiple of its own deadline, counted from its acceptance.
     Deadline,
-    /// Done within a time from when the job could start.
+    /// The job is done within a given time after it was ready to start.
     Finished,
-    /// Started within a time from when the job could start.
+    /// The job starts within a given time after it was ready to start.
     Wait,
-    /// Started within a time while within the team's guarantee.
+    /// The job starts within a given time while it is within its team's guarantee.
     Guarantee,
 }
 
@@ -54,43 +55,44 @@
     }
 }
 
-/// How much a job gains by being served now.
+/// How much is gained by serving a job now.
 pub(super) struct Urgency {
-    /// Whether an objective can still be met. Also true of a job without objectives, unless its
-    /// priority is low.
+    /// Whether an objective can still be met. For a job without objectives: whether its priority is
+    /// above low.
     pub(super) is_reachable: bool,
     /// Gain per core-second of remaining work.
     pub(super) gain_per_work: f64,
 }
 
-/// An objective that applies to a job, and the time left for it.
+/// An objective that applies to a job, and its slack.
 struct ObjectiveSlack {
     kind: ObjectiveKind,
-    /// Seconds left for the start of the job; below 0 the objective is missed.
+    /// Seconds until the job must start to meet the objective; negative if the objective is missed.
     slack_s: f64,
 }
 
-/// What a fetch of its image means for a job.
+/// How the duration of an image fetch compares with the slack of a job's objectives.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum FetchPressure {
-    /// The fetch would make the job miss an objective.
+    /// The fetch would make the job miss an objective for its start or its deadline.
     TooSlow,
-    /// Neither of the others.
+    /// Neither `TooSlow` nor `Ample`.
     Tolerable,
-    /// The job has so much time that it may bring its image to a machine without it.
+    /// The slack of all objectives is ample, so that the job may use machines without its image.
     Ample,
 }
 
 impl Scheduler {
-    /// Whether an objective of the job can still be met, and how much is gained for the work left:
-    /// with scarce capacity, serving small remainders first meets the most objectives.
+    /// Whether an objective of the job can still be met, and the gain per remaining work of serving
+    /// it. When capacity is scarce, serving jobs with little remaining work first meets the most
+    /// objectives.
     ///
-    /// The slack is not taken from [`Scheduler::slacks`]: the terms are subtracted in another order
-    /// there, and a last digit may decide which job goes first.
+    /// The slack is not taken from [`Scheduler::slacks`], which subtracts the terms in another
+    /// order: a different rounding of the result could change the order of the jobs.
     pub(super) fn urgency(&self, job: &Job, wall: Micros) -> Urgency {
         let age = to_secs(wall.saturating_sub(job.waiting_since()));
         let run = to_secs(self.expected_run_time(&job.spec));
-        // What must still be given to it; what already runs is mostly paid for.
+        // The remaining work, in core-seconds.
         let waiting = job.pending_count as f64;
         let running = job.remaining_tasks() as f64 - waiting;
         let work = (waiting + RUNNING_TASK_WORK_SHARE * running)
@@ -106,14 +108,15 @@
                 gain += 1.0 / (1.0 + slack / GAIN_HALF_SLACK_S);
             }
         };
-        // The deadline of the jobs that need it, less what they will take.
+        // The time by which this job must be done so that its dependents can meet their deadlines.
         if let Some(due) = job.due_at {
             count(to_secs(due) - to_secs(wall) - run);
         }
         for objective in self.objectives.iter().filter(|o| is_of_class(o, job)) {
             let (limit, needed) = match ObjectiveKind::of(objective) {
                 Some(ObjectiveKind::Deadline) => match job.spec.deadline_s {
-                    // Counted from the submission, however long the job waited for others.
+                    // The deadline counts from the acceptance, also while the job waited for its
+                    // dependencies; `age` does not include that wait.
                     Some(deadline) => (
                         deadline * objective.times.unwrap_or(1.0)
                             - to_secs(job.waiting_since() - job.accepted_at),
@@ -128,8 +131,9 @@
             count(limit - age - needed);
         }
         if !has_objective {
-            // Nothing says when the job should be done: low priority then fills idle capacity. It
-            // would otherwise occupy, for long, what jobs with an objective need a moment later.
+            // There is no time by which the job should be done. With low priority it only uses idle
+            // capacity; otherwise it could occupy for a long time capacity that jobs with
+            // objectives need soon after.
             return Urgency {
                 is_reachable: job.priority() > Priority::Low,
                 gain_per_work: BASE_GAIN / (WORK_OFFSET_CORE_S + work),
@@ -141,8 +145,8 @@
         }
     }
 
-    /// The seconds that each objective of a job in this tier leaves for its start; below 0 the
-    /// objective is missed.
+    /// For each objective of a job in this tier, the seconds until the job must start to meet it;
+    /// negative if the objective is missed.
     pub(super) fn objective_slacks_s(
         &self,
         job: &Job,
@@ -152,6 +156,7 @@
         self.slacks(job, tier, wall).map(|slack| slack.slack_s)
     }
 
+    /// The slack of each objective that applies to a job in this tier.
     fn slacks(&self, job: &Job, tier: Tier, wall: Micros) -> impl Iterator<Item = ObjectiveSlack> {
         let age = to_secs(wall.saturating_sub(job.waiting_since()));
         let waited = to_secs(job.waiting_since() - job.accepted_at);
@@ -176,7 +181,7 @@
         })
     }
 
-    /// How a fetch of the image compares with the objectives that the job can still meet.
+    /// How the duration of an image fetch compares with the slack of the job's objectives.
     pub(super) fn fetch_pressure(
         &self,
         pass: &PassContext,
@@ -198,7 +203,7 @@
             objectives += 1;
             ample += u32::from(slack_s >= AMPLE_SLACK_FACTOR * fetch_s);
         }
-        // Of a job without objectives nothing is known, least of all that it has time.
+        // For a job without objectives, nothing shows that it can wait for a fetch.
         if objectives > 0 && ample == objectives {
             FetchPressure::Ample
         } else {
@@ -207,6 +212,7 @@
     }
 }
 
+/// Whether the objective is configured for the class of the job.
 fn is_of_class(objective: &Objective, job: &Job) -> bool {
     objective.class.as_deref() == Some(&*job.spec.class)
 }
--- a/src/scheduler/pheromone.rs
+++ b/src/scheduler/pheromone.rs
@@ -1,9 +1,10 @@
-//! The learned preference of each job class for the machine types, after E-Ant: pheromone by class
-//! and type, equations (3) to (5) of the paper, and the fairness weight, equation (7).
+//! The learned preference of each job class for the machine types: pheromone levels by class and
+//! type, equations (3) to (5) of the E-Ant paper, and the fairness weight, equation (7).
 //!
-//! Owns the pheromone alone. It grows with the cost efficiency of tasks that ended well and decays
-//! once a round; nothing of it is stored, so that a new leader starts from equal values. Draws take
-//! the random generator from outside, so that a run can be repeated from its seed.
+//! A pheromone level rises with the cost efficiency of tasks that succeed on the machine type, and
+//! a share of it evaporates in each round. The levels are not stored: a new leader starts with
+//! equal levels. The caller passes the random generator for the draws, so that a run can be
+//! repeated from its seed.
 
 use crate::seeded_hash::HashMap;
 use crate::wire::JobSpec;
@@ -11,17 +12,18 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Pheromone never falls below this, so that every type is drawn now and then.
+/// Lower bound of a pheromone level, so that every machine type is still drawn occasionally.
 const PHEROMONE_MIN: f64 = 0.05;
-/// Pheromone of a type that nothing is known of.
+/// Pheromone level of a machine type on which no task of the class has succeeded yet.
 const PHEROMONE_INITIAL: f64 = 1.0;
+/// Bounds of the fairness weight.
 const FAIRNESS_WEIGHT_MIN: f64 = 0.1;
 const FAIRNESS_WEIGHT_MAX: f64 = 10.0;
-/// Sizes are compared in thousandths.
+/// Task sizes are rounded to thousandths (of a core, GB or accelerator) to compare them.
 const SIZE_SCALE: f64 = 1000.0;
 
-/// Identifies a class of jobs that share their pheromone: those alike in image and size (the
-/// paper's job-level exchange).
+/// Identifies a class of jobs that share pheromone levels: jobs with the same image and the same
+/// task size (the job-level exchange of the paper). Not the class that the user gives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ClassKey {
     image: Arc<str>,
@@ -43,14 +45,15 @@
     }
 }
 
-/// A task that ended well in the current round.
+/// A task that succeeded in the current round.
 struct FinishedTask {
     machine_type: String,
-    /// What it cost, in the provider's currency.
+    /// The cost of its run, in the provider's currency.
     cost: f64,
 }
 
-/// The pheromone τ of each class and machine type, and what finished in the current round.
+/// The pheromone level τ of each job class and machine type, and the tasks that succeeded in the
+/// current round.
 #[derive(Default)]
 pub struct Pheromone {
     levels: HashMap<ClassKey, BTreeMap<String, f64>>,
@@ -58,7 +61,7 @@
 }
 
 impl Pheromone {
-    /// The pheromone of a class for a machine type; 1 while nothing is known.
+    /// The pheromone level of a class for a machine type; 1 while nothing has been learned.
     pub fn level(&self, class: &ClassKey, machine_type: &str) -> f64 {
         self.levels
             .get(class)
@@ -67,8 +70,8 @@
             .unwrap_or(PHEROMONE_INITIAL)
     }
 
-    /// Records that a task of the class ended well on a machine of the type, at this cost. A cost
-    /// that is not positive and finite says nothing and is ignored.
+    /// Records that a task of the class succeeded on a machine of the type, at this cost. A cost
+    /// that is not positive and finite is ignored.
     pub fn record_completion(&mut self, class: ClassKey, machine_type: &str, cost: f64) {
         if cost > 0.0 && cost.is_finite() {
             self.finished_tasks
@@ -81,8 +84,8 @@
         }
     }
 
-    /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), equations (4) and (5), for the
-    /// classes of which a task finished in it. `rho` is the share that evaporates.
+    /// Ends a round: τ ← (1 − ρ)·τ + ρ · Σ (mean cost / cost), equations (4) and (5), for each
+    /// class of which a task succeeded in the round. `rho` is the share that evaporates.
     pub fn end_round(&mut self, rho: f64, machine_types: &[String]) {
         for (class, tasks) in std::mem::take(&mut self.finished_tasks) {
             let mean = tasks.iter().map(|task| task.cost).sum::<f64>() / tasks.len() as f64;
@@ -103,8 +106,8 @@
         }
     }
 
-    /// Draws one of the machine types, each with a chance in proportion to its pheromone, equation
-    /// (3); `None` if there is none to draw from.
+    /// Draws one of the machine types at random, with probabilities proportional to their pheromone
+    /// levels, equation (3); `None` if `machine_types` is empty.
     pub fn draw<'a>(
         &self,
         class: &ClassKey,
@@ -122,13 +125,14 @@
                 return Some(machine_type);
             }
         }
-        // Rounding may leave a rest.
+        // Rounding errors may leave a small remainder after the last type.
         machine_types.last().copied()
     }
 }
 
-/// The fairness weight η, equation (7): above 1 while a job holds less than it is owed. `owed` and
-/// `held` are the cores of the job, `all` those of the cluster.
+/// The fairness weight η, equation (7): above 1 while a job holds fewer cores than its fair share.
+/// `owed` is the fair share of the job in cores, `held` the cores that it holds, and `all` the
+/// cores of the cluster.
 pub fn fairness_weight(owed: f64, held: f64, all: f64) -> f64 {
     if all <= 0.0 {
         return 1.0;
--- a/src/scheduler/placement.rs
+++ b/src/scheduler/placement.rs
@@ -1,5 +1,5 @@
-//! The placement pass: serves the jobs in their order and books machines for their waiting tasks,
-//! then has tasks preempted for urgent work that found no machine.
+//! The placement pass: serves the jobs in queue order and books machines for their waiting tasks,
+//! then preempts tasks for urgent jobs that found no machine.
 
 use super::Scheduler;
 use super::booking::{Booking, Placement, plan_tasks};
@@ -18,37 +18,40 @@
 use crate::wire::{JobKind, MachineType};
 use crate::worker_ledger::WorkerLedger;
 
-/// The share of all cores that must be left over before some are spent on spreading images. What
-/// counts is what the waiting work leaves: after an outage much is free for a moment, and whatever
-/// then goes to machines without its image makes the others wait for the fetches.
+/// Tasks are placed on machines without their image, to spread it, only if the free cores exceed
+/// those that the waiting tasks request by this share of all cores. The waiting tasks are
+/// subtracted because much capacity is free for a short time after an outage, and image fetches
+/// would then delay the other waiting tasks.
 const SPARE_CORES_SHARE: f64 = 0.3;
-/// How often the capacity of all machines is recomputed, not only of those that changed.
+/// How often the availability of all machines is checked, instead of only that of the machines that
+/// changed.
 const FULL_REFRESH_INTERVAL: Micros = SECOND;
-/// The time between two passes that may preempt, for each machine: such a pass walks over all that
-/// runs, so its cost grows with the machines and its pace falls.
+/// The interval between passes that may preempt is this value times the number of machines, since
+/// the cost of such a pass grows with the number of running tasks.
 const PREEMPTION_INTERVAL_PER_MACHINE: Micros = 200;
-/// A task of a suspect job counts as successful after it has run this much longer than those that
-/// failed.
+/// A task of a suspect job, one whose tasks have failed on several machines, counts as healthy once
+/// it has run for this much longer than the longest run that failed.
 const TRIAL_MARGIN: Micros = SECOND;
 
 /// The state of one placement pass.
 struct PlacementPass<'a> {
     context: PassContext<'a>,
     tiers: &'a HashMap<u32, Tier>,
-    /// Whether the waiting work leaves so much free that images may be spread.
+    /// Whether enough cores are free, beyond those that waiting tasks request, to spread images.
     has_spare_cores: bool,
-    /// Whether this pass may preempt.
+    /// Whether this pass may preempt tasks.
     is_preempting: bool,
     unplaceable: UnplaceableSizes,
-    /// What could be preempted, computed when the first job asks.
+    /// The tasks that could be preempted, by machine; computed when a job first needs them.
     preemptible_machines: Option<Vec<PreemptibleMachine>>,
 }
 
 impl Scheduler {
-    /// Places what can be placed now. The returned placements are planned in the ledger and in the
-    /// jobs; they are not sent before they are stored.
+    /// Runs a placement pass: places the waiting tasks for which there is capacity. The returned
+    /// placements are planned in the worker ledger and in the jobs; their start commands must not
+    /// be sent before the placements are stored.
     ///
-    /// `now` is on the steady clock, `wall` the time of day of the same moment.
+    /// `now` is the time on the steady clock, `wall` the time of day of the same moment.
     pub fn place_tasks(
         &mut self,
         now: Micros,
@@ -98,7 +101,7 @@
         placed
     }
 
-    /// Brings the free capacity up to date.
+    /// Updates the free capacity from the worker ledger.
     fn refresh_capacity(&mut self, context: &PassContext, workers: &mut WorkerLedger) {
         let now = context.now.steady;
         let is_full = now >= self.full_refresh_at;
@@ -114,8 +117,8 @@
         );
     }
 
-    /// Whether the free cores exceed what the waiting work would take by a good share of the
-    /// cluster.
+    /// Whether the free cores exceed those that the waiting tasks request by more than
+    /// `SPARE_CORES_SHARE` of all cores.
     fn has_spare_cores(&self, order: &JobOrder, table: &JobTable) -> bool {
         let waiting: f64 = order
             .queue
@@ -126,7 +129,7 @@
         self.capacity.free_cores - waiting > SPARE_CORES_SHARE * self.capacity.total_cores
     }
 
-    /// Whether this pass may preempt; if so, sets when the next one may.
+    /// Whether this pass may preempt tasks; if so, sets the earliest time for the next such pass.
     fn begin_preemption(&mut self, now: Micros, workers: &WorkerLedger) -> bool {
         let may_preempt = now >= self.next_preemption_at && self.preemption_allowance > 0.0;
         if may_preempt {
@@ -137,7 +140,7 @@
         may_preempt
     }
 
-    /// Places the tasks of one job, as far as machines are found for them.
+    /// Places the waiting tasks of one job for which machines are found.
     fn place_job(
         &mut self,
         pass: &mut PlacementPass,
@@ -150,7 +153,8 @@
         let is_gang = spec.kind == JobKind::Gang;
         job.trial_tasks = (job.is_suspect() && !is_gang)
             .then(|| trial_task_limit(context.now.steady, job, workers));
-        // Tasks left of an earlier attempt of a gang end by themselves; then all start anew.
+        // Tasks that remain from an earlier attempt of a gang end by themselves. Then all tasks of
+        // the gang start again together.
         let is_gang_left_over = is_gang && !job.placements.is_empty();
         if job.trial_tasks == Some(0)
             || is_gang_left_over
@@ -158,8 +162,8 @@
         {
             return Vec::new();
         }
-        // If a fetch takes longer than the job may wait for its start, only machines with a cached
-        // image will do, if need be after preempting something there.
+        // If an image fetch takes longer than the job may wait for its start, the job can only use
+        // machines that have the image cached, if necessary after preempting tasks there.
         let pressure = self.fetch_pressure(&context, job, queued.tier);
         let needs_cached_image = pressure == FetchPressure::TooSlow;
         if pass.unplaceable.covers(&spec) && !(needs_cached_image && pass.is_preempting) {
@@ -195,13 +199,13 @@
         if is_gang {
             self.complete_gang(&context, query, job, &mut bookings, workers);
         }
-        // The tasks of a gang know each other by a common attempt.
+        // All tasks of a gang have the same attempt number, by which they identify each other.
         let common_attempt = (is_gang && !bookings.is_empty()).then(|| workers.new_attempt());
         plan_tasks(context.now.steady, job, bookings, common_attempt, workers)
     }
 
-    /// Books machines that hold the image of the job. If tasks are left and preemption could make
-    /// capacity on such a machine, the job is marked as waiting for it.
+    /// Books machines that have the image of the job cached. If tasks are left and preemption could
+    /// free capacity on such a machine, the job is marked as waiting for one.
     fn book_cached(
         &mut self,
         pass: &mut PlacementPass,
@@ -244,8 +248,9 @@
         bookings
     }
 
-    /// A gang starts only when all its tasks fit: retries in each zone where the first draw may
-    /// have led into one that is too small, and gives the bookings back if tasks are left.
+    /// Completes or undoes the bookings of a gang, which starts only if all its tasks fit. For a
+    /// gang that must run in one zone, tries each zone in turn, because the first machine that was
+    /// drawn may be in a zone without enough capacity. Undoes the bookings if tasks are left.
     fn complete_gang(
         &mut self,
         context: &PassContext,
@@ -277,9 +282,10 @@
     }
 }
 
-/// How many tasks of a job that failed everywhere are started to see whether it still does: one,
-/// and about twice as many as have run longer than those that failed. All at once they would take
-/// the capacity of others, and fetch its image everywhere, until its user cancels it.
+/// How many more tasks of a suspect job may be started to test whether they still fail: one, plus
+/// two for each running task that counts as healthy, less those already placed. Starting all tasks
+/// at once would take capacity from other jobs and fetch the image on every machine, until the user
+/// cancels the job.
 fn trial_task_limit(now: Micros, job: &Job, workers: &WorkerLedger) -> u64 {
     let proven_after = job.longest_failed_run + TRIAL_MARGIN;
     let mut proven = 0;
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -1,10 +1,10 @@
-//! Preemption: chooses the cheapest tasks to stop, so that urgent work, or work within a guarantee,
-//! gets capacity.
+//! Preemption: chooses the tasks that cost the least to stop, so that urgent jobs and jobs within
+//! their team's guarantee get capacity.
 //!
-//! Decides only; the caller sends the stops. What holds at its door:
+//! This module only chooses the tasks; the caller has them stopped. Invariants:
 //! - only tasks of a lower tier are preempted, so that two jobs never preempt each other in turn;
-//! - the capacity made on a machine is reserved for the tier that it was made for;
-//! - no more cores are preempted than [`Scheduler::preemption_allowance`] has left.
+//! - the capacity freed on a machine is reserved for the tier for which it was freed;
+//! - a pass starts no further preemption once [`Scheduler::preemption_allowance`] is used up.
 
 mod candidates;
 
@@ -28,22 +28,23 @@
 
 pub(super) use candidates::{PreemptibleMachine, PreemptionQuery};
 
-/// The lowest tier for which tasks are preempted.
+/// The lowest tier of jobs for which tasks are preempted.
 const PREEMPTING_TIER_MIN: Tier = Tier::Normal;
-/// The share of its slack, after a fetch, that a job may wait for tasks that end by themselves.
+/// The share of a job's slack, less the time of an image fetch, for which the job may wait for
+/// tasks to end by themselves before others are preempted.
 const SLACK_WAIT_SHARE: f64 = 0.12;
-/// The longest such wait.
+/// Upper bound of that wait.
 const SLACK_WAIT_MAX_S: f64 = 3.0;
-/// The part of the completion rate that is counted on: the cores that come free are of all machine
-/// types and zones.
+/// The share of the completion rate that a job is assumed to be able to use: the freed cores belong
+/// to machines of all types and zones, not only to those that the job allows.
 const COMPLETION_RATE_DISCOUNT: f64 = 0.7;
-/// The least time that a task which saves its state gets for it.
+/// Lower bound of the grace period of a task that saves its state when it is stopped.
 const SAVE_GRACE_MIN_S: f64 = 0.1;
-/// Costs are compared in whole steps of which a core-second has this many: integers have a total
-/// order.
+/// Costs are rounded to integers with this many steps per core-second before they are compared,
+/// because floating-point numbers have no total order.
 const COST_STEPS_PER_CORE_S: f64 = 1000.0;
 
-/// A task that is to be stopped, with the time it gets to save its state.
+/// The decision to stop a task.
 pub(super) struct Preemption {
     /// The machine that it runs on.
     pub(super) machine: Arc<str>,
@@ -51,19 +52,20 @@
     pub(super) task: TaskId,
     /// The attempt to stop.
     pub(super) attempt: u64,
-    /// The time between the request to stop and the kill.
+    /// Grace period: the time between the stop command and the kill, for saving the task's state.
     pub(super) grace_s: f64,
 }
 
-/// What decides which tasks a job may have preempted. Jobs with the same rights have the same
-/// choice.
+/// The properties of a job that determine which tasks may be preempted for it. For jobs with equal
+/// rights these are the same tasks.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct PreemptionRights {
     tier: Tier,
     priority: Priority,
-    /// Whether its team is at its limit.
+    /// Whether the job's team is at its quota, so that only tasks of this team may be preempted.
     same_team_only: bool,
-    /// The team, where it matters: within a guarantee, and at a limit.
+    /// The job's team, if the choice depends on it: within a guarantee, or with the team at its
+    /// quota.
     team: Option<Arc<str>>,
 }
 
@@ -72,26 +74,27 @@
     context: &'a PassContext<'a>,
     workers: &'a WorkerLedger,
     preemptible_machines: Vec<PreemptibleMachine>,
-    /// The machine of each preemptible, looked up once and not once for each job.
+    /// The worker ledger's entry for each of `preemptible_machines`, in the same order; looked up
+    /// once per pass instead of once per job.
     ledger_machines: Vec<Option<&'a Machine>>,
-    /// Cores that stopping tasks will leave, by team.
+    /// Cores of the tasks that are already being stopped, by team.
     freeing_cores: HashMap<Arc<str>, f64>,
-    /// Cores a second that will come free by themselves, as far as counted on.
+    /// Cores per second that are expected to become free because tasks end by themselves.
     completion_rate: f64,
-    /// Cores that wait for them, of the jobs served so far.
+    /// Cores that the waiting tasks of the jobs served so far request.
     waiting_cores: f64,
-    /// Sizes for which nothing could be preempted; holds for all jobs of that rights.
+    /// Task sizes for which preemption could not free capacity, for all jobs with these rights.
     unplaceable: HashMap<PreemptionRights, UnplaceableSizes>,
     preemptions: Vec<Preemption>,
 }
 
-/// What one job still asks for.
+/// The capacity that one job still needs.
 struct JobDemand<'a> {
     job: &'a Job,
     query: PreemptionQuery<'a>,
-    /// Tasks for which no capacity has been found.
+    /// Tasks for which no capacity has been found yet.
     tasks_left: u64,
-    /// Cores that its team may still use.
+    /// Cores that the job's team may still use within its quota.
     quota_cores_left: f64,
 }
 
@@ -100,19 +103,19 @@
         &self.job.spec
     }
 
-    /// Whether the team is at its limit.
+    /// Whether the team's quota leaves no cores for another task.
     fn is_quota_used_up(&self) -> bool {
         self.quota_cores_left + EPSILON < self.spec().cores
     }
 
-    /// Whether another task is wanted that may run within this capacity.
+    /// Whether another task needs capacity, fits into `free`, and is within the team's quota.
     fn can_take(&self, free: &Resources) -> bool {
         self.tasks_left > 0
             && self.quota_cores_left + EPSILON >= self.spec().cores
             && free.fits(self.spec())
     }
 
-    /// Gives one task its share of the capacity.
+    /// Takes the capacity for one task out of `free`.
     fn take(&mut self, free: &mut Resources) {
         free.subtract(self.spec());
         self.quota_cores_left -= self.spec().cores;
@@ -121,7 +124,7 @@
 }
 
 impl Scheduler {
-    /// Chooses the tasks to stop for the jobs that wait, in the order in which they are served.
+    /// Chooses the tasks to stop for the waiting jobs, which are served in their queue order.
     pub(super) fn plan_preemptions(
         &mut self,
         context: &PassContext,
@@ -163,8 +166,8 @@
         pass.preemptions
     }
 
-    /// Finds capacity for the waiting tasks of one job: first what is coming free anyway, then what
-    /// can be made by preemption.
+    /// Finds capacity for the waiting tasks of one job: first capacity that is free or is being
+    /// freed, then capacity that preemption can free.
     fn preempt_for_job(&mut self, pass: &mut PreemptionPass, tier: Tier, job: &Job) {
         let spec = &job.spec;
         let settings = pass.context.settings;
@@ -188,8 +191,8 @@
             same_team_only,
             team: (tier == Tier::Guaranteed || same_team_only).then(|| spec.team.clone()),
         };
-        // A failure holds for all jobs of the same rights that are no less restricted and no
-        // smaller.
+        // If a task did not fit even with preemption, no task fits that is at least as large and
+        // belongs to a job with the same rights that restricts its machines at least as much.
         let is_unrestricted = accepts_any_machine(spec) && !cached_only;
         let known = pass.unplaceable.get(&rights);
         if is_unrestricted && known.is_some_and(|sizes| sizes.covers(spec)) {
@@ -214,7 +217,8 @@
         }
     }
 
-    /// The cores that a team may still use, with what its stopping tasks will leave.
+    /// The cores that a team may still use within its quota, counting its tasks that are being
+    /// stopped as already ended.
     fn quota_cores_left(
         &self,
         settings: &Settings,
@@ -230,16 +234,17 @@
         }
     }
 
-    /// How long a job may wait for tasks to end by themselves before others are preempted for it,
-    /// in seconds. On a full cluster a hundred end every second; preempting as many costs each its
-    /// save, another start and often another fetch.
+    /// How long a job may wait for tasks to end by themselves before tasks are preempted for it, in
+    /// seconds. On a full cluster about a hundred tasks end every second. Preempting as many
+    /// instead would cost each of them a save of its state, another start and often another image
+    /// fetch.
     fn acceptable_wait_s(&self, job: &Job, tier: Tier, wall: Micros) -> f64 {
         let rates = self.fetch_rates.values().copied();
         let slowest_rate = rates
             .filter(|rate| *rate > 0.0)
             .fold(f64::INFINITY, f64::min);
         let fetch_s = FETCH_TIME_FACTOR * job.spec.image_gb / slowest_rate;
-        // An objective that is missed already is no reason to hurry.
+        // Preemption cannot help an objective that is already missed.
         let wait_s = self
             .objective_slacks_s(job, tier, wall)
             .filter(|slack_s| *slack_s > 0.0)
@@ -248,7 +253,8 @@
         wait_s.unwrap_or(0.0).min(SLACK_WAIT_MAX_S)
     }
 
-    /// Gives the job what is free or coming free: it serves the first of those who wait.
+    /// Assigns to the job capacity that is free or is being freed. Jobs come here in queue order,
+    /// so the first waiting job takes it.
     fn take_freeing_capacity(&self, pass: &mut PreemptionPass, demand: &mut JobDemand) {
         for (preemptible, machine) in pass
             .preemptible_machines
@@ -265,9 +271,10 @@
         }
     }
 
-    /// Preempts on the cheapest machine, again and again, until the job has enough. Returns whether
-    /// no task could be preempted although nothing but the candidates set a limit: then no larger
-    /// task of the same rights can be helped either.
+    /// Preempts tasks on the machine where that costs the least, repeatedly, until the job has
+    /// enough capacity. Returns true if tasks of the job are left and nothing was preempted
+    /// although neither the quota nor the preemption allowance ended the search. Then preemption
+    /// cannot free capacity for a larger task with the same rights either.
     fn preempt_cheapest(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand) -> bool {
         let mut heap: BinaryHeap<Reverse<(u64, usize)>> = (0..pass.preemptible_machines.len())
             .filter_map(|index| Some(Reverse((self.cost_steps(pass, demand, index)?, index))))
@@ -275,7 +282,8 @@
         let preempted_before = pass.preemptions.len();
         while demand.tasks_left > 0 && self.preemption_allowance > 0.0 {
             if demand.is_quota_used_up() != demand.query.same_team_only {
-                // At the limit of the team other victims count: the next pass looks at them.
+                // The set of victims changes when the team reaches its quota or falls below it. The
+                // next pass uses the new set.
                 break;
             }
             let Some(Reverse((_, index))) = heap.pop() else {
@@ -301,7 +309,8 @@
         demand.tasks_left > 0 && pass.preemptions.len() == preempted_before && heap.is_empty()
     }
 
-    /// The cost of making one more task fit on a machine; None where it cannot be done.
+    /// The cost of preempting tasks so that one more task of the job fits on a machine; `None` if
+    /// preemption cannot make it fit.
     fn cost_steps(&self, pass: &PreemptionPass, demand: &JobDemand, index: usize) -> Option<u64> {
         let preemptible = &pass.preemptible_machines[index];
         let machine = pass.ledger_machines[index].filter(|machine| {
@@ -312,7 +321,7 @@
             .map(|cost| (cost * COST_STEPS_PER_CORE_S).round() as u64)
     }
 
-    /// Preempts the cheapest candidates of a machine until one more task fits.
+    /// Preempts the cheapest candidates of a machine until one more task of the job fits.
     fn preempt_on(&mut self, pass: &mut PreemptionPass, demand: &mut JobDemand, index: usize) {
         let preemptible = &mut pass.preemptible_machines[index];
         for candidate in &mut preemptible.candidates {
@@ -346,7 +355,7 @@
     }
 }
 
-/// The time that a preempted task gets to save its state; none for one that does not save.
+/// The grace period in which a preempted task saves its state; 0 for a task that does not save it.
 fn save_grace_s(spec: &JobSpec) -> f64 {
     if spec.saves() {
         spec.save_s.max(SAVE_GRACE_MIN_S)
@@ -355,7 +364,7 @@
     }
 }
 
-/// The cores that stopping tasks will leave, by team.
+/// The cores of the tasks that are being stopped, by team.
 fn freeing_cores_by_team(workers: &WorkerLedger) -> HashMap<Arc<str>, f64> {
     let mut cores: HashMap<Arc<str>, f64> = HashMap::default();
     for machine in workers.machines.values() {
--- a/src/scheduler/preempt/candidates.rs
+++ b/src/scheduler/preempt/candidates.rs
@@ -1,7 +1,7 @@
-//! What a preemption pass may choose from: the tasks that could be preempted on each machine, what
-//! that would lose, and for whom it may be done.
+//! The candidates of a preemption pass: the tasks that could be preempted on each machine, the cost
+//! of preempting them, and the rules for which jobs this is allowed.
 //!
-//! Reads only. The choice itself is made by the parent module.
+//! Changes no state; the parent module chooses among the candidates.
 
 use crate::capacity::{EPSILON, Resources};
 use crate::clock::{Micros, to_secs};
@@ -18,17 +18,18 @@
 use crate::worker_ledger::{Machine, TaskEntry, TaskState, WorkerLedger};
 use std::sync::Arc;
 
-/// What a second of work without a reachable objective counts, against one with.
+/// Weight of the loss when a task of the best-effort tier is preempted, relative to the other
+/// tiers.
 const BEST_EFFORT_LOSS_WEIGHT: f64 = 0.4;
-/// What every preemption loses beside the work itself, in seconds of the task's cores.
+/// Loss of any preemption in addition to the lost work, in seconds of the task's cores.
 const PREEMPTION_OVERHEAD_S: f64 = 2.0;
-/// A start that is stopped within this time does not count as one.
+/// A start does not count as one if the task is stopped within this time.
 const RECENT_START_S: f64 = 30.0;
-/// What the preemption of such a start loses in addition, in seconds of the task's cores.
+/// Additional loss of preempting a task within `RECENT_START_S`, in seconds of the task's cores.
 const RECENT_START_PENALTY_S: f64 = 5.0;
-/// The part of a fetch that is expected to be left while the image is being fetched.
+/// The share of an image fetch in progress that is assumed to be left.
 const FETCHING_SHARE: f64 = 0.5;
-/// The time of a fetch where the rate of the machine type is unknown.
+/// Assumed duration of an image fetch if the fetch rate of the machine type is unknown.
 const UNKNOWN_FETCH_S: f64 = 1.0;
 
 /// An attempt of a task that may be preempted.
@@ -38,51 +39,52 @@
     pub(super) task: TaskId,
     /// Its attempt on this machine.
     pub(super) attempt: u64,
-    /// The job that it belongs to.
+    /// The spec of its job.
     pub(super) spec: Arc<JobSpec>,
 }
 
-/// The job for which capacity is sought by preemption, and how far it may go.
+/// The conditions under which tasks may be preempted for a job.
 pub(in crate::scheduler) struct PreemptionQuery<'a> {
     /// The tier of the job.
     pub(in crate::scheduler) tier: Tier,
     /// The settings, for the guarantees of the teams.
     pub(in crate::scheduler) settings: &'a Settings,
-    /// Only machines that hold the image of the job will do.
+    /// Whether only machines that have the image of the job cached may be used.
     pub(in crate::scheduler) cached_only: bool,
-    /// The team of the job is at its limit, so that only its own tasks make capacity.
+    /// Whether the team of the job is at its quota, so that only tasks of the same team may be
+    /// preempted.
     pub(in crate::scheduler) same_team_only: bool,
 }
 
-/// A task that might be preempted, with what that would lose.
+/// A task that might be preempted, and the loss that this would cause.
 pub(in crate::scheduler) struct PreemptionCandidate {
-    /// Weighted core-seconds that the preemption would lose.
+    /// The weighted core-seconds that would be lost.
     pub(super) loss: f64,
     /// The tier of its job.
     pub(super) tier: Tier,
     /// The attempt that would be stopped.
     pub(super) victim: Victim,
-    /// Whether this pass has chosen it already.
+    /// Whether this pass has already chosen to preempt it.
     pub(super) is_preempted: bool,
 }
 
-/// A machine as a preemption pass sees it: what will be free there, and what could be preempted.
+/// A machine on which tasks could be preempted: its free capacity and its candidates.
 pub(in crate::scheduler) struct PreemptibleMachine {
     /// The machine.
     pub(in crate::scheduler) machine: Arc<str>,
-    /// What is free, with what stopping tasks will leave.
+    /// Free capacity, including that of tasks that are already being stopped.
     pub(super) free: Resources,
-    /// What would be free if all candidates were preempted.
+    /// Free capacity if all candidates were preempted.
     free_if_all_preempted: Resources,
-    /// The lowest tier of the candidates; None if there are none.
+    /// The lowest tier of the candidates; `None` if there are no candidates.
     lowest_tier: Option<Tier>,
-    /// By loss, the cheapest first.
+    /// The candidates in ascending order of their loss.
     pub(super) candidates: Vec<PreemptionCandidate>,
 }
 
 impl PreemptibleMachine {
-    /// Whether a task could fit if all that this tier may preempt were preempted. A quick check:
-    /// [`Scheduler::preemption_cost`] decides.
+    /// A quick check whether a task might fit after preemption for this tier. It is optimistic:
+    /// [`Scheduler::preemption_cost`] checks exactly.
     pub(in crate::scheduler) fn could_fit(&self, query: &PreemptionQuery, spec: &JobSpec) -> bool {
         self.lowest_tier.is_some_and(|tier| tier < query.tier)
             && self.free_if_all_preempted.fits(spec)
@@ -90,7 +92,7 @@
 }
 
 impl Scheduler {
-    /// What will be free on each usable machine, and what could be preempted there.
+    /// Lists the usable machines with their free capacity and their candidates for preemption.
     pub(in crate::scheduler) fn preemptible_machines(
         &self,
         pass: &PassContext,
@@ -110,10 +112,11 @@
             let mut candidates: Vec<PreemptionCandidate> = machine
                 .held_tasks()
                 .filter_map(|((task, attempt), entry)| {
-                    // Jobs that are being cancelled have no tier.
+                    // Cancelled jobs have no tier; their tasks are being stopped anyway.
                     let tier = *tiers.get(&task.job)?;
-                    // Only a lower tier: what is within a guarantee must not be preempted by what
-                    // is not, or the two would preempt each other without end.
+                    // Only tasks of a lower tier are preempted. If a job outside its team's
+                    // guarantee could preempt one within a guarantee, the two would preempt each
+                    // other without end.
                     if tier >= top_tier {
                         return None;
                     }
@@ -137,8 +140,8 @@
         preemptible_machines
     }
 
-    /// The attempt as a candidate for preemption, unless it is not there yet, stops already, or is
-    /// protected as the first task of an aged job.
+    /// Returns the attempt as a candidate for preemption; `None` if it is not on the machine yet,
+    /// is already being stopped, or is protected as the first task of an aged job.
     fn candidate(
         &self,
         now: Micros,
@@ -159,7 +162,8 @@
         if !is_on_machine || is_protected || entry.is_stopping() {
             return None;
         }
-        // Of work without an objective that can still be met, only the work itself is lost.
+        // A best-effort job has no objective that its preemption could make it miss, so only its
+        // work is lost.
         let weight = if tier == Tier::BestEffort {
             BEST_EFFORT_LOSS_WEIGHT
         } else {
@@ -177,7 +181,7 @@
         })
     }
 
-    /// Whether a machine may serve the job at all, with or without preemption.
+    /// Whether the job may use the machine, with or without preemption.
     pub(in crate::scheduler) fn may_serve(
         &self,
         query: &PreemptionQuery,
@@ -214,13 +218,14 @@
                 && self.exceeds_guarantee(&victim.team, query.settings))
     }
 
+    /// Whether the team uses more cores than it is guaranteed.
     fn exceeds_guarantee(&self, team: &str, settings: &Settings) -> bool {
         let guarantee = guaranteed_cores(settings, team);
         self.capacity.team_usage(team).cores > guarantee + EPSILON
     }
 
-    /// What it costs to make one task of the job fit on the machine by preemption, in core-seconds.
-    /// None if it cannot be done, or costs nothing because the task fits already.
+    /// The cost, in core-seconds, of preempting tasks so that one task of the job fits on the
+    /// machine. `None` if preemption cannot make it fit, or if it fits without preemption.
     pub(in crate::scheduler) fn preemption_cost(
         &self,
         query: &PreemptionQuery,
@@ -243,7 +248,8 @@
         (cost > 0.0 && free.fits(spec)).then(|| cost + self.fetch_loss(machine, spec))
     }
 
-    /// Core-seconds that a task started there would hold its cores for without running.
+    /// The core-seconds that a task started on the machine would hold without running, while its
+    /// image is fetched.
     fn fetch_loss(&self, machine: &Machine, spec: &JobSpec) -> f64 {
         let share = match image_status(machine, spec) {
             ImageStatus::Cached => return 0.0,
@@ -263,9 +269,9 @@
         share * fetch_s * spec.cores
     }
 
-    /// Since when a task is taken to run. Of one that an earlier leader started this is unknown; it
-    /// is assumed to be in the middle of its run, or all of them would look as if they had just
-    /// begun, and cheap to preempt.
+    /// Since when the task is assumed to run. This is unknown for a task that an earlier leader
+    /// started; such a task is assumed to be in the middle of its run. Otherwise all of them would
+    /// look as if they had just started and were cheap to preempt.
     fn assumed_start(&self, entry: &TaskEntry) -> Option<Micros> {
         let since = entry.running_since?;
         let before = match &entry.spec {
@@ -276,7 +282,7 @@
     }
 }
 
-/// Core-seconds lost by preempting a task now.
+/// The core-seconds lost by preempting the task now.
 fn preemption_loss(now: Micros, spec: &JobSpec, running_since: Option<Micros>) -> f64 {
     let ran_s = running_since.map_or(0.0, |since| to_secs(now.saturating_sub(since)));
     let lost_s = if spec.saves() {
--- a/src/scheduler/ranking.rs
+++ b/src/scheduler/ranking.rs
@@ -1,7 +1,7 @@
-//! Which machines a job may use, and their order within a machine type.
+//! Selects the machines that a job may use, and orders them within each machine type.
 //!
-//! Reads only. The order is first fit by name (the paper's IV.C.1); what goes before the name is
-//! said at [`MachineRank`].
+//! Changes no state. The paper orders machines by name and uses the first fit (IV.C.1); here
+//! [`MachineRank`] takes precedence over the name.
 
 use super::Scheduler;
 use super::context::PassContext;
@@ -13,68 +13,70 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// If more than the machines divided by this have free capacity, all are walked through in order
-/// instead of being looked up one by one.
+/// If more machines than the total divided by this have free capacity, the whole ledger is scanned
+/// in order instead of looking these machines up one by one.
 const SCAN_ALL_DIVISOR: usize = 8;
-/// A machine on which tasks run this many times as long as expected counts as slow.
+/// A machine counts as slow if its tasks run for more than this many times their expected run time.
 const SLOW_MACHINE_FACTOR: f64 = 1.5;
 
-/// Where machines that hold the image stand in the order within a type.
+/// How machines that have the job's image cached are ordered within a machine type.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ImagePreference {
-    /// No other machines will do.
+    /// Only machines with the image may be used.
     OnlyCached,
-    /// Before the others: the usual order.
+    /// Machines with the image come first; the default.
     CachedFirst,
-    /// After the others, to spread the image.
+    /// Machines with the image come last, so that the image is spread to other machines.
     CachedLast,
 }
 
 /// Whether a machine has the image of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ImageStatus {
-    /// It holds the image.
+    /// The machine has the image cached.
     Cached,
-    /// It holds a task of that image, and so is fetching it.
+    /// The machine has a task with that image, so it is fetching the image.
     Fetching,
-    /// It would have to fetch the image.
+    /// The machine would have to fetch the image.
     Missing,
 }
 
-/// What goes before the name in the order within a machine type; the lowest rank comes first. The
-/// order of the fields is their weight.
+/// The rank of a machine for a job within its machine type; the lowest rank comes first, and
+/// machines of equal rank are ordered by name. The fields are compared in their order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct MachineRank {
-    /// A task failed here lately, of this job or of any.
+    /// Whether a task of this job, or the latest task of any job, failed on the machine.
     has_failures: bool,
+    /// Whether tasks run slowly on the machine, see [`SLOW_MACHINE_FACTOR`].
     is_slow: bool,
-    /// 0 to 2; the best status of the image, in the wanted order, is 0.
+    /// From 0 to 2; 0 for the [`ImageStatus`] that the [`ImagePreference`] puts first.
     image: u8,
-    /// Other images that it is fetching, if this one would have to be fetched too: several at the
-    /// same time share the rate. 0 otherwise.
+    /// Number of other images that the machine is fetching, if it would have to fetch this one too;
+    /// concurrent fetches share the bandwidth. 0 otherwise.
     fetches_in_flight: usize,
+    /// How much longer tasks run on the machine than other tasks of the same jobs, in steps.
     run_time_bias: i32,
 }
 
 /// A machine with its rank.
 pub(super) type RankedMachine = (MachineRank, Arc<str>);
 
-/// The machines with free capacity by machine type. Each queue is in the order of service from its
-/// end, so that the first machine is popped.
+/// The machines with free capacity, by machine type. The first machine in the order is the last
+/// element of its vector, so that it can be popped.
 pub(super) type MachineQueues<'a> = BTreeMap<&'a str, Vec<RankedMachine>>;
 
-/// What is asked of the machines for a job, beside what the job itself requires.
+/// Requirements on the machines for a job in addition to those in its spec.
 #[derive(Clone, Copy)]
 pub(super) struct MachineQuery<'a> {
-    /// The tier of the job; reservations for higher tiers are respected.
+    /// The tier of the job; it may not use capacity that is reserved for higher tiers.
     pub(super) tier: Tier,
-    /// Only machines in this zone.
+    /// If set, only machines in this zone may be used.
     pub(super) zone: Option<&'a str>,
-    /// How machines that hold the image are ranked.
+    /// How machines that have the image cached are ranked.
     pub(super) image_preference: ImagePreference,
 }
 
-/// Whether the machine has the image of the job.
+/// Whether the machine has the image of the job cached, is fetching it, or neither.
 pub(super) fn image_status(machine: &Machine, spec: &JobSpec) -> ImageStatus {
     if machine.images.contains_key(&spec.image) {
         return ImageStatus::Cached;
@@ -102,8 +104,8 @@
     images.len()
 }
 
-/// Whether the job allows the machine by its type, rental kind and zone, given everything of the
-/// job that may be on machines.
+/// Whether the job allows the machine by its type, rental kind (spot or not) and zone, given the
+/// placements that the job already has.
 pub(super) fn is_allowed(job: &Job, machine: &Machine, workers: &WorkerLedger) -> bool {
     let spec = &job.spec;
     if !is_type_allowed(spec, &machine.machine_type)
@@ -121,7 +123,7 @@
         match zone_of(other) {
             Some(zone) if zone == machine.zone => tasks_here += 1,
             Some(_) if !spec.one_zone => {}
-            // In another or an unknown zone: the one zone is taken.
+            // A task is in another or an unknown zone, and all tasks must run in one zone.
             _ if spec.one_zone => return false,
             _ => tasks_here += 1,
         }
@@ -130,9 +132,9 @@
 }
 
 impl Scheduler {
-    /// The machines on which a task of the job fits, by type, each type in its fixed order with the
-    /// first machine last. The order is by name after the [`MachineRank`]: a fetch costs seconds, so
-    /// machines that hold the image come first (an exception to the paper's plain first fit).
+    /// The machines on which a task of the job fits, by machine type and ordered by [`MachineRank`]
+    /// and name. Machines with a cached image are usually ranked first because an image fetch takes
+    /// seconds; the paper's first fit has no such rank.
     pub(super) fn candidate_machines<'a>(
         &self,
         pass: &PassContext,
@@ -143,8 +145,8 @@
         let spec = &job.spec;
         let now = pass.now.steady;
         let mut queues = MachineQueues::new();
-        // Both are in the order of names: where much is open they are walked side by side, which
-        // costs a tenth of looking each machine up.
+        // Both maps are ordered by name. If many machines have free capacity, iterating over both
+        // in parallel costs a tenth of looking each machine up.
         let scan_all =
             self.capacity.machines_with_capacity.len() > workers.machines.len() / SCAN_ALL_DIVISOR;
         let mut machines = workers.machines.iter().peekable();
@@ -172,8 +174,9 @@
                 queue.push((rank, id.clone()));
             }
         }
-        // Each machine takes a task at least, so of a type no more are needed than tasks wait; but
-        // where the zone decides, later ones may have to stand in for those not allowed.
+        // Each machine takes at least one task, so no type needs more machines than there are
+        // waiting tasks. If the zones of tasks are restricted, machines may drop out as tasks are
+        // placed, and the later ones are needed instead.
         let machines_max = job.pending_count as usize;
         let may_truncate = machines_max > 0 && !spec.one_zone && !spec.spread;
         for queue in queues.values_mut() {
@@ -187,7 +190,8 @@
     }
 }
 
-/// The rank of a machine for a job; None if it is filtered out.
+/// The rank of a machine for a job; `None` if the job needs a cached image and the machine has
+/// none.
 fn rank(job: &Job, machine: &Machine, filter: ImagePreference) -> Option<MachineRank> {
     let status = image_status(machine, &job.spec);
     let image = match (filter, status) {
--- a/src/scheduler/reservation.rs
+++ b/src/scheduler/reservation.rs
@@ -1,12 +1,14 @@
-//! Reservations: free capacity of a machine that is kept for some work and withheld from other work.
+//! Reservations: free capacity of a machine that some jobs may use and other jobs may not.
 //!
-//! Two kinds exist. After a preemption, the freed capacity is kept for the tier that it was freed
-//! for; without this, work of a lower tier took each half as it came free and was preempted again,
-//! without end. For a job that has waited too long for its first task (see `aging`), one machine is
-//! kept until enough of its running tasks have ended.
+//! There are two kinds:
+//! - After a preemption, the freed capacity is reserved for the tier for which it was freed.
+//!   Without this, tasks of a lower tier take the capacity of the first victim while the second one
+//!   is still stopping, and are preempted again, without end.
+//! - For a job that has waited too long for its first task (see `aging`), one machine is reserved
+//!   until enough of its running tasks have ended.
 //!
-//! A reservation is a decision of this leader alone. It is not stored, it counts towards no quota,
-//! and a new leader starts without any.
+//! Reservations exist only in the memory of the leader. They are not stored and count towards no
+//! quota, and a new leader starts without any.
 
 use super::Scheduler;
 use super::job_order::Tier;
@@ -14,22 +16,24 @@
 use crate::jobs::Job;
 use std::sync::Arc;
 
-/// How long a reservation lasts unless it is renewed: longer than a task takes to save its state
-/// and its end to be reported.
+/// Time to live of a reservation that is not renewed. It exceeds the time that a task needs to save
+/// its state and a worker needs to report the task's end.
 pub(super) const RESERVATION_TTL: Micros = 8 * SECOND;
 
-/// The work that a reservation is held for.
+/// The jobs for which capacity is reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReservedFor {
-    /// Work of this tier or a higher one, for which tasks on the machine were preempted.
+    /// Jobs of this tier or a higher one; tasks on the machine were preempted for a job of this
+    /// tier.
     Tier(Tier),
-    /// A job that has waited too long for its first task. It ranks above all tiers, but a job for
-    /// which tasks may be preempted may preempt there too, and then uses the capacity.
+    /// A job that has waited too long for its first task. The capacity is withheld from all tiers,
+    /// but tasks on the machine may still be preempted for another job, which then uses the
+    /// capacity.
     AgedJob,
 }
 
 impl ReservedFor {
-    /// Whether the reserved capacity is withheld from work of this tier.
+    /// Whether the reserved capacity is withheld from jobs of this tier.
     fn outranks(self, tier: Tier) -> bool {
         match self {
             Self::Tier(reserved) => tier < reserved,
@@ -37,7 +41,7 @@
         }
     }
 
-    /// Whether a job of this tier may have tasks preempted on the reserved machine.
+    /// Whether tasks on the reserved machine may be preempted for a job of this tier.
     fn allows_preemption_by(self, tier: Tier) -> bool {
         match self {
             Self::Tier(reserved) => tier >= reserved,
@@ -46,31 +50,33 @@
     }
 }
 
-/// Capacity of a machine that is withheld from some of the work.
+/// The reservation of a machine's free capacity.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Reservation {
-    /// The work that it is held for.
+    /// The jobs for which the capacity is reserved.
     pub(super) reserved_for: ReservedFor,
-    /// When it lapses, on the steady clock.
+    /// When the reservation expires, on the steady clock.
     pub(super) expires_at: Micros,
-    /// Work that is expected to end by then may use the capacity meanwhile (backfill). 0 allows
-    /// none.
+    /// Backfill: tasks that are expected to end by this time may use the capacity until then. 0
+    /// allows no backfill.
     pub(super) backfill_until: Micros,
 }
 
-/// The machine that is reserved for an aged job and takes no more work until a task of the job fits.
+/// The machine that is reserved for an aged job. Apart from backfill it gets no other tasks until a
+/// task of the job fits.
 #[derive(Clone, Debug)]
 pub(super) struct AgedReservation {
     /// The reserved machine.
     pub(super) machine: Arc<str>,
-    /// When enough of what runs there should have ended. Computed once, so that the backfill of
-    /// the time until then cannot postpone it.
+    /// When enough of the tasks on the machine are expected to have ended. Computed once, so that
+    /// tasks started as backfill cannot postpone it.
     pub(super) ready_at: Micros,
 }
 
 impl Scheduler {
-    /// Whether the capacity of a machine is withheld from tasks of this job: it is reserved for a
-    /// higher tier or for an aged job, and a task is not expected to end before it is needed.
+    /// Whether the free capacity of a machine is withheld from tasks of this job: it is reserved
+    /// for a higher tier or for another job that has aged, and a task of this job is not expected
+    /// to end before the reserved capacity is needed.
     pub(super) fn is_reserved_from(
         &self,
         machine: &Arc<str>,
@@ -91,8 +97,8 @@
         })
     }
 
-    /// Whether the reservation of a machine, if there is one, lets a job of this tier preempt
-    /// tasks there.
+    /// Whether tasks on the machine may be preempted for a job of this tier, as far as a
+    /// reservation of the machine decides it.
     pub(super) fn reservation_allows_preemption(&self, machine: &Arc<str>, tier: Tier) -> bool {
         self.reservations
             .get(machine)
--- a/src/scheduler/unplaceable.rs
+++ b/src/scheduler/unplaceable.rs
@@ -1,10 +1,11 @@
-//! The task sizes that a pass failed to place, so that it does not search again for what cannot fit.
+//! Records the task sizes that a pass failed to place, so that the pass does not search for
+//! machines again for tasks that cannot fit.
 
 use crate::capacity::Resources;
 use crate::wire::JobSpec;
 
-/// Task sizes that did not fit anywhere. A task that is at least as large in every dimension does
-/// not fit either, since free capacity only shrinks during a pass.
+/// Task sizes that fit on no machine. A task that is at least as large in every resource does not
+/// fit either, since free capacity only decreases during a pass.
 #[derive(Default)]
 pub(super) struct UnplaceableSizes(Vec<Resources>);
 
@@ -18,7 +19,7 @@
         })
     }
 
-    /// Remembers that a task of this job did not fit.
+    /// Records that a task of this job does not fit.
     pub(super) fn add(&mut self, spec: &JobSpec) {
         self.0.push(Resources {
             cores: spec.cores,
@@ -28,8 +29,8 @@
     }
 }
 
-/// Whether the job restricts its machines in no way, so that a failure to place it holds for other
-/// jobs as well.
+/// Whether the job accepts machines of any type, zone and rental kind, so that a failure to place
+/// its tasks applies to other jobs too.
 pub(super) fn accepts_any_machine(spec: &JobSpec) -> bool {
     spec.types.is_none() && spec.zone.is_none() && spec.spot && !spec.one_zone && !spec.spread
 }
--- a/src/scheduler/wait_reason.rs
+++ b/src/scheduler/wait_reason.rs
@@ -1,4 +1,5 @@
-//! Why tasks of a job wait, as a text for operators. Reads only, and decides nothing.
+//! Explains to operators why tasks of a job are waiting. Changes no state, and no decision depends
+//! on the result.
 
 use super::Scheduler;
 use super::context::heartbeat_grace_period;
@@ -12,8 +13,8 @@
 use crate::worker_ledger::{Machine, WorkerLedger};
 
 impl Scheduler {
-    /// Why tasks of the job wait now; None when none does. The first reason that holds is given: as
-    /// long as it does, none after it matters.
+    /// Why tasks of the job are waiting; `None` if none are. If several reasons apply, the first
+    /// one checked is returned: while it applies, the later ones have no effect.
     pub fn wait_reason(
         &self,
         now: Micros,
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Why no machine takes a task of the job that may start.
+    /// Why no machine accepts a task of a job that nothing else holds back.
     fn machine_wait_reason(
         &self,
         now: Micros,
