--- a/src/heartbeat_batch.rs
+++ b/src/heartbeat_batch.rs
@@ -1,8 +1,8 @@
 //! Heartbeat batching at a controller that is not the leader: many heartbeats are forwarded to the leader in one
-//! frame, and a heartbeat that repeats the last one goes as a row without its body.
+//! frame, and a heartbeat that repeats the previous one is sent as a row with its digest, without its body.
 //!
-//! [`HeartbeatBatch`] owns the heartbeats that wait for the leader's answer. It decides nothing about tasks, and
-//! what it knows of the leader is a hint that the leader checks again.
+//! [`HeartbeatBatch`] holds the heartbeats that wait for the leader's answer. Its record of the digests that the
+//! leader holds may be wrong: the leader compares each digest and requests the full heartbeat if it differs.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::messages::{ConnId, Outcome, Ticket};
@@ -10,21 +10,21 @@
 use crate::wire::{AnswerRow, HeartbeatRow, HeartbeatSummary, SEND_FULL_HEARTBEAT};
 use zerocopy::{FromBytes, IntoBytes};
 
-/// How long a heartbeat with something new waits for others.
+/// How long a heartbeat with new content waits for others to share its frame.
 const BATCH_DELAY: Micros = 15 * MILLISECOND;
-/// How long a heartbeat with nothing new waits for others. Its worker waits 4 s for an answer, and its lease
-/// counts from the time it sent the heartbeat, so this costs nothing.
+/// How long a heartbeat without new content waits for others. This does no harm: the worker waits 4 s for an answer,
+/// and its lease counts from the time it sent the heartbeat.
 const REPEAT_BATCH_DELAY: Micros = 150 * MILLISECOND;
-/// How long a heartbeat is held while there is no leader, or the new leader still loads the stored state. Its
-/// worker would otherwise go to the next controller a second later, and again, each time over a new connection:
-/// a thousand of them send a controller as many requests a second when it can do least. Together with the time
-/// of a call to the leader it stays within the 4 s that a worker waits.
+/// How long a heartbeat is held while there is no leader, or while the new leader still loads the stored state.
+/// Otherwise its worker would try the next controller every second, each time over a new connection; a thousand
+/// workers would then send a thousand requests per second to controllers that cannot handle them. Together with the
+/// time of a call to the leader, this stays within the 4 s that a worker waits for an answer.
 const LEADERLESS_HOLD: Micros = 2 * SECOND;
 /// Time between two attempts to forward held heartbeats.
 const LEADERLESS_RETRY_INTERVAL: Micros = 50 * MILLISECOND;
-/// Size of a frame, unless a single heartbeat is larger.
+/// Maximum size of a frame, unless a single heartbeat is larger.
 const FRAME_BYTES_MAX: usize = 128 * 1024;
-/// Workers come and go; beyond this number, the digests are forgotten.
+/// Bound on the remembered digests; all of them are removed when it is reached.
 const KNOWN_WORKERS_MAX: usize = 1 << 16;
 /// Length of a machine name in a row.
 const MACHINE_NAME_BYTES: usize = 24;
@@ -37,12 +37,12 @@
     received_at: Micros,
     row: HeartbeatRow,
     body: Vec<u8>,
-    /// The body goes with the row.
+    /// The row is sent with the body.
     send_full: bool,
 }
 
 impl PendingHeartbeat {
-    /// The body as far as it is sent.
+    /// The body to send; empty if the row alone is sent.
     fn sent_body(&self) -> &[u8] {
         if self.send_full { &self.body } else { &[] }
     }
@@ -57,10 +57,10 @@
     }
 }
 
-/// The answer to a forwarded heartbeat.
+/// The answer to a forwarded heartbeat, as passed on to the worker's connection.
 #[derive(Debug, PartialEq)]
 pub enum HeartbeatAnswer {
-    /// Status 200 without commands: the leader's fencing token alone.
+    /// Status 200 without commands; contains the fencing token.
     NoCommands(u64),
     /// Any other answer of the leader.
     Body {
@@ -108,14 +108,14 @@
     }
 }
 
-/// The heartbeats that wait to be forwarded, and the frames that wait for the leader's reply.
+/// The heartbeats that wait to be forwarded, and those whose frame waits for the leader's reply.
 #[derive(Default)]
 pub struct HeartbeatBatch {
-    /// The digest of the heartbeat that the leader last answered, by machine: a hint that a row will do. The
-    /// leader compares it with the heartbeat it holds.
+    /// By machine, the digest of the heartbeat that the leader answered last. The next heartbeat with this digest is
+    /// sent without its body; the leader compares the digest with that of the heartbeat it holds.
     leader_digests: HashMap<[u8; MACHINE_NAME_BYTES], u128>,
     waiting: Vec<PendingHeartbeat>,
-    /// Size of a frame with all that waits.
+    /// Size of a frame with all waiting heartbeats.
     bytes: usize,
     due_at: Option<Micros>,
     in_flight: HashMap<Ticket, Vec<PendingHeartbeat>>,
@@ -125,7 +125,7 @@
     /// Adds a heartbeat.
     ///
     /// # Errors
-    /// Returns the body where it does not fit a row, so that it must be forwarded alone.
+    /// Returns the body if the heartbeat cannot be expressed as a row, so that it must be forwarded alone.
     pub fn push(&mut self, now: Micros, conn: ConnId, body: Vec<u8>) -> Result<(), Vec<u8>> {
         let summary = HeartbeatSummary::of(&body);
         let Some(row) = summary.and_then(|summary| summary.row()) else {
@@ -153,17 +153,17 @@
         self.waiting.push(heartbeat);
     }
 
-    /// Makes the next frame due at `at` at the latest.
+    /// Makes the next frame due no later than `at`.
     fn make_due_by(&mut self, at: Micros) {
         self.due_at = Some(self.due_at.map_or(at, |due_at| due_at.min(at)));
     }
 
-    /// Makes the next frame due at `at` at the earliest.
+    /// Makes the next frame due no earlier than `at`.
     fn delay_until(&mut self, at: Micros) {
         self.due_at = Some(self.due_at.map_or(at, |due_at| due_at.max(at)));
     }
 
-    /// When the next frame is to be sent; None where nothing waits.
+    /// When the next frame is due; `None` if nothing waits, 0 if a frame is full.
     pub fn due_at(&self) -> Option<Micros> {
         if self.bytes >= FRAME_BYTES_MAX {
             return Some(0);
@@ -171,7 +171,7 @@
         self.due_at
     }
 
-    /// The next frame, if it is due. Its reply is expected under `ticket`.
+    /// Returns the next frame, if it is due. Its reply will arrive under `ticket`.
     pub fn next_frame(&mut self, now: Micros, ticket: Ticket) -> Option<Vec<u8>> {
         if self.due_at().is_none_or(|due_at| due_at > now) {
             return None;
@@ -206,9 +206,9 @@
 
     /// Handles the leader's reply to a frame; returns the answers by connection.
     ///
-    /// A heartbeat that the leader wants in full is sent again. So is, while it may be held, one that the leader
-    /// can't answer yet, or any without an answer where it is doubtful whether the leader is still there
-    /// (`leader_in_doubt`).
+    /// A heartbeat whose full body the leader requests is sent again. So is a heartbeat without an answer, within
+    /// [`LEADERLESS_HOLD`], if the leader answers 503 because it cannot act at the moment, or if it may no longer be
+    /// there (`leader_in_doubt`).
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -238,7 +238,7 @@
                     continue;
                 }
                 Some(entry) => entry.to_answer(),
-                // The leader is elected, but can't act yet or at the moment.
+                // The leader cannot act at the moment, or may have been replaced.
                 None if (not_leading || leader_in_doubt) && heartbeat.may_be_held(now) => {
                     self.delay_until(now + LEADERLESS_RETRY_INTERVAL);
                     self.enqueue(heartbeat);
@@ -255,7 +255,7 @@
         answers
     }
 
-    /// Remembers that the leader holds this heartbeat.
+    /// Records that the leader holds this heartbeat.
     fn remember_digest(&mut self, row: &HeartbeatRow) {
         if self.leader_digests.len() >= KNOWN_WORKERS_MAX {
             self.leader_digests.clear();
@@ -268,8 +268,8 @@
         self.waiting.is_empty()
     }
 
-    /// There is no leader to forward to: keeps the heartbeats that may be held, and returns the connections of
-    /// the others, which are dropped here and must be answered.
+    /// Called when there is no leader to forward to. Keeps the heartbeats that may still be held and drops the others;
+    /// the caller must answer the returned connections of the dropped ones.
     pub fn hold_for_leader(&mut self, now: Micros) -> Vec<ConnId> {
         let mut expired = Vec::new();
         self.waiting.retain(|heartbeat| {
@@ -286,7 +286,7 @@
         expired
     }
 
-    /// Removes and returns all waiting heartbeats, to be forwarded in another way.
+    /// Removes and returns all waiting heartbeats, for example to process them on this node.
     pub fn drain(&mut self) -> Vec<(ConnId, Vec<u8>)> {
         (self.bytes, self.due_at) = (0, None);
         let waiting = self.waiting.drain(..);
@@ -296,8 +296,8 @@
     }
 }
 
-/// The answers in the leader's reply, by slot; none where it is not a reply with status 200. Stops at the first
-/// entry that is cut short.
+/// Parses the answers in the leader's reply, by slot. Returns none if it is not a reply with status 200; stops at the
+/// first truncated entry.
 fn parse_answers(outcome: &Outcome) -> HashMap<usize, AnswerEntry<'_>> {
     let mut entries = HashMap::default();
     let Outcome::Reply {
--- a/src/reconciliation.rs
+++ b/src/reconciliation.rs
@@ -1,14 +1,14 @@
-//! Reconciliation after a failover: in which ways the stored placements and the heartbeats of machines can
-//! differ, what may be decided while part of the fleet has not confirmed the new term, and how fast.
+//! Reconciliation after a failover: how the stored placements and the heartbeats of machines can differ, and which
+//! decisions are restricted while part of the fleet has not confirmed the new term.
 //!
-//! [`Reconciliation`] owns the progress of one leader's reconciliation; [`reconcile_task`] is the table of the
-//! differences. Both are pure: they get the time and what was observed, and never send a command themselves.
+//! [`Reconciliation`] tracks the progress of one leader's reconciliation; [`reconcile_task`] classifies the
+//! differences. Both are pure: the caller passes the time and the observations, and they send no commands.
 //!
-//! A machine that has confirmed the new term is decided on at once: work starts there. Decisions that rest on
-//! the state of the whole fleet (preempting running work, renting machines for lack of capacity) wait until
-//! nearly all machines have confirmed, or until the others have had their time. After that running work is
-//! preempted no faster than work completes by itself, until the new leader has measured what becomes free
-//! without preemption.
+//! Tasks may be started at once on a machine that has confirmed the new term. Decisions that depend on the state of
+//! the whole fleet (preempting running work, renting machines for lack of capacity) wait until nearly all machines
+//! have confirmed it, or until a deadline has passed. For some time after that, running work is preempted no faster
+//! than work completes by itself, until the new leader has measured how much capacity becomes free without
+//! preemption.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, to_secs};
 use crate::task_id::TaskId;
@@ -17,49 +17,52 @@
 #[cfg(test)]
 mod tests;
 
-/// Once no more than this share of the registered machines is unconfirmed, the fleet counts as known.
+/// The fleet counts as known when at most this fraction of the registered machines is unconfirmed.
 const UNCONFIRMED_SHARE_MAX: f64 = 0.05;
-/// The time that a worker may need beside its heartbeat period: it waits 4 s for an answer that was lost, and
-/// tries the next controller 1 s later.
+/// The time that a worker may need in addition to its heartbeat period when an answer is lost: it waits 4 s for the
+/// answer and tries the next controller 1 s later.
 const WORKER_RETRY_TIME: Micros = 5 * SECOND;
 /// How long preemption is throttled once the fleet is known.
 const THROTTLED_FOR: Micros = 20 * SECOND;
-/// The largest preemption allowance, in seconds of the completion rate.
+/// Upper bound of the preemption allowance: the cores that complete within this time, in seconds.
 const PREEMPTION_BURST_S: f64 = 0.5;
-/// Window over which commands are counted; longer than a second, since observations come at intervals.
+/// Window for counting the commands of one second; it is longer than that because observations are made at
+/// intervals.
 const COMMAND_WINDOW: Micros = SECOND + SECOND / 8;
 
 /// The state of a task as its machine reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedState {
-    /// The task is there: it fetches, runs or saves.
+    /// The task is on the machine: it fetches its image, runs, or saves a checkpoint.
     Present,
     /// The task has ended.
     Ended,
 }
 
-/// How the store and a machine that has confirmed this term compare over one task.
+/// How the stored placement of one task compares with the report of a machine that has confirmed this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 pub enum ReconciliationOutcome {
     /// Stored and present: it continues.
     Agreed,
-    /// Stored and ended: the end is recorded, stored, and then acknowledged.
+    /// Stored and ended: the end is recorded and stored, and then acknowledged to the worker.
     FinishedMeanwhile,
     /// Stored and not reported: its start never arrived, or its end was stored and acknowledged by the former
-    /// leader, or its lease expired. The heartbeat under this term proves it; the task is free to start.
+    /// leader, or the machine's lease expired. The heartbeat under this term proves that the task is not there, so
+    /// it may be started again.
     Missing,
     /// Present and not stored as placed there. A task of a live job is adopted, since it uses capacity and quota
     /// and may be the only copy; a task of a finished or unknown job is stopped.
     Unknown,
-    /// Ended and not stored as placed there: left over from an earlier leader. It is recorded if it is of use,
-    /// and acknowledged.
+    /// Ended and not stored as placed there: left over from an earlier leader. The end is recorded if the job still
+    /// needs it, and acknowledged.
     Stale,
 }
 
-/// Compares what is stored of a task with what a machine that has confirmed this term reports of it. None:
-/// neither knows of the task.
+/// Classifies the difference between the stored placement of a task (`stored`) and the report of a machine that has
+/// confirmed this term. `None` if there is neither a placement nor a report.
 ///
-/// Until a machine has confirmed the term, every placement stored there holds its capacity and is charged.
+/// Until a machine has confirmed the term, every placement stored there holds its capacity and is charged to its
+/// team's quota.
 pub fn reconcile_task(
     stored: bool,
     reported: Option<ReportedState>,
@@ -74,7 +77,7 @@
     }
 }
 
-/// Number of tasks by [`ReconciliationOutcome`], over all machines that have confirmed the term so far.
+/// Number of tasks per [`ReconciliationOutcome`], over all heartbeats reconciled so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ReconciliationCounts {
     /// Tasks of [`ReconciliationOutcome::Agreed`].
@@ -101,11 +104,11 @@
         *count += 1;
     }
 
-    /// Counts the outcomes of one machine's heartbeat.
+    /// Counts the outcomes of one heartbeat of a machine.
     ///
-    /// `stored` are the tasks that are stored as placed on the machine and not confirmed yet; `reported` are
-    /// those that its heartbeat lists and no earlier one did. Only a heartbeat that shows this term's fencing
-    /// token (`confirms_term`) proves that the tasks it does not list are not there.
+    /// `stored` are the tasks that are stored as placed on the machine and not confirmed yet; `reported` are the
+    /// tasks that its heartbeat lists and no earlier one did. Only a heartbeat with a fencing token of this term
+    /// (`confirms_term`) proves that the tasks it does not list are not there.
     pub fn reconcile(
         &mut self,
         stored: &[TaskId],
@@ -130,7 +133,7 @@
     }
 }
 
-/// What a heartbeat reports of a task. It may list several attempts of it; one that is present decides.
+/// The reported state of a task. If a heartbeat lists several attempts of it, the task is present if any attempt is.
 fn reported_state(reported: &[(TaskId, ReportedState)], task: &TaskId) -> Option<ReportedState> {
     let states = reported
         .iter()
@@ -150,40 +153,40 @@
     Probing,
     /// The fleet is known; preemption is throttled.
     Throttled,
-    /// Nothing is restricted any more.
+    /// No restrictions apply any more.
     Complete,
 }
 
-/// Commands sent by a point in time.
+/// Total number of commands sent up to a point in time.
 #[derive(Clone, Debug)]
 struct CommandSample {
     at: Micros,
     commands_sent: u64,
 }
 
-/// What a new leader may decide, and how fast.
+/// The progress of a new leader's reconciliation, and the limits on preemption that follow from it.
 #[derive(Clone, Debug)]
 pub struct Reconciliation {
     elected_at: Micros,
-    /// Machines that have not confirmed the term by then are assumed to be unresponsive.
+    /// Machines that have not confirmed the term by this time are assumed to be unresponsive.
     silence_deadline: Micros,
     /// Machines registered at the failover.
     machines: usize,
     /// Machines that have confirmed the term.
     confirmed: usize,
     fleet_known_at: Option<Micros>,
-    /// Cores per second that are expected to become free by themselves.
+    /// Cores per second that are expected to become free because tasks complete.
     expected_completion_rate: f64,
     /// Cores that may be preempted now.
     preemption_allowance: f64,
     preemption_allowance_at: Micros,
-    /// Commands sent, by the observations of the last second.
+    /// The observations of the command total within the last [`COMMAND_WINDOW`].
     command_samples: Vec<CommandSample>,
     commands_per_second_max: u64,
 }
 
 impl Reconciliation {
-    /// Starts the reconciliation of a leader that was elected now. `machines` is the number of registered
+    /// Starts the reconciliation of a leader that was elected at `now`. `machines` is the number of registered
     /// machines, `heartbeat_period` the period of their workers' heartbeats.
     pub fn new(now: Micros, machines: usize, heartbeat_period: Micros) -> Self {
         Self {
@@ -200,13 +203,13 @@
         }
     }
 
-    /// Sets the rate at which cores are expected to become free by themselves, from the placements that the
-    /// leader starts with.
+    /// Sets the rate at which cores are expected to become free because tasks complete, estimated from the
+    /// placements that the leader has loaded.
     pub fn expect_completion_rate(&mut self, cores_per_second: f64) {
         self.expected_completion_rate = cores_per_second;
     }
 
-    /// Records the number of registered machines that have confirmed the term, and of commands sent, by now.
+    /// Records how many registered machines have confirmed the term and how many commands have been sent in total.
     pub fn observe(&mut self, now: Micros, confirmed: usize, commands_sent: u64) {
         self.confirmed = confirmed;
         let unconfirmed = self.machines.saturating_sub(confirmed) as f64;
@@ -238,14 +241,14 @@
         }
     }
 
-    /// Whether enough machines have confirmed the term for decisions on the whole fleet.
+    /// Whether decisions that depend on the state of the whole fleet are allowed.
     pub fn is_fleet_known(&self, now: Micros) -> bool {
         self.phase(now) != ReconciliationPhase::Probing
     }
 
-    /// The cores of running work that may be preempted now for work of higher priority; infinite once the
-    /// reconciliation is complete. `completion_rate` are the cores per second that became free by themselves, as
-    /// measured since the failover.
+    /// Returns the cores of running work that may be preempted now for work of higher priority; infinite once the
+    /// reconciliation is complete. `completion_rate` is the rate, in cores per second, at which completed tasks
+    /// have freed cores since the failover.
     pub fn take_preemption_allowance(&mut self, now: Micros, completion_rate: f64) -> f64 {
         match self.phase(now) {
             ReconciliationPhase::Probing => 0.0,
@@ -261,13 +264,13 @@
         }
     }
 
-    /// Records that cores were preempted out of the allowance. A large task may overdraw it; later ones wait
-    /// until it is positive again.
+    /// Deducts preempted cores from the allowance. A large task may overdraw it; later preemptions wait until it is
+    /// positive again.
     pub fn note_preempted(&mut self, cores: f64) {
         self.preemption_allowance -= cores;
     }
 
-    /// The most commands that were sent in one second.
+    /// The largest number of commands sent within one second so far.
     pub fn commands_per_second_max(&self) -> u64 {
         self.commands_per_second_max
     }
@@ -282,7 +285,7 @@
         now.saturating_sub(self.elected_at) / MILLISECOND
     }
 
-    /// What the reconciliation still waits for, as a text for operators; None once it is complete.
+    /// What the reconciliation still waits for, as a text for operators; `None` once it is complete.
     pub fn waiting_for(&self, now: Micros) -> Option<String> {
         match self.phase(now) {
             ReconciliationPhase::Probing => Some(format!(
--- a/src/reconciliation/tests.rs
+++ b/src/reconciliation/tests.rs
@@ -1,4 +1,4 @@
-//! The table of differences, the counts of one heartbeat, and the phases of a reconciliation.
+//! Tests of the classification of differences, the counts of one heartbeat, and the phases of a reconciliation.
 
 use super::*;
 use std::collections::BTreeSet;
@@ -8,16 +8,16 @@
 }
 
 #[test]
-fn every_way_in_which_store_and_machine_can_differ_has_its_outcome() {
+fn each_difference_between_store_and_report_has_its_own_outcome() {
     let reports = [
         None,
         Some(ReportedState::Present),
         Some(ReportedState::Ended),
     ];
-    let ways = [false, true]
+    let combinations = [false, true]
         .into_iter()
         .flat_map(|stored| reports.map(|reported| (stored, reported)));
-    let outcomes: Vec<Option<ReconciliationOutcome>> = ways
+    let outcomes: Vec<Option<ReconciliationOutcome>> = combinations
         .map(|(stored, reported)| reconcile_task(stored, reported))
         .collect();
     assert_eq!(outcomes[0], None, "neither knows of the task");
@@ -29,7 +29,7 @@
     assert_eq!(
         distinct.len(),
         5,
-        "no two ways have one outcome: {distinct:?}"
+        "each combination has an outcome of its own: {distinct:?}"
     );
 }
 
@@ -40,7 +40,7 @@
     let reported = [
         (task(1, 0), ReportedState::Present),
         (task(1, 1), ReportedState::Ended),
-        // An earlier attempt of a task ended, its next one runs.
+        // An earlier attempt of the task has ended and the next one runs.
         (task(2, 0), ReportedState::Ended),
         (task(2, 0), ReportedState::Present),
         (task(3, 7), ReportedState::Present),
@@ -75,7 +75,7 @@
     assert!(
         reconciliation
             .waiting_for(2 * SECOND)
-            .expect("it waits")
+            .expect("the reconciliation is not complete")
             .starts_with("900 of 1000")
     );
     reconciliation.observe(3 * SECOND, 960, 20);
@@ -91,7 +91,7 @@
         }
     }
     assert!((900.0..=1_000.0).contains(&preempted), "{preempted}");
-    // The measured rate counts where it is higher than the expected one.
+    // The measured completion rate is used where it is higher than the expected one.
     reconciliation.take_preemption_allowance(13 * SECOND, 400.0);
     assert!(reconciliation.take_preemption_allowance(14 * SECOND, 400.0) > 150.0);
     assert_eq!(
@@ -105,17 +105,17 @@
 }
 
 #[test]
-fn unresponsive_machines_delay_nothing_for_ever_and_an_empty_registry_nothing_at_all() {
+fn the_wait_for_unresponsive_machines_has_a_deadline_and_an_empty_registry_needs_none() {
     let mut reconciliation = Reconciliation::new(SECOND, 300, 4 * SECOND);
     reconciliation.observe(10 * SECOND, 100, 0);
     assert!(
         !reconciliation.is_fleet_known(10 * SECOND),
-        "a third has confirmed"
+        "only a third has confirmed before the deadline"
     );
     reconciliation.observe(12 * SECOND, 100, 0);
     assert!(
         reconciliation.is_fleet_known(12 * SECOND),
-        "the others had their time"
+        "the others are assumed unresponsive after the deadline"
     );
     assert_eq!(
         Reconciliation::new(0, 0, SECOND).phase(0),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_most_commands_of_one_second_are_kept() {
+fn the_maximum_of_commands_per_second_is_recorded() {
     let mut reconciliation = Reconciliation::new(0, 10, SECOND);
     for (at_ms, commands_sent) in [
         (0, 0),
--- a/src/task_id.rs
+++ b/src/task_id.rs
@@ -1,11 +1,11 @@
-//! How a task is identified within one leader's term, and what the worker ledger asks the job table.
+//! The identifier of a task within one leader's term, and the interface through which the worker ledger looks up jobs.
 //!
-//! Owns nothing. Both the ledger and the jobs depend on this module, so neither depends on the other.
+//! Both the worker ledger and the job table depend on this module, so that neither depends on the other.
 
 use crate::wire::JobSpec;
 use std::sync::Arc;
 
-/// One task of a job, by numbers that are valid within one leader's term only.
+/// Identifies a task by numbers that are valid only within one leader's term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId {
     /// Number of the job, see [`JobDirectory`].
@@ -14,13 +14,13 @@
     pub index: u32,
 }
 
-/// Relates reported tasks to jobs; implemented by the job table.
+/// Looks up the jobs of reported tasks; implemented by the job table.
 pub trait JobDirectory {
-    /// The number and the spec of a job that is live, or cancelled with tasks still being stopped.
+    /// The number and the spec of a job that is live, or that is cancelled and has tasks still being stopped.
     fn find(&self, uid: &str) -> Option<(u32, Arc<JobSpec>)>;
-    /// Whether the job of that number is cancelled, so that none of its tasks may remain.
+    /// Whether the job with that number is cancelled, so that all of its tasks must be stopped.
     fn is_cancelled(&self, job: u32) -> bool;
-    /// The number of a job that is finished or not known, so that its reported tasks can be tracked. The same
-    /// for each call with this id; a new one for the first.
+    /// Returns the number of a finished or unknown job, so that its reported tasks can be tracked; assigns a new number
+    /// on the first call with this uid.
     fn number_for_unknown_job(&mut self, uid: &str) -> u32;
 }
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -1,24 +1,25 @@
-//! The ledger of what may be on each machine, and of the commands on their way there.
+//! The leader's record of its machines, of the attempts that may exist on each, and of the commands
+//! that are in flight to them.
 //!
-//! Owns, for the term of one leader, every machine that may hold a task and every attempt that may
-//! exist on it; learns of both from the store (at a failover), from the scheduler's decisions and
-//! from heartbeats. Sends starts, stops and probes as outputs; performs no I/O, stores nothing and
-//! decides no placement.
+//! [`WorkerLedger`] covers the term of one leader. It learns of machines and attempts from the state
+//! service (at a failover), from the scheduler's decisions and from heartbeats. It emits starts,
+//! stops and probes as outputs; it performs no I/O, stores nothing and decides no placement.
 //!
-//! The invariant at its door: an attempt leaves the ledger only on proof that it neither runs nor
-//! can be started any more. Proof is a newer heartbeat that also excludes every start still in
-//! flight, a restart of the agent, a machine that is released or failed, or a lease that is surely
-//! over. That a task or a machine is missing from some list proves nothing.
+//! Invariant: an attempt is removed only on proof that it neither runs nor can still be started.
+//! Proof is a newer heartbeat that also rules out every start in flight, a restart of the agent, a
+//! machine that was released or has failed, or a lease that has certainly expired. That a task or a
+//! machine is missing from some list proves nothing.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `event`, `task_entry`, `machine` | what happened to an attempt; what is known of one attempt, of one machine |
-//! | `heartbeat`, `reported_tasks` | taking heartbeats in and answering them |
+//! | `event`, `task_entry`, `machine` | changes of an attempt; the state of one attempt and of one machine |
+//! | `heartbeat`, `reported_tasks` | applying heartbeats and answering them |
 //! | `commands`, `direct_calls` | which commands are due, and calls that do not wait for a heartbeat |
-//! | `probes` | which machines are probed, and by whom |
-//! | `leases` | when a machine's lease is over, and silence |
+//! | `probes` | which machines are probed, and by which controller |
+//! | `leases` | when a machine's lease has expired, and which machines are silent |
+//! | `departed` | machines that left the ledger, to recognize late messages about them |
 //!
-//! The modules of the first row know nothing of the others; the others add methods to
+//! The modules of the first row do not depend on the others; the others add methods to
 //! [`WorkerLedger`] and [`Machine`].
 
 mod commands;
@@ -56,9 +57,10 @@
 
 /// The upper bits of an attempt number are the leader's term.
 const ATTEMPT_TERM_SHIFT: u32 = 32;
-/// Attempt numbers, and fence counters of a machine, that a leader keeps in reserve: with no more of them left
-/// below those of the next term it goes on under that term.
+/// Attempt numbers that a leader keeps in reserve: when no more than these are left below the numbers of the next
+/// term, it continues under a new term.
 const ATTEMPT_RESERVE: u64 = 1 << 24;
+/// The same reserve for the fence counter of a machine.
 const FENCE_COUNTER_RESERVE: u64 = 1 << 12;
 
 /// The lowest fencing token of a term.
@@ -66,57 +68,63 @@
     term << FENCE_COUNTER_BITS
 }
 
-/// All machines and attempts that a leader answers for, during one term.
+/// All machines and attempts that a leader manages during one term.
 pub struct WorkerLedger {
     term: u64,
     elected_at: Micros,
-    /// The time without an answered heartbeat after which a worker kills its tasks.
+    /// A worker kills its tasks when none of its heartbeats was answered for this long.
     lease_duration: Micros,
     /// How often a worker sends a heartbeat.
     heartbeat_period: Micros,
     /// The machines by name.
     pub machines: BTreeMap<Arc<str>, Machine>,
+    /// Machines that were returned to their provider or have failed.
     tombstones: DepartedMachines<()>,
-    /// Agent epoch and sequence number of the last heartbeat of machines that vanished.
+    /// Agent epoch and sequence number of the last heartbeat of each vanished machine, so that late copies of
+    /// its heartbeats are recognized.
     last_observed: DepartedMachines<(u64, u64)>,
-    calls: HashMap<Ticket, Arc<str>>,
+    /// The machine of each direct call that has no outcome yet, by the call's ticket.
+    machine_by_call: HashMap<Ticket, Arc<str>>,
     /// The other controllers.
     peers: Vec<SocketAddr>,
-    /// The last attempt number that was handed out.
+    /// The last attempt number that was assigned.
     last_attempt: u64,
-    /// The highest fence counter of any machine.
+    /// The highest fence counter that any machine has had during this term.
     highest_fence_counter: u64,
-    /// What the ledger learned since the events were last taken, oldest first.
+    /// Events that the owner has not drained yet, oldest first.
     pub events: Vec<TaskEvent>,
-    /// Machines whose tasks or availability changed since the scheduler last took them.
+    /// Machines whose tasks or availability changed since the last
+    /// [`take_changed_machines`](Self::take_changed_machines).
     changed_machines: BTreeSet<Arc<str>>,
-    /// Machines that may have something to be sent now.
+    /// Machines that may have a command due now.
     machines_to_send: BTreeSet<Arc<str>>,
-    /// Machines whose provider announced that it will reclaim them.
+    /// Machines whose provider has announced their reclamation; may contain some without a notice any more.
     machines_with_reclaim_notice: BTreeSet<Arc<str>>,
-    /// Machines whose stored entry may have to be written (again).
+    /// Machines whose entry in the stored registry may have to be written.
     registry_updates: BTreeSet<Arc<str>>,
+    /// When the next scan for commands and probes that are due by time alone takes place.
     next_scan_at: Micros,
-    /// The last machine of the part that the last scan covered.
+    /// The last machine that the previous scan covered; the next scan continues after it.
     scan_position: Option<Arc<str>>,
     direct_path: DirectPathHealth,
     /// When anything was last received from any machine.
     pub any_machine_seen_at: Micros,
-    /// How the stored placements agreed with the first heartbeats of the machines under this term.
+    /// How the stored placements compare with the first heartbeats of the machines under this term.
     pub reconciliation_counts: ReconciliationCounts,
-    /// Commands sent in direct calls.
+    /// Number of commands sent in direct calls.
     pub commands_sent: u64,
-    /// When the first start of this term was sent in a direct call.
+    /// When the first start of this term was sent in a direct call; starts in heartbeat answers do not count.
     pub first_direct_start_at: Option<Micros>,
-    /// How far this node is behind its inputs.
+    /// How long the inputs of this node's event loop currently wait before they are processed.
     pub loop_lag: Micros,
-    /// How many machines `send_due` has examined: the cost of an event must not grow with the fleet.
+    /// Number of machines that `send_due` has examined; lets tests check that the cost of an event does not grow
+    /// with the fleet.
     pub machines_examined: u64,
 }
 
 impl WorkerLedger {
-    /// An empty ledger for the term of a leader elected `now`, whose workers have a lease of that
-    /// duration and send a heartbeat every `heartbeat_period`.
+    /// Creates an empty ledger for the term of a leader elected `now`, whose workers hold leases of
+    /// `lease_duration` and send a heartbeat every `heartbeat_period`.
     pub fn new(
         term: u64,
         now: Micros,
@@ -131,10 +139,10 @@
             heartbeat_period,
             machines: BTreeMap::new(),
             tombstones: DepartedMachines::new("machines returned or failed"),
-            last_observed: DepartedMachines::new("machines gone without a word"),
-            calls: HashMap::default(),
+            last_observed: DepartedMachines::new("machines vanished"),
+            machine_by_call: HashMap::default(),
             peers,
-            // An attempt number is used once: the term makes it new, the count keeps it so.
+            // Attempt numbers are unique: the upper bits hold the term, the lower bits a counter.
             last_attempt: if fault_injected(InjectedFault::AttemptReused) {
                 0
             } else {
@@ -158,26 +166,26 @@
         }
     }
 
-    /// The machines whose tasks or availability changed since the last call.
+    /// Returns the machines whose tasks or availability changed since the last call.
     pub fn take_changed_machines(&mut self) -> BTreeSet<Arc<str>> {
         std::mem::take(&mut self.changed_machines)
     }
 
-    /// Machines whose provider announced that it will reclaim them, as far as they are still there.
+    /// The machines of the ledger whose provider has announced their reclamation.
     pub fn machines_with_reclaim_notice(&mut self) -> impl Iterator<Item = &Machine> {
         let machines = &self.machines;
-        let is_noticed = |id: &Arc<str>| {
+        let has_notice = |id: &Arc<str>| {
             machines
                 .get(id)
                 .is_some_and(|machine| machine.reclaim_at.is_some())
         };
-        self.machines_with_reclaim_notice.retain(is_noticed);
+        self.machines_with_reclaim_notice.retain(has_notice);
         self.machines_with_reclaim_notice
             .iter()
             .filter_map(|id| machines.get(id))
     }
 
-    /// Marks what is stored of a machine as out of date.
+    /// Marks the stored registry entry of a machine as out of date.
     pub fn mark_registry_stale(&mut self, id: &Arc<str>) {
         if let Some(machine) = self.machines.get_mut(id) {
             machine.registry_stale = true;
@@ -185,12 +193,12 @@
         }
     }
 
-    /// The machines whose stored entry may have to be written since the last call.
+    /// Returns the machines whose registry entry may have become out of date since the last call.
     pub fn take_registry_updates(&mut self) -> BTreeSet<Arc<str>> {
         std::mem::take(&mut self.registry_updates)
     }
 
-    /// Marks a machine whose availability changed outside of the ledger.
+    /// Marks a machine as changed after its availability was changed from outside the ledger.
     pub fn mark_changed(&mut self, id: &Arc<str>) {
         self.changed_machines.insert(id.clone());
     }
@@ -200,14 +208,14 @@
         first_fencing_token(self.term)
     }
 
-    /// The fencing token of commands to a machine; `None` for a machine that is not in the ledger.
+    /// The fencing token that commands to a machine carry; `None` for a machine that is not in the ledger.
     pub fn fencing_token_of(&self, id: &str) -> Option<u64> {
         let machine = self.machines.get(id)?;
         Some(self.base_fencing_token() + machine.fence_counter)
     }
 
-    /// Adds a machine of the stored registry: earlier leaders may have started tasks on it. An
-    /// address that does not parse counts as unknown.
+    /// Adds a machine from the stored registry; earlier leaders may have started tasks on it. An
+    /// address that cannot be parsed counts as unknown.
     pub fn add_registered_machine(
         &mut self,
         id: Arc<str>,
@@ -226,8 +234,8 @@
         self.changed_machines.insert(id);
     }
 
-    /// Adds a stored placement: until its machine reports under this term, the task may be there.
-    /// Returns whether the ledger holds an attempt of the task on that machine.
+    /// Adds a stored placement: until its machine reports under this term, the task may be running
+    /// there. Returns whether the ledger has an entry for the task on that machine.
     pub fn add_unconfirmed(
         &mut self,
         machine: &Arc<str>,
@@ -248,27 +256,27 @@
         true
     }
 
-    /// An attempt number that no leader has used or will use.
+    /// Assigns an attempt number that no other leader uses.
     pub fn new_attempt(&mut self) -> u64 {
         self.last_attempt += 1;
         self.last_attempt
     }
 
-    /// Whether the attempt numbers, or the fence counter of some machine, are about to reach those of the next
-    /// term. Past them a number would stand for two attempts, and a command that was given up could not be told
-    /// from a new one.
+    /// Whether the attempt numbers, or the fence counter of some machine, are about to reach the range of the next
+    /// term. Beyond that point one number would stand for two attempts, and an abandoned command could not be
+    /// distinguished from a new one.
     pub fn is_numbering_exhausted(&self) -> bool {
         let attempts = self.last_attempt & ((1 << ATTEMPT_TERM_SHIFT) - 1);
         attempts >= (1 << ATTEMPT_TERM_SHIFT) - ATTEMPT_RESERVE
             || self.highest_fence_counter >= (1 << FENCE_COUNTER_BITS) - FENCE_COUNTER_RESERVE
     }
 
-    /// Skips attempt numbers, for tests of their exhaustion.
+    /// Skips attempt numbers; used to test the exhaustion of the range.
     pub fn skip_attempts(&mut self, count: u64) {
         self.last_attempt += count;
     }
 
-    /// Plans an attempt: it takes its resources, and nothing is sent before
+    /// Adds a planned attempt: it holds its resources, and its start is not sent before
     /// [`confirm_stored`](Self::confirm_stored).
     pub fn plan_task(
         &mut self,
@@ -300,7 +308,7 @@
             .get_mut(&(task, attempt))
     }
 
-    /// Records that the placement is stored: its start may be sent.
+    /// Records that the placement is stored, so that its start may be sent.
     pub fn confirm_stored(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
         if let Some(entry) = self.entry_mut(machine, task, attempt)
             && entry.state == TaskState::Planned
@@ -310,7 +318,7 @@
         }
     }
 
-    /// Takes back an attempt whose start was surely never sent.
+    /// Removes an attempt whose start has never been sent; does nothing in any other state.
     pub fn withdraw(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
         if let Some(target) = self.machines.get_mut(machine)
             && let Some(entry) = target.tasks.get(&(task, attempt))
@@ -321,8 +329,8 @@
         }
     }
 
-    /// Stops an attempt; the command is repeated until a heartbeat proves the attempt gone. A
-    /// shorter grace replaces a longer one, the first reason stays.
+    /// Requests the stop of an attempt; the command is repeated until the attempt has ended or is proven to be
+    /// gone. A shorter grace period replaces a longer one; the first reason is kept.
     pub fn stop_task(
         &mut self,
         machine: &Arc<str>,
@@ -335,7 +343,8 @@
             return;
         };
         match entry.state {
-            // An unconfirmed placement has no known attempt to stop; its machine's first heartbeat decides.
+            // The attempt number of an unconfirmed placement is not known, so no command can name it; the first
+            // heartbeat of its machine under this term reveals the attempt.
             TaskState::Ended | TaskState::Unconfirmed => {}
             TaskState::Planned | TaskState::Ready => self.withdraw(machine, task, attempt),
             _ if entry.stop.is_none_or(|stop| grace_s < stop.grace_s) => {
@@ -348,14 +357,15 @@
         }
     }
 
-    /// Allows the worker to drop its record of an attempt: its end is stored or of no use.
+    /// Allows acknowledging the end of an attempt, upon which the worker drops its record: the end is stored, or
+    /// need not be.
     pub fn allow_acknowledgement(&mut self, machine: &Arc<str>, task: TaskId, attempt: u64) {
         if let Some(entry) = self.entry_mut(machine, task, attempt) {
             entry.acknowledge_allowed = true;
         }
     }
 
-    /// Removes all attempts of a machine, with an event for each that was not known to have ended.
+    /// Removes all attempts of a machine and emits a `Lost` event for each that was not known to have ended.
     fn clear_machine(&mut self, id: &Arc<str>, reason: &'static str) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -368,7 +378,8 @@
         }
     }
 
-    /// The machine is surely gone: returned with 200, or listed as failed.
+    /// Removes a machine that is certainly gone: the provider has answered its return with 200, or lists it as
+    /// failed. Heartbeats under its name are refused while its tombstone is retained.
     pub fn add_tombstone(&mut self, now: Micros, id: &Arc<str>) {
         let fleet = self.machines.len();
         self.clear_machine(id, MACHINE_GONE);
@@ -376,18 +387,19 @@
         self.tombstones.insert(now, fleet, id.clone(), ());
     }
 
-    /// A machine that nobody lists and whose lease is long over leaves the ledger. Were it to come back, it
-    /// would be taken as a new one, by what it says from now on.
+    /// Removes a machine that the provider no longer lists and whose lease expired long ago. If it comes back, it
+    /// is added again by its next heartbeat that is newer than the last one seen before.
     pub fn remove_vanished(&mut self, now: Micros, id: &Arc<str>) {
         let fleet = self.machines.len();
         if let Some(machine) = self.machines.remove(id) {
-            let last = (machine.agent_epoch, machine.sequence);
-            self.last_observed.insert(now, fleet, id.clone(), last);
+            let last_heartbeat = (machine.agent_epoch, machine.sequence);
+            self.last_observed
+                .insert(now, fleet, id.clone(), last_heartbeat);
         }
         self.changed_machines.insert(id.clone());
     }
 
-    /// Whether the machine is surely gone, so that an agent of its name must get no answer.
+    /// Whether the machine was returned or has failed, so that an agent of its name must get no successful answer.
     pub fn is_tombstoned(&self, id: &str) -> bool {
         self.tombstones.contains(id)
     }
--- a/src/worker_ledger/commands.rs
+++ b/src/worker_ledger/commands.rs
@@ -1,9 +1,9 @@
 //! Which commands are due to a machine: stops, acknowledgements and starts.
 //!
-//! Fills lists of commands and marks the entries that they are for; how a list reaches the worker
-//! is the business of the heartbeat answer or of the direct call that carries it. A list never
-//! grows past [`COMMANDS_PER_MESSAGE_MAX`]: workers list every attempt until its end is
-//! acknowledged, so without a bound an answer could grow with a backlog.
+//! Collects the due commands in a list and marks their entries as sent; the list is delivered by a
+//! heartbeat answer or a direct call. A list holds at most [`COMMANDS_PER_MESSAGE_MAX`] commands:
+//! workers report every attempt until its end is acknowledged, so without a bound an answer would
+//! grow with the backlog of acknowledgements.
 
 use super::machine::Machine;
 use super::task_entry::{Delivery, TaskState};
@@ -15,13 +15,14 @@
 const STOP_RETRY_INTERVAL: Micros = 1_500 * MILLISECOND;
 const ACK_RETRY_INTERVAL: Micros = 2 * SECOND;
 
-/// What will carry a list of commands.
+/// How a list of commands reaches the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CommandChannel {
-    /// The answer to a heartbeat, which renews the worker's lease. It repeats every stop without
-    /// grace, also one that was just sent: what was sent may never arrive.
+    /// The answer to a heartbeat, which renews the worker's lease. It always repeats stops without a
+    /// grace period, even just after they were sent: the earlier command may have been lost, and the
+    /// renewed lease keeps the task alive.
     HeartbeatAnswer,
-    /// A direct call. It carries no acknowledgements: they can wait for an answer.
+    /// A direct call. It carries no acknowledgements: they can wait for the next heartbeat answer.
     DirectCall,
 }
 
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Adds a start for each task that is ready, marks it as sent by `delivery`, and returns the
-    /// attempts that are started.
+    /// Adds a start for each attempt in state `Ready`, marks it as sent with `delivery`, and returns
+    /// these attempts.
     pub(super) fn collect_starts(
         &mut self,
         delivery: Delivery,
--- a/src/worker_ledger/departed.rs
+++ b/src/worker_ledger/departed.rs
@@ -1,93 +1,99 @@
-//! Memory of machines that left the ledger, so that late copies of their heartbeats, and what delayed commands
-//! lead to, are recognized.
+//! Retention of machines that left the ledger, so that late copies of their heartbeats, and reports of tasks that
+//! a delayed command has started there, are recognized.
 //!
-//! [`DepartedMachines`] drops nothing while messages of a machine can still arrive: it keeps each for [`DEPARTED_RETENTION`],
-//! and a number of them that follows the size of the fleet at any age. Its bound is far above what a fleet loses in
-//! that time, and is logged when reached.
+//! [`DepartedMachines`] keeps each machine for [`DEPARTED_RETENTION`], while its messages can still arrive. Older
+//! ones are evicted only while more are retained than the largest fleet had. The hard bound is far above the number
+//! of machines that a fleet loses in the retention time; reaching it is logged.
 
 use crate::clock::{Micros, SECOND};
 use crate::seeded_hash::HashMap;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Messages can arrive minutes late; no machine is forgotten before this time.
+/// Messages can arrive minutes late; below the hard bound no machine is evicted before this time.
 pub const DEPARTED_RETENTION: Micros = 3600 * SECOND;
-/// This many machines are remembered at any age, or as many as the largest fleet had.
-const REMEMBERED_MIN: usize = 4096;
-/// The most machines remembered: this many, or [`REMEMBERED_FLEETS_MAX`] times the largest fleet.
-const REMEMBERED_MAX: usize = 1 << 16;
-/// See [`REMEMBERED_MAX`].
-const REMEMBERED_FLEETS_MAX: usize = 16;
-/// Least time between two log lines on the bound.
+/// This many machines, or as many as the largest fleet had, are kept regardless of age.
+const RETAINED_MACHINES_MIN: usize = 4096;
+/// Hard bound: this many machines, or [`RETAINED_FLEETS_MAX`] times the largest fleet.
+const RETAINED_MACHINES_MAX: usize = 1 << 16;
+/// See [`RETAINED_MACHINES_MAX`].
+const RETAINED_FLEETS_MAX: usize = 16;
+/// Minimum time between two log lines about the hard bound.
 const LOG_INTERVAL: Micros = 60 * SECOND;
 
-/// A machine that left.
+/// A machine that left the ledger.
 struct Departure<T> {
     at: Micros,
-    last: T,
+    last_state: T,
 }
 
-/// The machines that left, by name, each with the last that is known of it.
+/// Machines that left the ledger, by name, each with its last known state.
 pub struct DepartedMachines<T> {
-    /// What they are called in the log.
-    kind: &'static str,
-    known: HashMap<Arc<str>, Departure<T>>,
-    /// When each left, oldest first; a machine that left again is in it more than once.
-    order: VecDeque<(Micros, Arc<str>)>,
+    /// Describes the machines in log lines.
+    description: &'static str,
+    machines: HashMap<Arc<str>, Departure<T>>,
+    /// Departure times, oldest first; a machine that left repeatedly has several entries.
+    departures: VecDeque<(Micros, Arc<str>)>,
     largest_fleet: usize,
     last_logged_at: Option<Micros>,
-    /// How many were dropped while messages of theirs could still arrive.
+    /// Number of machines evicted within [`DEPARTED_RETENTION`], because of the hard bound.
     pub dropped_early: u64,
 }
 
 impl<T> DepartedMachines<T> {
-    /// An empty memory; `kind` is what its machines are called in the log.
-    pub fn new(kind: &'static str) -> Self {
+    /// Creates an empty collection; `description` names its machines in log lines.
+    pub fn new(description: &'static str) -> Self {
         Self {
-            kind,
-            known: HashMap::default(),
-            order: VecDeque::new(),
+            description,
+            machines: HashMap::default(),
+            departures: VecDeque::new(),
             largest_fleet: 0,
             last_logged_at: None,
             dropped_early: 0,
         }
     }
 
-    /// The last that is known of a machine.
+    /// The last known state of a machine.
     pub fn get(&self, id: &str) -> Option<&T> {
-        self.known.get(id).map(|departure| &departure.last)
+        self.machines.get(id).map(|departure| &departure.last_state)
     }
 
-    /// Whether a machine of that name is remembered.
+    /// Whether a machine of that name is retained.
     pub fn contains(&self, id: &str) -> bool {
-        self.known.contains_key(id)
+        self.machines.contains_key(id)
     }
 
-    /// Remembers a machine that leaves a fleet of `fleet` machines.
-    pub fn insert(&mut self, now: Micros, fleet: usize, id: Arc<str>, last: T) {
+    /// Adds a machine that leaves a fleet of `fleet` machines.
+    pub fn insert(&mut self, now: Micros, fleet: usize, id: Arc<str>, last_state: T) {
         self.largest_fleet = self.largest_fleet.max(fleet);
-        self.order.push_back((now, id.clone()));
-        self.known.insert(id, Departure { at: now, last });
+        self.departures.push_back((now, id.clone()));
+        self.machines.insert(
+            id,
+            Departure {
+                at: now,
+                last_state,
+            },
+        );
         self.evict(now);
     }
 
     fn evict(&mut self, now: Micros) {
-        let kept_at_any_age = REMEMBERED_MIN.max(self.largest_fleet);
-        let bound = REMEMBERED_MAX.max(REMEMBERED_FLEETS_MAX * self.largest_fleet);
-        while let Some((at, id)) = self.order.front() {
+        let kept_at_any_age = RETAINED_MACHINES_MIN.max(self.largest_fleet);
+        let bound = RETAINED_MACHINES_MAX.max(RETAINED_FLEETS_MAX * self.largest_fleet);
+        while let Some((at, id)) = self.departures.front() {
             let is_latest = self
-                .known
+                .machines
                 .get(id)
                 .is_some_and(|departure| departure.at == *at);
             let is_old = now > *at + DEPARTED_RETENTION;
-            let is_full = self.order.len() > bound;
-            if is_latest && !(is_full || is_old && self.known.len() > kept_at_any_age) {
+            let is_full = self.departures.len() > bound;
+            if is_latest && !(is_full || is_old && self.machines.len() > kept_at_any_age) {
                 return;
             }
             if is_latest {
-                self.known.remove(id);
+                self.machines.remove(id);
             }
-            self.order.pop_front();
+            self.departures.pop_front();
             if is_latest && !is_old {
                 self.dropped_early += 1;
                 self.log_early_drop(now, bound);
@@ -104,8 +110,8 @@
         }
         self.last_logged_at = Some(now);
         log::error!(
-            "more than {bound} {} within {} min: the oldest are forgotten, {} so far",
-            self.kind,
+            "more than {bound} {} within {} min; evicting the oldest, {} evicted so far",
+            self.description,
             DEPARTED_RETENTION / (60 * SECOND),
             self.dropped_early
         );
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -1,9 +1,9 @@
 //! Direct calls to workers: commands and probes that do not wait for the next heartbeat.
 //!
-//! Decides when a machine is called and whether directly or through a peer, and takes the outcome.
-//! At most one call to a machine is open at a time. The invariant at this door: a call whose
-//! outcome is unknown raises the machine's fence, so that no new start is sent before the lost one
-//! can no longer be executed; a call that was surely not executed may be repeated at once.
+//! Decides when a machine is called and whether directly or through a peer, and handles the outcome.
+//! At most one call to a machine is open at a time. Invariant: a call whose outcome is unknown
+//! raises the machine's fence counter, so that no new start is sent before the lost one can no
+//! longer be executed; a call that was certainly not executed may be repeated at once.
 
 use super::WorkerLedger;
 use super::commands::CommandChannel;
@@ -18,37 +18,39 @@
 use std::ops::Bound;
 use std::sync::Arc;
 
-/// A leader whose inputs wait for longer than this starts nothing by direct calls: such a call, mostly over a new
-/// connection, costs it as much as a heartbeat, and the heartbeats that renew leases wait behind it.
+/// A leader whose inputs wait for longer than this sends no starts in direct calls: such a call, mostly over a new
+/// connection, costs as much as handling a heartbeat, and delays the heartbeats that renew leases.
 const DIRECT_START_LAG_MAX: Micros = 500 * MILLISECOND;
 const DIRECT_CALL_TIMEOUT: Micros = 2 * SECOND;
 /// How long commands go through a peer before the direct path is tried again.
 const PROXY_USE_TIME: Micros = 20 * SECOND;
-/// Between two calls to a machine that can't be reached; grows with the failures.
+/// Time between two calls to a machine that cannot be reached, multiplied by the number of failures.
 const UNREACHABLE_RETRY_INTERVAL: Micros = 600 * MILLISECOND;
-/// The interval grows with no more failures than these.
+/// The retry interval stops growing at this number of failures.
 const UNREACHABLE_BACKOFF_FAILURES_MAX: u32 = 8;
-/// How often machines are scanned for what only the passing of time makes due.
+/// How often machines are scanned for commands and probes that become due by the passing of time alone.
 const SCAN_INTERVAL: Micros = 250 * MILLISECOND;
-/// Of a large fleet one scan covers only this part: what is repeated at all is repeated after
-/// seconds, and a walk over all tasks four times a second took a twentieth of a leader's time.
+/// One scan of a large fleet covers one of this many parts: commands are repeated only after
+/// seconds, and scanning all tasks four times a second took 5 % of a leader's processor time.
 const SCAN_PARTS: usize = 4;
-/// A fleet up to this size is scanned whole.
+/// A fleet up to this size is scanned completely each time.
 const FULL_SCAN_MACHINES: usize = 256;
-/// That many direct calls that fail in a row say that the fault is not with the machines.
+/// After this many failed direct calls in a row the fault is assumed to be with this node's network, not with
+/// the machines.
 const DIRECT_FAILURES_MAX: u32 = 12;
 const DIRECT_RETRY_INTERVAL: Micros = 2 * SECOND;
 
 const START_REFUSED: &str = "start refused";
 const MACHINE_NOT_REACHED: &str = "machine not reached";
 
-/// Whether this node reaches workers at all. A node can lose all of them while its peers still
-/// reach them; then each start would first fail on the direct path.
+/// Tracks whether this node reaches any worker at all. A node can lose its connection to all of them
+/// while its peers still reach them; without this record each start would first fail on the direct
+/// path.
 #[derive(Default)]
 pub(super) struct DirectPathHealth {
-    /// Direct calls that failed since the last that did not.
+    /// Number of direct calls that failed since the last successful one.
     failures: u32,
-    tried_at: Micros,
+    last_tried_at: Micros,
 }
 
 impl DirectPathHealth {
@@ -58,27 +60,28 @@
         }
     }
 
-    /// Whether to use a peer at once; now and then one call tries the direct path all the same.
+    /// Whether to call through a peer without trying the direct path first; every
+    /// [`DIRECT_RETRY_INTERVAL`] one call still tries the direct path.
     fn should_bypass(&mut self, now: Micros) -> bool {
         if self.failures < DIRECT_FAILURES_MAX {
             return false;
         }
-        let tries_direct = now >= self.tried_at + DIRECT_RETRY_INTERVAL;
+        let tries_direct = now >= self.last_tried_at + DIRECT_RETRY_INTERVAL;
         if tries_direct {
-            self.tried_at = now;
+            self.last_tried_at = now;
         }
         !tries_direct
     }
 }
 
 impl WorkerLedger {
-    /// Sends what is due: starts, stops and probes. Each call takes the next number of `tickets`
-    /// and is appended to `out`.
+    /// Opens calls for all starts, stops and probes that are due. Each call takes the next number of
+    /// `tickets` and is appended to `out`.
     pub fn send_due(&mut self, now: Micros, tickets: &mut Ticket, out: &mut Vec<Output>) {
         let mut due = std::mem::take(&mut self.machines_to_send);
         let mut probes_left = self.probe_budget();
         if now >= self.next_scan_at {
-            // What time alone makes due: repeats, probes, calls after a failure.
+            // Due by the passing of time alone: repeated commands, probes, retries after a failure.
             self.next_scan_at = now + SCAN_INTERVAL;
             let scanned = self.next_scan_part(now);
             let machines = scanned.iter().filter_map(|id| self.machines.get(id));
@@ -95,7 +98,7 @@
         }
     }
 
-    /// What is to be sent to a machine now, if anything; marks the starts as sent.
+    /// Builds the call that is due to a machine now, if any, and marks its commands as sent.
     fn prepare_call(
         &mut self,
         now: Micros,
@@ -123,8 +126,8 @@
         let mut commands = Vec::new();
         machine.collect_stops(now, CommandChannel::DirectCall, &mut commands);
         let mut starts = Vec::new();
-        let has_time_for_starts = self.loop_lag <= DIRECT_START_LAG_MAX;
-        if has_time_for_starts && machine.may_be_sent_starts() {
+        let may_send_starts = self.loop_lag <= DIRECT_START_LAG_MAX;
+        if may_send_starts && machine.accepts_direct_starts() {
             let delivery = Delivery::Direct {
                 token: fencing_token,
                 agent_epoch: machine.agent_epoch,
@@ -172,7 +175,7 @@
             });
             proxy
         });
-        self.calls.insert(ticket, id.clone());
+        self.machine_by_call.insert(ticket, id.clone());
         match proxy {
             Some(dest) => Output::PeerCall {
                 ticket,
@@ -193,10 +196,11 @@
         }
     }
 
-    /// The next part of the machines to scan, in the order of names; after the last comes the
-    /// first again.
+    /// The machines that the next scan covers, in the order of their names; wraps around after the
+    /// last one.
     fn next_scan_part(&mut self, now: Micros) -> Vec<Arc<str>> {
-        // After a failover all wait to be probed, or to be taken back from peers that did not probe them.
+        // After a failover all machines have to be probed, also those whose assigned peer did not probe them in
+        // time, so each scan covers the whole fleet.
         let part_max = if now < self.elected_at + self.lease_duration {
             usize::MAX
         } else {
@@ -212,8 +216,8 @@
         part
     }
 
-    /// When `send_due` is to be called next. What waits to be sent goes with the inputs that made
-    /// it due; only the scan needs a time.
+    /// When `send_due` must be called next for the scan. Other due commands are sent while the input
+    /// that made them due is processed, so they need no timer.
     pub fn wake_at(&self, now: Micros) -> Micros {
         if self.next_scan_at > now {
             self.next_scan_at
@@ -222,12 +226,12 @@
         }
     }
 
-    /// Whether the ticket is of a call that this ledger opened.
+    /// Whether the ticket belongs to a call that this ledger opened.
     pub fn owns(&self, ticket: Ticket) -> bool {
-        self.calls.contains_key(&ticket)
+        self.machine_by_call.contains_key(&ticket)
     }
 
-    /// Takes the outcome of a direct call.
+    /// Handles the outcome of a direct call.
     pub fn handle_outcome(
         &mut self,
         now: Micros,
@@ -235,7 +239,7 @@
         outcome: &Outcome,
         jobs: &mut dyn JobDirectory,
     ) {
-        let Some(id) = self.calls.remove(&ticket) else {
+        let Some(id) = self.machine_by_call.remove(&ticket) else {
             return;
         };
         let Some(machine) = self.machines.get_mut(&id) else {
@@ -244,7 +248,7 @@
         let Some(call) = machine.in_flight.take_if(|call| call.ticket == ticket) else {
             return;
         };
-        // What became due while the call was open can go now.
+        // Commands that became due while the call was open can be sent now.
         self.machines_to_send.insert(id.clone());
         self.changed_machines.insert(id.clone());
         match answered_heartbeat(outcome).filter(|heartbeat| heartbeat.machine == id) {
@@ -253,7 +257,7 @@
         }
     }
 
-    /// The worker has handled the call, executed its commands or not.
+    /// Handles the answer of a worker that has processed the call, whether or not it executed the commands.
     fn complete_answered_call(
         &mut self,
         now: Micros,
@@ -265,7 +269,7 @@
         self.direct_path.record_call(call.proxied, true);
         if let Some(machine) = self.machines.get_mut(id) {
             machine.direct_failures = 0;
-            // A start that the heartbeat after it doesn't list was not executed.
+            // A start that the heartbeat in this answer does not list was not executed.
             for start in &call.starts {
                 if let Some(entry) = machine.tasks.get_mut(start)
                     && matches!(entry.delivery, Delivery::Direct { token, open: true, .. } if token == call.fencing_token)
@@ -274,10 +278,10 @@
                 }
             }
         }
-        if self.apply_heartbeat(now, heartbeat, HeartbeatSource::CommandAnswer, jobs) {
+        if self.apply_heartbeat(now, heartbeat, HeartbeatSource::CallAnswer, jobs) {
             return;
         }
-        // Overtaken by a newer heartbeat, which had its chance to list these starts.
+        // A newer heartbeat was applied before this answer; a start that it did not list was not executed.
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -289,7 +293,8 @@
         }
     }
 
-    /// The call failed; `may_be_executed` unless it surely did not reach the worker.
+    /// Handles a failed call. `may_be_executed` is false if the worker certainly did not execute it and never
+    /// will.
     fn complete_failed_call(
         &mut self,
         now: Micros,
@@ -305,8 +310,8 @@
         machine.use_proxy = !call.proxied;
         machine.proxied_at = now;
         if may_be_executed && !fault_injected(InjectedFault::FenceNotRaised) {
-            // It may be executed minutes later: from now on only a higher token counts, and
-            // once the worker has shown that one, the lost call can no longer be executed.
+            // The lost call may still be executed minutes later. Commands carry a higher fencing
+            // token from now on; once the worker has reported that token, it rejects the lost call.
             machine.raise_fence();
             self.highest_fence_counter = self.highest_fence_counter.max(machine.fence_counter);
         }
@@ -320,9 +325,9 @@
             if may_be_executed {
                 entry.mark_start_lost();
             } else if !matches!(entry.delivery, Delivery::Direct { open: true, .. }) {
-                // A heartbeat has listed it meanwhile.
+                // A heartbeat has listed the attempt in the meantime.
             } else if has_other_path && entry.state == TaskState::Sent && entry.stop.is_none() {
-                // Surely not executed: it goes through a peer, or in the answer to a heartbeat.
+                // Certainly not executed: the start is sent again through a peer or in a heartbeat answer.
                 entry.state = TaskState::Ready;
                 entry.delivery = Delivery::Unsent;
             } else {
@@ -332,43 +337,44 @@
     }
 }
 
-/// A call to a machine whose path is not chosen yet.
+/// A call to a machine, before the choice between the direct path and a peer.
 struct PreparedCall {
     address: SocketAddr,
     fencing_token: u64,
-    /// The attempts that it carries start commands for.
+    /// The attempts whose start commands it carries.
     starts: Vec<(TaskId, u64)>,
     body: Vec<u8>,
 }
 
 impl Machine {
-    /// Whether something may have to be sent to it now.
+    /// Whether a command or a probe may be due to it now.
     fn has_due_command(&self, now: Micros, elected_at: Micros, period: Micros) -> bool {
-        let is_open = |entry: &TaskEntry| {
+        let has_pending_command = |entry: &TaskEntry| {
             entry.state == TaskState::Ready || (entry.stop.is_some() && entry.holds_resources())
         };
         self.in_flight.is_none()
             && !self.releasing
-            && (self.needs_probe(now, elected_at, period) || self.tasks.values().any(is_open))
+            && (self.needs_probe(now, elected_at, period)
+                || self.tasks.values().any(has_pending_command))
     }
 
-    /// A machine that can't be reached is tried now and then, by turns directly and through the
-    /// peers: two zones may be cut while a third sees both. The first try after a failure goes the
-    /// other way, at once.
+    /// Whether the next call to an unreachable machine has to wait. Calls alternate between the direct
+    /// path and the peers: two zones may be partitioned from each other while a third reaches both.
+    /// The first retry after a failure uses the other path and does not wait.
     fn is_backing_off(&self, now: Micros) -> bool {
         let failures = self.direct_failures.min(UNREACHABLE_BACKOFF_FAILURES_MAX);
         self.direct_failures > 1
             && now < self.last_call_at + UNREACHABLE_RETRY_INTERVAL * u64::from(failures)
     }
 
-    /// Whether starts may be sent to it directly: later leaders know of it, and no older command
-    /// can still be executed there.
-    fn may_be_sent_starts(&self) -> bool {
+    /// Whether starts may be sent to it in direct calls: the stored registry contains it, so later
+    /// leaders know of it, and no older command can still be executed there.
+    fn accepts_direct_starts(&self) -> bool {
         !self.in_doubt && self.term_confirmed && self.registered && !self.silence_stored
     }
 
-    /// The peer that the next call goes through; `None`: the call goes directly. The peer that
-    /// forwarded its last heartbeat comes first, else the peers take turns with the failures.
+    /// The peer that the next call goes through; `None` for the direct path. Prefers the peer that
+    /// forwarded the machine's last heartbeat; otherwise the peers take turns as failures accumulate.
     fn choose_proxy(
         &self,
         now: Micros,
@@ -385,8 +391,8 @@
 }
 
 impl TaskEntry {
-    /// The outcome of the call that carried its start is unknown: the call counts as closed, and
-    /// only a heartbeat with a higher fencing token rules the start out.
+    /// Marks the call that carried the start as closed with an unknown outcome: from now on only a
+    /// heartbeat with a higher fencing token, or of a later agent epoch, rules the start out.
     fn mark_start_lost(&mut self) {
         if fault_injected(InjectedFault::FenceNotRaised) {
             self.delivery = Delivery::Settled;
@@ -396,8 +402,8 @@
     }
 }
 
-/// The heartbeat that answers a call which the worker has handled: 409 when it refused the
-/// commands, for their fencing token or agent epoch.
+/// The heartbeat in the answer of a worker that has processed a call. Status 409 means that it
+/// refused the commands because of their fencing token or agent epoch.
 fn answered_heartbeat(outcome: &Outcome) -> Option<Heartbeat> {
     match outcome {
         Outcome::Reply {
@@ -408,7 +414,7 @@
     }
 }
 
-/// Whether a call that failed may have been executed, or may be later.
+/// Whether a failed call may have been executed, or may still be executed later.
 fn may_be_executed(outcome: &Outcome) -> bool {
     !matches!(
         outcome,
--- a/src/worker_ledger/event.rs
+++ b/src/worker_ledger/event.rs
@@ -1,7 +1,6 @@
-//! What the ledger tells its owner: the changes that it learned of, and why attempts were lost.
+//! The events that the ledger emits to its owner, and the reasons why attempts are lost.
 //!
-//! Plain data. The reasons are also the causes that are stored with a task, so their texts stay as
-//! they are.
+//! The reasons are also stored as the causes of task endings, so their texts must not change.
 
 use crate::accounting::StopReason;
 use crate::clock::Micros;
@@ -9,30 +8,30 @@
 use compact_str::CompactString;
 use std::sync::Arc;
 
-/// Why an attempt was lost: the worker's lease ran out, or its agent restarted.
+/// Reason for a lost attempt: the worker's lease expired, or its agent restarted.
 pub const LEASE_EXPIRED: &str = "the worker's lease ran out";
-/// Why an attempt was lost: its machine was released or has failed.
+/// Reason for a lost attempt: its machine was released or has failed.
 pub const MACHINE_GONE: &str = "its machine is gone";
-/// Why an attempt was lost: its machine has proven that it does not hold it.
+/// Reason for a lost attempt: its machine is proven not to have it, and the start can no longer be executed.
 pub const NOT_ON_MACHINE: &str = "not on its machine";
-/// Why an attempt was lost: its placement was taken back before its start was sent.
+/// Reason for a lost attempt: its placement was withdrawn before its start was sent.
 pub const WITHDRAWN: &str = "withdrawn";
 
-/// A change that the ledger learned of.
+/// A change of an attempt's state.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TaskEvent {
-    /// The machine that it happened on.
+    /// The machine of the attempt.
     pub machine: Arc<str>,
-    /// The task that it is about.
+    /// The task of the attempt.
     pub task: TaskId,
-    /// The attempt of the task; 0 stands for a stored placement whose attempt is not known.
+    /// Number of the attempt; 0 for a stored placement whose attempt is not known.
     pub attempt: u64,
     /// What happened.
     pub kind: TaskEventKind,
 }
 
 impl TaskEvent {
-    /// The event that an attempt is surely not on the machine, or never was.
+    /// The event that an attempt is certainly not on the machine, or never was.
     pub(super) fn lost(
         machine: &Arc<str>,
         task: TaskId,
@@ -51,26 +50,26 @@
 /// What happened to an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TaskEventKind {
-    /// A heartbeat lists an attempt that the ledger had not placed there.
+    /// A heartbeat lists an attempt of a live job that the ledger had no entry for.
     Discovered,
-    /// The attempt runs.
+    /// A heartbeat lists the attempt as running for the first time.
     Started,
-    /// A stored placement is the attempt that a heartbeat has listed.
+    /// A heartbeat has listed the attempt that a stored placement stands for.
     PlacementConfirmed,
     /// The attempt ended.
     Ended {
-        /// Why it ended, in the worker's words.
+        /// Why it ended, as reported by the worker.
         cause: CompactString,
-        /// Whether its state was saved.
+        /// Whether a checkpoint was saved.
         saved: bool,
         /// How long it ran; 0 unless this leader started it.
         run_time: Micros,
         /// Why it was commanded to stop, if it was.
         stop: Option<StopReason>,
     },
-    /// The attempt is surely not there any more, or never was.
+    /// The attempt is certainly not on the machine any more, or never was.
     Lost {
-        /// What is the proof of it.
+        /// One of the reasons above, such as [`LEASE_EXPIRED`].
         reason: &'static str,
     },
 }
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -1,10 +1,10 @@
-//! Takes what workers report of themselves into the ledger, and answers their heartbeats.
+//! Applies heartbeats of workers to the ledger and answers them.
 //!
-//! Heartbeats come in three ways: posted by a worker (directly or through a peer), as the answer
-//! to a direct command, and as the answer to a peer that probed the worker. Only the first kind
-//! renews the worker's lease. A heartbeat that is not newer than the last one taken changes
-//! nothing, and its answer carries no commands; a machine with a tombstone, or one whose silence
-//! is stored, never gets a successful answer.
+//! Heartbeats arrive in three ways: posted by a worker (directly or through a peer), as the answer
+//! to a direct call, and as the answer to a peer that probed the worker. Only the first kind renews
+//! the worker's lease. A heartbeat that is not newer than the last one applied changes nothing, and
+//! its answer carries no commands. A machine with a tombstone or with a stored silence mark never
+//! gets a successful answer.
 
 use super::WorkerLedger;
 use super::commands::CommandChannel;
@@ -18,12 +18,12 @@
 use compact_str::{CompactString, ToCompactString};
 use std::net::SocketAddr;
 
-/// What a heartbeat that repeats an earlier one leads to.
+/// The outcome of a heartbeat that was received as a digest because it repeats an earlier one.
 #[derive(Debug)]
 pub enum RepeatedHeartbeatOutcome {
-    /// The earlier heartbeat is not held here: the sender must send this one whole.
+    /// This leader does not hold the earlier heartbeat: the sender must send this one in full.
     FullHeartbeatNeeded,
-    /// This worker must get no successful answer.
+    /// The worker must get no successful answer.
     Refused,
     /// The answer for the worker.
     Answer(Commands),
@@ -36,10 +36,10 @@
 }
 
 impl WorkerLedger {
-    /// Takes a heartbeat that a worker posted and returns the answer, or `None` when the worker
-    /// must get no successful answer: its machine is gone, or its silence is stored. `digest`, if
-    /// there is one, is of the heartbeat without its sequence number; `via` is the peer that
-    /// forwarded it.
+    /// Handles a heartbeat that a worker posted and returns the answer, or `None` if the worker must
+    /// get no successful answer because its machine has a tombstone or a stored silence mark.
+    /// `digest` is the digest of the heartbeat without its sequence number, if known; `via` is the
+    /// peer that forwarded it.
     pub fn handle_heartbeat(
         &mut self,
         now: Micros,
@@ -51,7 +51,7 @@
         if self.is_tombstoned(&heartbeat.machine) {
             return None;
         }
-        let source = HeartbeatSource::CheckIn { proxy: via };
+        let source = HeartbeatSource::Posted { proxy: via };
         let is_newest = self.apply_heartbeat(now, &heartbeat, source, jobs);
         let term_base = self.base_fencing_token();
         let machine = self.machines.get_mut(&heartbeat.machine)?;
@@ -65,11 +65,11 @@
             }
         }
         if machine.silence_stored {
-            // An answer now would renew a lease that a later leader may count as over.
+            // A successful answer would renew a lease that a later leader may assume to have expired.
             return None;
         }
         let mut commands = Vec::new();
-        // A heartbeat that was overtaken gets no commands: it says nothing of the present.
+        // A heartbeat that arrives after a newer one gets no commands: its content is out of date.
         if is_newest {
             machine.collect_stops(now, CommandChannel::HeartbeatAnswer, &mut commands);
             if machine.direct_failures > 0 && machine.in_flight.is_none() && machine.registered {
@@ -88,23 +88,22 @@
         })
     }
 
-    /// Takes what a worker answered to a peer that probed it for this leader.
+    /// Handles the answer of a worker to a peer that probed it on behalf of this leader.
     pub fn handle_probe_answer(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
         jobs: &mut dyn JobDirectory,
     ) {
-        // A machine that is not in the ledger enters it by a heartbeat that it posts itself.
+        // Only a heartbeat that the worker posts itself adds a machine to the ledger.
         if self.machines.contains_key(&heartbeat.machine) {
-            self.apply_heartbeat(now, heartbeat, HeartbeatSource::CommandAnswer, jobs);
+            self.apply_heartbeat(now, heartbeat, HeartbeatSource::CallAnswer, jobs);
         }
     }
 
-    /// Takes a heartbeat that differs from an earlier one only in its sequence number. It leads to
-    /// what that heartbeat would lead to now, without being parsed again; where the machine is
-    /// settled its tasks are not even looked through. At any fleet size most heartbeats are of
-    /// that kind.
+    /// Handles a heartbeat that differs from an earlier one only in its sequence number. The effect
+    /// is that of the earlier heartbeat received again now, without parsing it; if the machine is
+    /// settled its task list is not scanned either. Most heartbeats are of this kind.
     pub fn handle_repeated_heartbeat(
         &mut self,
         now: Micros,
@@ -127,13 +126,13 @@
                 self.handle_heartbeat(now, assumed, None, via, jobs),
             );
         }
-        let is_held = |held: &DigestedHeartbeat| held.digest == digest;
-        if !machine.last_heartbeat.as_ref().is_some_and(is_held) {
+        let has_digest = |held: &DigestedHeartbeat| held.digest == digest;
+        if !machine.last_heartbeat.as_ref().is_some_and(has_digest) {
             return RepeatedHeartbeatOutcome::FullHeartbeatNeeded;
         }
         if machine.is_settled_repeat(row) {
             if now >= machine.last_seen_at + silence {
-                // It counted as silent until now.
+                // The machine counted as silent until now.
                 self.changed_machines.insert(machine.id.clone());
             }
             self.any_machine_seen_at = now;
@@ -158,7 +157,8 @@
         ))
     }
 
-    /// Takes a heartbeat into the ledger; false when a newer one was taken before.
+    /// Applies a heartbeat to the ledger; returns false, without effect, if it is not newer than the last one
+    /// applied.
     pub(super) fn apply_heartbeat(
         &mut self,
         now: Micros,
@@ -186,16 +186,16 @@
         let first_under_term = machine.confirm_fencing_token(heartbeat.fencing_token, term_base);
         self.highest_fence_counter = self.highest_fence_counter.max(machine.fence_counter);
 
-        // What is stored as being here and not proven is compared with what is reported for the first time.
-        let unproven = first_under_term || !machine.term_confirmed;
-        let stored = if unproven {
+        // The unconfirmed stored placements are compared with the attempts that are reported for the first time.
+        let was_unconfirmed = first_under_term || !machine.term_confirmed;
+        let stored = if was_unconfirmed {
             machine.unreported_placements()
         } else {
             Vec::new()
         };
         let events = &mut self.events;
-        let reported = machine.apply_reported_tasks(now, heartbeat, unproven, jobs, events);
-        if unproven {
+        let reported = machine.apply_reported_tasks(now, heartbeat, was_unconfirmed, jobs, events);
+        if was_unconfirmed {
             self.reconciliation_counts.reconcile(
                 &stored,
                 &reported.newly_reported,
@@ -225,9 +225,9 @@
 }
 
 impl Machine {
-    /// A machine that enters the ledger by its heartbeat. `last_observed` is the agent epoch and
-    /// sequence number up to which an earlier machine of that name was known, or zeros: a copy of an
-    /// earlier heartbeat proves nothing new.
+    /// Creates a machine that a heartbeat adds to the ledger. `last_observed` is the agent epoch and
+    /// sequence number of the last heartbeat of an earlier machine of that name, or zeros: a delayed
+    /// copy of an earlier heartbeat does not count as news of the machine.
     fn from_heartbeat(heartbeat: &Heartbeat, last_observed: (u64, u64), now: Micros) -> Self {
         let mut machine = Self::new(
             heartbeat.machine.clone(),
@@ -240,12 +240,12 @@
         machine
     }
 
-    /// Whether the heartbeat is newer than the last one taken.
+    /// Whether the heartbeat is newer than the last one applied.
     fn is_older_than(&self, heartbeat: &Heartbeat) -> bool {
         (heartbeat.agent_epoch, heartbeat.sequence) > (self.agent_epoch, self.sequence)
     }
 
-    /// Takes over the agent epoch; true when the agent has restarted since the last heartbeat, so
+    /// Records the agent epoch; returns true if the agent has restarted since the last heartbeat, so
     /// that every task of its former epoch is gone.
     fn record_agent_epoch(
         &mut self,
@@ -254,8 +254,9 @@
         lease_duration: Micros,
     ) -> bool {
         let restarted = heartbeat.agent_epoch > self.agent_epoch && self.agent_epoch > 0;
-        // Its lease ran out though it was answered: answers may not reach it. It gets no start before it
-        // has shown a fencing token that only an answer or a command sent from now on can have carried.
+        // The lease expired or the agent restarted although a heartbeat was answered within the lease duration:
+        // the machine may be inbound-partitioned. No start is sent before it has reported a fencing token that only
+        // answers and commands sent from now on carry.
         if restarted && self.term_confirmed && now < self.last_answered_at + lease_duration {
             self.raise_fence();
         }
@@ -263,43 +264,44 @@
         restarted
     }
 
-    /// Takes over what a heartbeat says of the machine itself, and that and how it got through.
+    /// Records the machine's address and reclamation notice from a heartbeat, and by which path it
+    /// arrived.
     fn record_contact(&mut self, now: Micros, heartbeat: &Heartbeat, source: HeartbeatSource) {
         self.settled_digest = None;
-        // The agent's address may change with each of its starts, so the latest holds.
+        // The agent's address may change whenever the agent starts, so the latest one is used.
         self.address = heartbeat.address.parse().ok().or(self.address);
         self.sequence = heartbeat.sequence;
         self.last_seen_at = now;
         if self.silent_since.take().is_some() {
             self.registry_stale = true;
         }
-        if let HeartbeatSource::CheckIn { proxy } = source {
+        if let HeartbeatSource::Posted { proxy } = source {
             self.last_heartbeat_at = now;
             self.heartbeat_proxy = proxy;
-            // A worker that reaches this node is taken to be reachable from it.
+            // A worker that reaches this node directly is assumed to be reachable from it.
             self.use_proxy &= proxy.is_some();
         }
         self.reclaim_at = heartbeat.notice_s.map(|notice| now + from_secs(notice));
     }
 
-    /// Takes over the fencing token that the worker has seen; true when it has shown this term's
-    /// for the first time. `term_base` is the lowest token of this term.
+    /// Records the highest fencing token that the worker has seen; returns true if it reports a token
+    /// of this term for the first time. `term_base` is the lowest token of this term.
     fn confirm_fencing_token(&mut self, token: u64, term_base: u64) -> bool {
         let assumed = fault_injected(InjectedFault::HearingAssumed);
-        let shows_term = token >= term_base || assumed;
-        let is_first = !self.term_confirmed && shows_term;
-        self.term_confirmed |= shows_term;
+        let confirms_term = token >= term_base || assumed;
+        let is_first = !self.term_confirmed && confirms_term;
+        self.term_confirmed |= confirms_term;
         if token >= term_base + self.fence_counter || assumed {
             self.in_doubt = false;
         }
         if token > term_base + self.fence_counter && token < term_base + (1 << FENCE_COUNTER_BITS) {
-            // Only possible if this node lost count; a later term's token is never adopted.
+            // Only possible if this node's counter is too low; a token of a later term is never adopted.
             self.fence_counter = token - term_base;
         }
         is_first
     }
 
-    /// Whether the row repeats the heartbeat taken last, and nothing has been open since.
+    /// Whether the row repeats the last heartbeat applied and the machine has been settled since.
     fn is_settled_repeat(&self, row: &HeartbeatRow) -> bool {
         self.settled_digest == Some(row.digest.get())
             && self.agent_epoch == row.agent_epoch.get()
@@ -307,7 +309,7 @@
             && self.is_settled()
     }
 
-    /// Records a repeated heartbeat of a settled machine, and that it is answered.
+    /// Records that a settled machine repeated its heartbeat and that it is answered.
     fn record_settled_repeat(&mut self, now: Micros, sequence: u64, proxy: Option<SocketAddr>) {
         self.sequence = sequence;
         self.last_seen_at = now;
@@ -320,8 +322,8 @@
         }
     }
 
-    /// The heartbeat of a machine that has nothing to report; an injected fault takes it for one
-    /// that was never received.
+    /// The heartbeat of a machine without tasks. Used only by an injected fault, which assumes this
+    /// content for a digest whose heartbeat was never received.
     fn idle_heartbeat(&self, row: &HeartbeatRow, term_base: u64) -> Heartbeat {
         let address = self.address;
         Heartbeat {
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -1,8 +1,8 @@
-//! When a machine's lease is surely over, and what its silence means.
+//! When a machine's lease has certainly expired, and which machines are silent.
 //!
-//! A worker kills its tasks when its lease runs out, and only an answered heartbeat renews the
-//! lease. Every bound here is on the safe side: it allows for the drift between the clocks and for
-//! answers that an earlier leader may have given. Nothing is freed before the bound has passed.
+//! A worker kills its tasks when its lease expires, and only an answered heartbeat renews the lease.
+//! Every bound here is conservative: it allows for clock drift and for answers that an earlier
+//! leader may have sent. The tasks of a machine are not considered gone before the bound has passed.
 
 use super::WorkerLedger;
 use super::event::LEASE_EXPIRED;
@@ -14,12 +14,12 @@
 
 /// A machine counts as silent after this many heartbeat periods without a heartbeat.
 const SILENT_HEARTBEAT_PERIODS: u64 = 3;
-/// Direct calls in a row that must have failed before a silent machine counts as unreachable: both
+/// A silent machine counts as unreachable after this many failed direct calls in a row, so that both
 /// the direct path and a peer have been tried.
 const UNREACHABLE_CALL_FAILURES: u32 = 3;
-/// At most one part in this many of a zone's machines may be silent, else the network is to blame.
+/// If more than one in this many of a zone's machines are silent, a network fault is assumed.
 const ZONE_SILENT_DIVISOR: usize = 3;
-/// Allowed for what the store and the wall clocks of two controllers round away.
+/// Margin for the rounding of times in the state service and in the wall clocks of two controllers.
 const SILENCE_MARK_MARGIN: Micros = SECOND;
 
 /// How many of a zone's machines are silent.
@@ -30,16 +30,16 @@
 }
 
 impl ZoneSilence {
-    /// Whether the silence is that of single machines, not of the zone's network.
+    /// Whether only individual machines are silent, as opposed to a fault of the zone's network.
     fn is_isolated(&self) -> bool {
         self.silent == 1 || self.silent * ZONE_SILENT_DIVISOR <= self.machines
     }
 }
 
 impl WorkerLedger {
-    /// Takes over the silence mark that an earlier leader stored at wall-clock time `silent_since`:
-    /// nobody has answered the machine or started anything there since, and nobody will before the
-    /// mark is removed from the store. `clock_offset_max` is how far a controller's wall clock may be off.
+    /// Loads a silence mark stored by an earlier leader. Since the wall-clock time `silent_since` no
+    /// leader has answered the machine or sent it a start, and none will before the mark is removed
+    /// from the state service. `clock_offset_max` is the maximum error of a controller's wall clock.
     pub fn load_silence_mark(
         &mut self,
         id: &str,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Marks machines that hold tasks and have been silent for long, counted from `since` at the
-    /// earliest; the marks are to be stored.
+    /// Sets the silence mark of machines that hold tasks and have exceeded the silence timeout, counted
+    /// from `since` at the earliest, and schedules the marks to be stored.
     pub fn mark_silent_machines(&mut self, now: Now, since: Micros) {
         let silence = self.silence_timeout();
         for machine in self.machines.values_mut() {
-            // Before it reported under this term, only an earlier leader can have answered it.
-            let earlier = if machine.term_confirmed {
+            // Until a machine has confirmed this term, an earlier leader may have answered it up to the election.
+            let earlier_leader_contact = if machine.term_confirmed {
                 0
             } else {
                 self.elected_at
@@ -70,7 +70,7 @@
             let contact = machine
                 .last_seen_at
                 .max(machine.last_answered_at)
-                .max(earlier);
+                .max(earlier_leader_contact);
             if machine.registered
                 && !machine.silence_stored
                 && !machine.tasks.is_empty()
@@ -85,12 +85,12 @@
         }
     }
 
-    /// The time after which a machine counts as silent.
+    /// The time without any message after which a machine counts as silent.
     pub(super) fn silence_timeout(&self) -> Micros {
         self.heartbeat_period * SILENT_HEARTBEAT_PERIODS
     }
 
-    /// The end of a machine's lease, on the safe side.
+    /// The latest time at which a machine's lease can expire.
     fn lease_end(&self, machine: &Machine) -> Micros {
         let lease = drift_upper_bound(self.lease_duration);
         let by_contact = match machine.last_answered_at.max(machine.last_seen_at) {
@@ -100,20 +100,22 @@
         if machine.term_confirmed {
             return by_contact;
         }
-        // An earlier leader may have answered it until this one was elected.
-        let held_for = if fault_injected(InjectedFault::HoldLetGo) {
+        // An earlier leader may have renewed the lease until this one was elected.
+        let hold_duration = if fault_injected(InjectedFault::HoldLetGo) {
             SECOND
         } else {
             lease
         };
-        let by_election = self.elected_at + held_for;
+        let by_election = self.elected_at + hold_duration;
         let by_earlier_leader = machine
             .silence_lease_end
-            .map_or(by_election, |by_mark| by_mark.min(by_election));
+            .map_or(by_election, |by_silence_mark| {
+                by_silence_mark.min(by_election)
+            });
         by_contact.max(by_earlier_leader)
     }
 
-    /// How many machines are silent.
+    /// Number of machines that are silent.
     pub fn count_silent(&self, now: Micros) -> usize {
         let silence = self.silence_timeout();
         let is_silent =
@@ -121,9 +123,9 @@
         self.machines.values().filter(is_silent).count()
     }
 
-    /// Machines that can be reached by nobody: nothing was received from them for `silence`,
-    /// counted from `since` at the earliest, and calls failed by every path. When much of a zone
-    /// is silent the network is to blame, and none of its machines is returned.
+    /// Machines that no controller can reach: nothing was received from them for `silence`, counted
+    /// from `since` at the earliest, and calls failed by every path. If a large part of a zone is
+    /// silent, a network fault is assumed and none of the zone's machines is included.
     pub fn unreachable_machines(
         &self,
         now: Micros,
@@ -148,7 +150,7 @@
             .collect()
     }
 
-    /// Frees the tasks of every machine whose lease is surely over.
+    /// Removes the tasks of every machine whose lease has certainly expired, with a `Lost` event for each.
     pub fn expire_leases(&mut self, now: Micros) {
         let expired: Vec<Arc<str>> = self
             .machines
@@ -165,7 +167,8 @@
         }
     }
 
-    /// Whether nothing can run there: the ledger holds nothing of it, and its lease is surely over.
+    /// Whether no task can be running on the machine: the ledger has none there, and its lease has
+    /// certainly expired.
     pub fn is_provably_empty(&self, machine: &Machine, now: Micros) -> bool {
         machine.tasks.is_empty() && now > self.lease_end(machine)
     }
--- a/src/worker_ledger/machine.rs
+++ b/src/worker_ledger/machine.rs
@@ -1,9 +1,9 @@
-//! One machine of the ledger: what is known of it and its agent, and the attempts that are, or
+//! One machine of the ledger: the state of the machine and its agent, and the attempts that are, or
 //! may be, on it.
 //!
-//! A machine decides nothing by itself: it answers what it may be used for
-//! ([`Machine::unavailable_reason_name`]) and keeps its record of failures (quarantine). What heartbeats,
-//! commands, probes and leases change in it stands in the sibling module of that name.
+//! This module tells whether a machine may take new tasks ([`Machine::unavailable_reason`]) and
+//! records task failures (quarantine). The sibling modules `heartbeat`, `commands`, `probes` and
+//! `leases` contain the methods that update a machine for their concern.
 
 use super::event::TaskEvent;
 use super::task_entry::{TaskEntry, TaskState};
@@ -17,41 +17,41 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Low bits of a fencing token, below the leader's term: a counter for each machine that voids
-/// direct commands whose outcome was lost.
+/// Number of low bits of a fencing token, below the leader's term, that hold the fence counter. Each
+/// machine has its own; raising it invalidates direct commands whose outcome is unknown.
 pub(super) const FENCE_COUNTER_BITS: u32 = 24;
-/// How long a machine that fails its tasks gets no new ones, the first time.
+/// Duration of a machine's first quarantine, during which it gets no new tasks.
 const QUARANTINE: Micros = 45 * SECOND;
-/// The longest quarantine: a task that fits only that machine waits no longer than 90 s for it once it is sound
-/// again. The machine is ranked last among those that fit until a task has ended well there.
+/// The longest quarantine: a task that fits only this machine must not wait longer than 90 s for it once it works
+/// again. After the quarantine the machine is ranked last among those that fit until a task has succeeded there.
 const QUARANTINE_MAX: Micros = 75 * SECOND;
-/// The quarantine doubles that many times at most.
+/// The quarantine is doubled at most this many times.
 const QUARANTINE_DOUBLINGS_MAX: u32 = 4;
-/// Run times are compared in steps of this share.
+/// Step of the quantized run time bias, as a difference of logarithms: about 4 %.
 const RUN_TIME_BIAS_STEP: f64 = 0.04;
-/// Weight, in run times, of the assumption that the machine is as fast as others.
+/// Weight of the prior assumption that a machine is as fast as the others, as a number of observed run times.
 const RUN_TIME_BIAS_PRIOR: f64 = 3.0;
-/// That many direct calls in a row that fail make a machine unreachable.
+/// A machine counts as unreachable after this many failed direct calls in a row.
 const UNREACHABLE_FAILURES: u32 = 2;
 
 /// How a heartbeat reached this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HeartbeatSource {
     /// The worker posted it, through a peer where one is given; the answer renews its lease.
-    CheckIn { proxy: Option<SocketAddr> },
+    Posted { proxy: Option<SocketAddr> },
     /// The worker answered a command or a probe; this renews no lease.
-    CommandAnswer,
+    CallAnswer,
 }
 
 impl HeartbeatSource {
     /// Whether an answer to it renews the worker's lease.
     pub(super) fn renews_lease(self) -> bool {
-        matches!(self, Self::CheckIn { .. })
+        matches!(self, Self::Posted { .. })
     }
 }
 
-/// A heartbeat that is kept so that another which differs only in its sequence number need not be
-/// sent and parsed again.
+/// A stored heartbeat. A later one that differs only in its sequence number is sent as a digest and
+/// need not be parsed again.
 pub(super) struct DigestedHeartbeat {
     /// Digest of the heartbeat without its sequence number.
     pub(super) digest: u128,
@@ -63,7 +63,7 @@
 pub(super) struct InFlightCall {
     /// Identifies the call's outcome.
     pub(super) ticket: Ticket,
-    /// The attempts that it carries start commands for.
+    /// The attempts whose start commands it carries.
     pub(super) starts: Vec<(TaskId, u64)>,
     /// The fencing token that it carries.
     pub(super) fencing_token: u64,
@@ -71,36 +71,35 @@
     pub(super) proxied: bool,
 }
 
-/// Why a machine may take no new tasks. How each of these states ends stands in
-/// `docs/meetings.md`.
+/// Why a machine may take no new tasks. `docs/meetings.md` lists how each of these states ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnavailableReason {
-    /// It has not shown this term's fencing token.
+    /// It has not reported a fencing token of this term.
     Unconfirmed,
-    /// Its silence is stored, and the mark not yet removed.
+    /// Its silence mark is stored and not yet removed.
     SilenceStored,
-    /// Its entry in the stored registry is not written.
+    /// Its entry in the stored machine registry has not been written.
     NotRegistered,
     /// It is being released to its provider.
     Releasing,
-    /// A lost command may still be executed, or it receives nothing.
+    /// A lost command may still be executed, or the machine may be inbound-partitioned.
     InDoubt,
     /// Its provider announced that it will reclaim it.
     SpotNotice,
-    /// Tasks failed on it.
+    /// It is quarantined because tasks failed on it.
     Quarantined,
-    /// Its address is not known, or its name cannot be stored.
+    /// Its address is unknown, or its name cannot be stored.
     NoAddress,
-    /// Nothing is received from it.
+    /// Neither heartbeats nor answers arrive from it.
     Unresponsive,
-    /// It answers calls, and its heartbeats reach no controller.
+    /// It answers calls, but its heartbeats reach no controller.
     OutboundPartitioned,
     /// Calls to it fail by every path.
     Unreachable,
 }
 
 impl UnavailableReason {
-    /// The reason's name, as operators see it.
+    /// The reason's name, as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Unconfirmed => "unconfirmed",
@@ -124,98 +123,97 @@
     }
 }
 
-/// A machine that runs a worker agent. Times are on this node's steady clock unless said
-/// otherwise; 0 is "never".
+/// A machine that runs a worker agent. Times are on this node's steady clock unless stated
+/// otherwise; 0 means "never".
 pub struct Machine {
     /// Its name, unique within the cluster.
     pub id: Arc<str>,
-    /// Where its agent takes commands; `None` until known.
+    /// Address at which its agent accepts commands; `None` until known.
     pub address: Option<SocketAddr>,
-    /// Name of its machine type, by which its size is looked up.
+    /// Name of its machine type, which determines its size.
     pub machine_type: String,
     /// The zone that it is in.
     pub zone: String,
     /// Whether the provider may reclaim it at short notice.
     pub spot: bool,
-    /// Grows with each start of the agent; a restart ends all tasks of the epoch before.
+    /// Grows with each start of the agent; a restart ends all tasks of the previous epoch.
     pub agent_epoch: u64,
-    /// Sequence number of the last heartbeat taken, within the agent epoch.
+    /// Sequence number of the last heartbeat applied, within the agent epoch.
     pub sequence: u64,
-    /// Has shown this term's fencing token: no command of an older leader can start anything there
-    /// any more.
+    /// It has reported a fencing token of this term, so it rejects all commands of older leaders.
     pub term_confirmed: bool,
     /// When anything was last received from it: a heartbeat or an answer.
     pub last_seen_at: Micros,
-    /// When it last posted a heartbeat, directly or through a peer; before the first, when this
-    /// leader came to know it. Answers to direct calls prove what they list, but renew no lease: a
-    /// machine that reaches no controller loses its tasks.
+    /// When it last posted a heartbeat, directly or through a peer; before the first one, when the
+    /// ledger added it. Answers to direct calls prove which tasks they list but renew no lease: an
+    /// outbound-partitioned machine loses its tasks.
     pub(super) last_heartbeat_at: Micros,
-    /// When a heartbeat of it was last answered, which renews its lease.
+    /// When one of its heartbeats was last answered, which renews its lease.
     pub(super) last_answered_at: Micros,
-    /// Its entry in the stored registry is written, so that later leaders know of it.
+    /// Its entry in the stored registry has been written, so that later leaders know of it.
     pub registered: bool,
-    /// The stored entry is out of date and is to be written again.
+    /// The stored entry is out of date and must be written again.
     pub registry_stale: bool,
-    /// Only the images of the stored entry are out of date; writing them can wait.
+    /// The images in the stored entry are out of date; they need not be written promptly.
     pub images_stale: bool,
-    /// Wall-clock time of the last contact, once it is silent. Stored, so that a later leader can
-    /// count the lease from there and not from its own election.
+    /// Wall-clock time of the last contact with a silent machine. It is stored as the silence mark, so
+    /// that a later leader can count the lease from there and not from its own election.
     pub silent_since: Option<Micros>,
-    /// The silence mark may be stored: until its removal is, the machine gets no successful answer
-    /// and no start.
+    /// A silence mark is stored or may be. Until its removal is stored, the machine gets no successful
+    /// answer and no start.
     pub silence_stored: bool,
-    /// When its lease is surely over, by the silence mark that an earlier leader stored.
+    /// When its lease has certainly expired, derived from the silence mark of an earlier leader.
     pub(super) silence_lease_end: Option<Micros>,
-    /// When the provider takes it away, once that was announced.
+    /// When the provider will reclaim it, once that has been announced.
     pub reclaim_at: Option<Micros>,
-    /// The attempts that are, or may be, on it, by task and attempt number. Attempt 0 stands for a
+    /// The attempts that are, or may be, on it, by task and attempt number. Attempt 0 represents a
     /// stored placement whose attempt is not known.
     pub tasks: BTreeMap<(TaskId, u64), TaskEntry>,
     /// Low bits of the fencing token of commands to this machine.
     pub(super) fence_counter: u64,
-    /// At most one direct call is open at a time.
+    /// The open direct call; there is at most one at a time.
     pub(super) in_flight: Option<InFlightCall>,
     /// When the last direct call was sent.
     pub(super) last_call_at: Micros,
-    /// Direct calls in a row that failed, by either path.
+    /// Number of direct calls that failed in a row, by either path.
     pub(super) direct_failures: u32,
     /// The next direct call goes through a peer.
     pub(super) use_proxy: bool,
-    /// Since when calls go through a peer.
+    /// When a call last failed; going through a peer is limited to some time after it.
     pub(super) proxied_at: Micros,
-    /// The peer that its last heartbeat came through.
+    /// The peer that forwarded its last heartbeat.
     pub(super) heartbeat_proxy: Option<SocketAddr>,
-    /// A lost command may still arrive, or the machine may receive nothing; see
+    /// A lost command may still be executed, or the machine may be inbound-partitioned; see
     /// [`Machine::is_in_doubt`].
     pub(super) in_doubt: bool,
-    /// A peer probes it; until then it is not probed from here.
+    /// A peer is assigned to probe it; this node does not probe it before this time.
     pub(super) probed_by_peer_until: Micros,
-    /// Images in its cache: when each was last used, and its size in GB.
+    /// Container images in its cache: when each was last used, and its size in GB.
     pub images: BTreeMap<Arc<str>, (Micros, f64)>,
-    /// Failures since a task last ended well here.
+    /// Number of task failures since a task last succeeded on it.
     pub failures_since_success: u32,
-    /// The jobs that those failures were of.
+    /// The jobs whose tasks these failures were.
     pub failed_jobs: BTreeSet<u32>,
-    /// It gets no new tasks until then.
+    /// It gets no new tasks before this time.
     pub quarantined_until: Micros,
-    /// How often it was quarantined; each lasts longer than the one before.
+    /// How often it was quarantined; each quarantine is longer than the one before, up to a maximum.
     quarantines: u32,
-    /// Moving average of the run times here against those expected; 1 is as expected.
+    /// Moving average of the ratio of actual to expected run times on it; 1 is as expected.
     pub slowness: f64,
-    /// Logarithms of run times here against those of the same jobs elsewhere: sum and count.
+    /// Logarithms of the ratio of run times on it to those of the same jobs elsewhere: sum and count.
     pub run_time_bias: (f64, f64),
-    /// When it last held a task, or was first known.
+    /// When it last held a task; before the first one, when the ledger added it.
     pub idle_since: Micros,
-    /// It is being released to its provider and gets nothing more.
+    /// It is being released to its provider; no more commands are sent to it.
     pub releasing: bool,
-    /// The last heartbeat that came with a digest, so that another like it need not be parsed.
+    /// The last heartbeat that arrived with a digest, so that a repetition of it need not be parsed.
     pub(super) last_heartbeat: Option<DigestedHeartbeat>,
-    /// Digest of the last heartbeat, while nothing else has been taken from the machine since.
+    /// Digest of the last heartbeat, as long as it is the last message received from the machine.
     pub(super) settled_digest: Option<u128>,
 }
 
 impl Machine {
-    /// A machine that nothing has been received from yet.
+    /// Creates a machine from which nothing has been received yet.
     pub(super) fn new(
         id: Arc<str>,
         machine_type: &str,
@@ -266,8 +264,8 @@
         }
     }
 
-    /// Whether nothing is due to it and nothing about it is open, so that a heartbeat like the
-    /// last one says only that it is alive.
+    /// Whether no command is due to the machine and nothing about it awaits proof, so that a repetition
+    /// of the last heartbeat shows only that the machine is alive.
     pub(super) fn is_settled(&self) -> bool {
         self.term_confirmed
             && !self.in_doubt
@@ -278,47 +276,50 @@
             && self.tasks.values().all(TaskEntry::is_settled)
     }
 
-    /// Whether a lost command to it may still be executed, or it may receive nothing: it gets
-    /// nothing new before it has shown the present fencing token.
+    /// Whether a lost command to it may still be executed, or it may be inbound-partitioned. It gets no
+    /// new start before it has reported the current fencing token.
     pub fn is_in_doubt(&self) -> bool {
         self.in_doubt
     }
 
-    /// Makes every command sent so far void once the machine has seen the raised token, and holds
-    /// back starts until it has.
+    /// Raises the fence counter: once the machine has seen the higher token, it rejects every command
+    /// sent before. Until then no starts are sent to it.
     pub(super) fn raise_fence(&mut self) {
         self.fence_counter = (self.fence_counter + 1).min((1 << FENCE_COUNTER_BITS) - 1);
         self.in_doubt = true;
     }
 
-    /// How much longer than elsewhere tasks run here, in steps of 4 %, shrunk towards none
-    /// while little is known.
+    /// How much longer tasks run here than elsewhere, in steps of 4 %, shrunk towards zero while there
+    /// are few observations.
     pub fn quantized_run_time_bias(&self) -> i32 {
         let (sum, count) = self.run_time_bias;
         (sum / (count + RUN_TIME_BIAS_PRIOR) / RUN_TIME_BIAS_STEP).round() as i32
     }
 
-    /// What takes resources here, each task once: a stored placement stands for its task until the
-    /// machine has shown this term's token, unless an earlier heartbeat has listed an attempt of it.
+    /// The entries that hold resources here, without counting a task twice: an unconfirmed stored
+    /// placement is left out if an attempt of its task is known to hold resources.
     pub fn tasks_holding_resources(&self) -> impl Iterator<Item = (&(TaskId, u64), &TaskEntry)> {
-        let held = |(_, entry): &(&(TaskId, u64), &TaskEntry)| entry.holds_resources();
-        self.tasks.iter().filter(held).filter(|((task, _), entry)| {
-            entry.state != TaskState::Unconfirmed || !self.has_known_attempt(*task)
-        })
+        let holds_resources = |(_, entry): &(&(TaskId, u64), &TaskEntry)| entry.holds_resources();
+        self.tasks
+            .iter()
+            .filter(holds_resources)
+            .filter(|((task, _), entry)| {
+                entry.state != TaskState::Unconfirmed || !self.has_known_attempt(*task)
+            })
     }
 
-    /// Whether an attempt of the task is known to take resources here.
+    /// Whether a known attempt of the task holds resources here.
     fn has_known_attempt(&self, task: TaskId) -> bool {
         self.attempts(task).any(TaskEntry::holds_resources)
     }
 
-    /// The known attempts of the task here, without the entry of a stored placement.
+    /// The known attempts of the task here, without the entry of an unconfirmed stored placement.
     pub(super) fn attempts(&self, task: TaskId) -> impl Iterator<Item = &TaskEntry> {
         let range = (task, 1)..=(task, u64::MAX);
         self.tasks.range(range).map(|(_, entry)| entry)
     }
 
-    /// Removes an attempt that is surely not there, and adds the event that it is lost.
+    /// Removes an attempt that is certainly not on the machine, and adds a `Lost` event.
     pub(super) fn remove_lost(
         &mut self,
         task: TaskId,
@@ -330,16 +331,16 @@
         events.push(TaskEvent::lost(&self.id, task, attempt, reason));
     }
 
-    /// Records that a task failed here. Two jobs that fail in a row, or two tasks of a job that
-    /// does well elsewhere (`does_well`), quarantine the machine, longer each time; true when it
-    /// was quarantined now.
-    pub fn record_failure(&mut self, job: u32, does_well: bool, now: Micros) -> bool {
+    /// Records that a task failed here. Failures of two jobs in a row, or two failures of a job that
+    /// succeeds elsewhere, quarantine the machine, longer each time. Returns whether this failure
+    /// started a quarantine.
+    pub fn record_failure(&mut self, job: u32, succeeds_elsewhere: bool, now: Micros) -> bool {
         self.failures_since_success += 1;
         self.failed_jobs.insert(job);
-        let is_proven =
-            self.failed_jobs.len() >= 2 || (does_well && self.failures_since_success >= 2);
-        // The failure of a task that was started before the quarantine says nothing new.
-        if !is_proven || self.quarantined_until > now {
+        let is_machine_faulty =
+            self.failed_jobs.len() >= 2 || (succeeds_elsewhere && self.failures_since_success >= 2);
+        // A task that fails during a quarantine was started before it; its failure is no new evidence.
+        if !is_machine_faulty || self.quarantined_until > now {
             return false;
         }
         let doublings = self.quarantines.min(QUARANTINE_DOUBLINGS_MAX);
@@ -348,8 +349,8 @@
         true
     }
 
-    /// Takes back the failures of a job that turned out to fail everywhere. Without this, each job
-    /// submitted with a mistake took machines out of use for minutes.
+    /// Discards the recorded failures of a job that turned out to fail on every machine. Without this,
+    /// each erroneous job would quarantine machines for minutes.
     pub fn retract_failures_of_job(&mut self, job: u32, now: Micros) {
         if !self.failed_jobs.remove(&job) {
             return;
@@ -363,19 +364,19 @@
         }
     }
 
-    /// Whether it may take new tasks now. `silence` is the time after which a machine that sends
-    /// nothing counts as unresponsive.
+    /// Whether it may take new tasks now. `silence` is the time without a message after which a machine
+    /// counts as unresponsive.
     pub fn is_usable(&self, now: Micros, silence: Micros) -> bool {
         self.unavailable_reason_name(now, silence).is_none()
     }
 
-    /// The name of [`Machine::unavailable_reason`], as operators see it.
+    /// The name of [`Machine::unavailable_reason`], as shown to operators.
     pub fn unavailable_reason_name(&self, now: Micros, silence: Micros) -> Option<&'static str> {
         self.unavailable_reason(now, silence)
             .map(UnavailableReason::as_str)
     }
 
-    /// Why it may take no new tasks now; `None` when it may.
+    /// Why it may take no new tasks now; `None` if it may.
     pub fn unavailable_reason(&self, now: Micros, silence: Micros) -> Option<UnavailableReason> {
         if !self.term_confirmed {
             Some(UnavailableReason::Unconfirmed)
@@ -404,8 +405,9 @@
         }
     }
 
-    /// Two calls in a row did not get through, by either path, and nothing has come from it since.
-    /// First fit would send it the same tasks again and again.
+    /// Whether two calls in a row have failed, by either path, and nothing has been received from it
+    /// since. Without this check, first-fit placement would select the machine for the same tasks again
+    /// and again.
     fn is_unreachable(&self) -> bool {
         self.direct_failures >= UNREACHABLE_FAILURES && self.last_seen_at <= self.last_call_at
     }
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -1,8 +1,8 @@
 //! Compares the tasks that a heartbeat lists with the entries of its machine.
 //!
-//! Works on one [`Machine`] at a time and appends to the ledger's events; it sends nothing. An
-//! entry that the heartbeat does not list is removed only on proof that its start can no longer
-//! be executed: that a task is missing from one heartbeat proves nothing by itself.
+//! Updates one [`Machine`] at a time and appends to the ledger's events; it sends nothing. An entry
+//! that the heartbeat does not list is removed only on proof that its start can no longer be
+//! executed: absence from one heartbeat proves nothing by itself.
 
 use super::event::{LEASE_EXPIRED, NOT_ON_MACHINE, TaskEvent, TaskEventKind};
 use super::machine::{HeartbeatSource, Machine};
@@ -17,19 +17,19 @@
 use std::collections::btree_map;
 use std::sync::Arc;
 
-/// What the task list of one heartbeat amounts to.
+/// The result of applying the task list of one heartbeat.
 #[derive(Default)]
 pub(super) struct ReportedTasks {
     /// Every attempt that the heartbeat lists.
     pub(super) listed: HashSet<(TaskId, u64)>,
-    /// Attempts that the ledger did not know, while the machine is unproven.
+    /// Attempts that the ledger had no entry for, if the machine was unconfirmed before.
     pub(super) newly_reported: Vec<(TaskId, ReportedState)>,
-    /// Stored placements that turned out to be one of the listed attempts.
+    /// Tasks with a stored placement whose attempt the heartbeat lists.
     pub(super) confirmed_placements: Vec<TaskId>,
 }
 
 impl Machine {
-    /// Tasks whose stored placement here is unconfirmed and of which no attempt is known.
+    /// Tasks with an unconfirmed stored placement here and no known attempt.
     pub(super) fn unreported_placements(&self) -> Vec<TaskId> {
         self.tasks
             .iter()
@@ -39,28 +39,29 @@
             .collect()
     }
 
-    /// Takes the tasks that the heartbeat lists into the machine's entries. `unproven` says that
-    /// the machine had not shown this term's fencing token before this heartbeat.
+    /// Applies the tasks that the heartbeat lists to the machine's entries. `was_unconfirmed` means
+    /// that the machine had not reported a fencing token of this term before this heartbeat.
     pub(super) fn apply_reported_tasks(
         &mut self,
         now: Micros,
         heartbeat: &Heartbeat,
-        unproven: bool,
+        was_unconfirmed: bool,
         jobs: &mut dyn JobDirectory,
         events: &mut Vec<TaskEvent>,
     ) -> ReportedTasks {
         let mut outcome = ReportedTasks::default();
-        // Only a heartbeat under this term shows the attempt that a stored placement stands for. An
-        // earlier one, or a copy of it, may list the attempt before that: were the placement taken for
-        // it, the task would be free once that attempt is gone.
-        let confirms = self.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
+        // Only a heartbeat under this term reveals the attempt of a stored placement. An earlier heartbeat, or a
+        // delayed copy of it, may list the previous attempt of the task: if that one were taken for the placement,
+        // the task would become free to start while the placed attempt may still run.
+        let may_confirm_placements =
+            self.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
         for reported in &heartbeat.tasks {
             let Some((uid, task, spec)) = identify(reported, jobs) else {
                 continue;
             };
             let attempt = reported.attempt;
             outcome.listed.insert((task, attempt));
-            if attempt != 0 && confirms && self.tasks.remove(&(task, 0)).is_some() {
+            if attempt != 0 && may_confirm_placements && self.tasks.remove(&(task, 0)).is_some() {
                 outcome.confirmed_placements.push(task);
             }
             let event = |kind| TaskEvent {
@@ -76,7 +77,7 @@
                     entry
                 }
                 btree_map::Entry::Vacant(unknown) => {
-                    if unproven {
+                    if was_unconfirmed {
                         outcome
                             .newly_reported
                             .push((task, reported_state(reported.status)));
@@ -84,8 +85,8 @@
                     if spec.is_some() && reported.status != TaskStatus::Ended {
                         events.push(event(TaskEventKind::Discovered));
                     }
-                    // The answer to this very heartbeat stops it: were that left to a command of its own, a
-                    // worker that receives answers alone would have its lease renewed with the task on it.
+                    // The answer to this heartbeat carries the stop. If only a direct call did, a worker that
+                    // receives nothing but answers would have its lease renewed while the task keeps running.
                     let stop = unwanted_reason(task, spec.is_some(), &*jobs)
                         .map(|reason| StopRequest::new(0.0, reason));
                     unknown.insert(TaskEntry::reported(uid, spec, stop, now))
@@ -104,8 +105,8 @@
         outcome
     }
 
-    /// Removes the entries that the heartbeat does not list and whose start it rules out, with an
-    /// event for each that was not known to have ended.
+    /// Removes the entries that the heartbeat does not list and whose start it rules out, and emits a
+    /// `Lost` event for each that was not known to have ended.
     pub(super) fn drop_unlisted_tasks(
         &mut self,
         heartbeat: &Heartbeat,
@@ -134,8 +135,8 @@
     }
 }
 
-/// The uid of the job, the task, and the description of the job if it is live. `None` for a name
-/// that is not of a task.
+/// Returns the uid of the job, the task, and the spec of the job if it is live. `None` if the name is
+/// not a valid task name.
 fn identify<'a>(
     reported: &'a ReportedTask,
     jobs: &mut dyn JobDirectory,
@@ -148,8 +149,8 @@
     Some((uid, TaskId { job, index }, spec))
 }
 
-/// Whether an entry that the heartbeat does not list is surely not on the machine, and cannot be
-/// started there any more.
+/// Whether the heartbeat proves that an attempt it does not list is not on the machine and can no
+/// longer be started there.
 fn rules_out(
     heartbeat: &Heartbeat,
     source: HeartbeatSource,
@@ -157,7 +158,7 @@
     term_confirmed: bool,
 ) -> bool {
     if entry.state == TaskState::Unconfirmed {
-        // Only a heartbeat under this term rules out a late start by an older leader.
+        // Only a heartbeat under this term rules out that a delayed start of an older leader is executed.
         return term_confirmed;
     }
     match entry.delivery {
@@ -186,7 +187,7 @@
     }
 }
 
-/// Why an attempt that the ledger did not place must be stopped; `None` when it may stay.
+/// Why an attempt without an entry in the ledger must be stopped; `None` if it may keep running.
 fn unwanted_reason(task: TaskId, is_live: bool, jobs: &dyn JobDirectory) -> Option<StopReason> {
     if !is_live {
         Some(StopReason::Redundant)
--- a/src/worker_ledger/task_entry.rs
+++ b/src/worker_ledger/task_entry.rs
@@ -1,8 +1,8 @@
-//! One attempt of a task as the ledger knows it: its state, how its start was delivered, and
-//! whether it has been asked to stop.
+//! The ledger's entry for one attempt of a task: its state, how its start was delivered, and whether
+//! its stop has been requested.
 //!
-//! Owns no map and sends nothing: a [`Machine`](super::Machine) holds the entries. The invariant
-//! kept here is that an entry whose end was reported never returns to a live state.
+//! A [`Machine`](super::Machine) holds the entries. Invariant: an entry whose end was reported never
+//! returns to a live state.
 
 use super::event::TaskEventKind;
 use crate::accounting::StopReason;
@@ -12,15 +12,15 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// Recorded as the cause of an end for which the worker gave none.
+/// Recorded as the cause of an end for which the worker reported none.
 const UNKNOWN_CAUSE: &str = "unknown";
 
-/// How the start command reached, or may yet reach, the worker.
+/// How the start command reached, or may still reach, the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Delivery {
     /// Not sent.
     Unsent,
-    /// In a direct call. A call whose answer was lost may be executed minutes later, as long as
+    /// Sent in a direct call. A call whose answer was lost may be executed minutes later, as long as
     /// the worker has seen no higher fencing token and its agent has not restarted.
     Direct {
         /// Fencing token that the call carried.
@@ -30,22 +30,22 @@
         /// The call has no outcome yet.
         open: bool,
     },
-    /// Piggybacked on the answer to this heartbeat: the worker executes or drops it before it
-    /// sends its next heartbeat.
+    /// Sent in the answer to a heartbeat: the worker executes or drops it before it sends its next
+    /// heartbeat.
     Piggybacked {
         /// Agent epoch of the heartbeat that was answered.
         agent_epoch: u64,
         /// Sequence number of the heartbeat that was answered.
         sequence: u64,
     },
-    /// The worker has reported the attempt, or has surely handled its start.
+    /// The worker has reported the attempt, or has certainly processed its start.
     Settled,
 }
 
-/// A stop that the worker was, or is to be, commanded.
+/// A requested stop, whether or not its command has been sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StopRequest {
-    /// Time that the task gets to save its state, in seconds.
+    /// Grace period in seconds, in which the task may save a checkpoint.
     pub(super) grace_s: f64,
     /// When the command was last sent; `None` before the first time.
     pub(super) sent_at: Option<Micros>,
@@ -54,7 +54,7 @@
 }
 
 impl StopRequest {
-    /// A stop that has not been sent yet.
+    /// Creates a stop that has not been sent yet.
     pub(super) fn new(grace_s: f64, reason: StopReason) -> Self {
         Self {
             grace_s,
@@ -64,29 +64,29 @@
     }
 }
 
-/// Where an attempt stands, from the decision to place it to its reported end.
+/// State of an attempt, from the decision to place it to its reported end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TaskState {
-    /// Decided, but the placement is not stored yet; nothing has been sent.
+    /// The placement is decided but not stored yet; no start has been sent.
     Planned,
-    /// The placement is stored; the start is to be sent.
+    /// The placement is stored; the start is due to be sent.
     Ready,
-    /// The start was sent, and no heartbeat has listed the attempt so far.
+    /// The start was sent; no heartbeat has listed the attempt so far.
     Sent,
-    /// From a placement that an earlier leader stored; the attempt may exist or not.
+    /// A placement that an earlier leader stored; the attempt may or may not exist.
     Unconfirmed,
-    /// The worker fetches its image.
+    /// The worker fetches the container image.
     Fetching,
     /// The task runs, or waits for the rest of its gang.
     Running,
-    /// The task saves its state before it stops.
+    /// The task saves a checkpoint before it stops.
     Checkpointing,
     /// Its end was reported; the worker keeps the record until it is acknowledged.
     Ended,
 }
 
 impl TaskState {
-    /// The state's name, as operators see it.
+    /// The state's name, as shown to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Planned => "planned",
@@ -110,30 +110,30 @@
 /// An attempt of a task that is, or may be, on a machine.
 #[derive(Debug)]
 pub struct TaskEntry {
-    /// Where the attempt stands.
+    /// Current state of the attempt.
     pub state: TaskState,
-    /// The job's description; `None` when the job is over or unknown, so that the size of the
-    /// task is unknown too.
+    /// The job's spec; `None` if the job is finished or unknown, so that the size of the task is
+    /// unknown too.
     pub spec: Option<Arc<JobSpec>>,
-    /// Name of the job that it belongs to.
+    /// Uid of the job.
     pub uid: Arc<str>,
     pub(super) delivery: Delivery,
     pub(super) stop: Option<StopRequest>,
-    /// Why it ended, in the worker's words, once it has.
+    /// Why it ended, as reported by the worker; `None` before the end.
     pub cause: Option<CompactString>,
-    /// The end is stored or of no use: the worker may drop its record.
+    /// The end is stored or need not be, so it may be acknowledged; the worker then drops its record.
     pub(super) acknowledge_allowed: bool,
     pub(super) acknowledge_sent_at: Option<Micros>,
-    /// When the ledger learned of it.
+    /// When the entry was added to the ledger.
     pub added_at: Micros,
-    /// When a heartbeat first listed it as running, by this leader's clock.
+    /// When a heartbeat first listed it as running, on this leader's clock.
     pub running_since: Option<Micros>,
     started_by_this_leader: bool,
 }
 
 impl TaskEntry {
-    /// A placement of a job that is live: one decided by this leader (`Planned`) or one that an
-    /// earlier leader stored (`Unconfirmed`).
+    /// Creates the entry for a placement of a live job: one decided by this leader (`Planned`) or one
+    /// stored by an earlier leader (`Unconfirmed`).
     pub(super) fn placed(state: TaskState, spec: &Arc<JobSpec>, now: Micros) -> Self {
         Self {
             state,
@@ -150,7 +150,8 @@
         }
     }
 
-    /// An attempt that the ledger learns of from a heartbeat; its reported status is applied next.
+    /// Creates the entry for an attempt that a heartbeat revealed; the caller then applies its reported
+    /// status.
     pub(super) fn reported(
         uid: &str,
         spec: Option<Arc<JobSpec>>,
@@ -172,7 +173,7 @@
         }
     }
 
-    /// Whether this leader started it, so that its run time is known.
+    /// Whether this leader placed it, so that its run time is known.
     pub fn started_by_this_leader(&self) -> bool {
         self.started_by_this_leader
     }
@@ -182,18 +183,18 @@
         self.stop.is_some()
     }
 
-    /// Whether a start or a first stop waits to be sent.
+    /// Whether a start, or a stop that was never sent, waits to be sent.
     pub(super) fn has_unsent_command(&self) -> bool {
         self.state == TaskState::Ready
             || (self.holds_resources() && self.stop.is_some_and(|stop| stop.sent_at.is_none()))
     }
 
-    /// Whether it takes resources on its machine.
+    /// Whether it holds resources on its machine: it has not ended, as far as is known.
     pub fn holds_resources(&self) -> bool {
         self.state != TaskState::Ended
     }
 
-    /// Whether nothing is due to the worker over this attempt and nothing about it is open.
+    /// Whether no command about this attempt is due to the worker and nothing about it awaits proof.
     pub(super) fn is_settled(&self) -> bool {
         self.delivery == Delivery::Settled
             && self.stop.is_none()
@@ -204,7 +205,7 @@
             && !(self.state == TaskState::Ended && self.acknowledge_allowed)
     }
 
-    /// A command for this attempt of the task with that index.
+    /// Creates a command for this attempt; `index` is the index of the task within its job.
     pub(super) fn command(
         &self,
         kind: CommandKind,
@@ -220,8 +221,8 @@
         }
     }
 
-    /// Takes over the status that a heartbeat gives; returns the event that it amounts to, if it
-    /// is a transition that others act on.
+    /// Applies the status reported in a heartbeat; returns an event if the attempt started running or
+    /// ended.
     pub(super) fn apply_reported_status(
         &mut self,
         now: Micros,
@@ -258,7 +259,7 @@
             .unwrap_or_else(|| UNKNOWN_CAUSE.into());
         self.cause = Some(cause.clone());
         if self.spec.is_none() {
-            // Nobody will store the end of a job that is over or unknown.
+            // The end of a task of a finished or unknown job is not stored.
             self.acknowledge_allowed = true;
         }
         TaskEventKind::Ended {
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -1,9 +1,9 @@
-//! Probing workers after a failover: every controller sends an empty command list to the workers whose
-//! heartbeats it receives, in batches, so that they see the fencing token of the new term within a second or
-//! two instead of a heartbeat period.
+//! Probing workers after a failover: every controller sends an empty command list, in batches, to the workers whose
+//! heartbeats it receives, so that they learn the fencing token of the new term within a second or two instead of a
+//! heartbeat period.
 //!
-//! [`WorkerProbe`] owns what this controller knows of those workers, and the probes under way. What it knows is
-//! a hint and no more: nothing rests on it, since a worker ignores a token that is not the highest it has seen.
+//! [`WorkerProbe`] tracks these workers and the probes in flight. Its record of workers may be out of date without
+//! harm, since a worker ignores a token that is not the highest it has seen.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::http_call::HttpCall;
@@ -20,20 +20,21 @@
 
 /// Time between two batches.
 const BATCH_INTERVAL: Micros = 50 * MILLISECOND;
-/// The number of batches that all workers are divided into.
+/// Number of batches into which the pending probes are divided.
 const BATCHES_PER_ROUND: usize = 24;
-/// Least number of workers in a batch.
+/// Minimum number of workers in a batch.
 const BATCH_SIZE_MIN: usize = 4;
-/// Batches that may be without answers before no further one is sent.
+/// No further batch is sent while more probes than this many batches contain are unanswered.
 const BATCHES_IN_FLIGHT_MAX: usize = 2;
-/// A controller further behind its inputs than this sends no probes: most workers send heartbeats soon enough.
+/// A controller whose inputs wait for longer than this sends no probes: most workers send a heartbeat soon anyway.
 const PROBE_LAG_MAX: Micros = 60 * MILLISECOND;
 const CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// Workers come and go; beyond this number, those without a heartbeat for [`KNOWN_WORKER_EXPIRY`] are forgotten,
-/// and if that is not enough, all.
+/// Bound on the known workers. When it is reached, those without a heartbeat for [`KNOWN_WORKER_EXPIRY`] are
+/// removed, and if that is not enough, all of them.
 const KNOWN_WORKERS_MAX: usize = 1 << 15;
 const KNOWN_WORKER_EXPIRY: Micros = 60 * SECOND;
-/// A worker's agent epoch until its lease has expired once; a worker with another one says so.
+/// A worker's agent epoch until its lease has expired or its agent has restarted for the first time. Assumed for
+/// workers whose epoch is unknown; a worker with another epoch rejects the probe and reports its own.
 const FIRST_AGENT_EPOCH: u64 = 1;
 
 /// A worker whose heartbeats this controller receives.
@@ -41,18 +42,18 @@
     address: SocketAddr,
     agent_epoch: u64,
     last_heartbeat_at: Micros,
-    /// Its last heartbeat lists no task, so it has free capacity.
+    /// Its last heartbeat listed no task, so it has free capacity.
     idle: bool,
 }
 
-/// A worker that the leader wants probed by this controller.
+/// A worker that the leader has assigned to this controller for probing.
 struct AssignedProbe {
     machine: Arc<str>,
     address: SocketAddr,
     fencing_token: u64,
 }
 
-/// A probe to be sent.
+/// The destination and tokens of a probe that is about to be sent.
 struct ProbeTarget {
     address: SocketAddr,
     agent_epoch: u64,
@@ -63,21 +64,20 @@
 #[derive(Default)]
 pub struct WorkerProbe {
     known_workers: HashMap<Arc<str>, KnownWorker>,
-    /// Known workers still to be probed under this term; the last one is next.
+    /// Known workers that have not been probed under this term; the last one is next.
     queue: Vec<Arc<str>>,
     term: u64,
     fencing_token: u64,
     next_batch_at: Micros,
     batch_size: usize,
-    /// Workers that the leader assigned to this controller, whichever controller receives their heartbeats; the
-    /// last one is next.
+    /// Workers that the leader assigned to this controller, regardless of which controller receives their
+    /// heartbeats; the last one is next.
     assigned: Vec<AssignedProbe>,
     in_flight: HashSet<Ticket>,
 }
 
 impl WorkerProbe {
-    /// Records the sender of a heartbeat that this controller received. Does nothing where the body can't be
-    /// read.
+    /// Records the sender of a heartbeat that this controller received. Does nothing if the body cannot be parsed.
     pub fn note_heartbeat(&mut self, now: Micros, body: &[u8]) {
         let Some((machine, agent_epoch)) = heartbeat_head(body) else {
             return;
@@ -98,7 +98,7 @@
                 .retain(|_, worker| worker.last_heartbeat_at >= since);
         }
         if self.known_workers.len() >= KNOWN_WORKERS_MAX {
-            log::warn!("known workers exceed limit, all forgotten max={KNOWN_WORKERS_MAX}");
+            log::warn!("known workers exceed limit; removing all max={KNOWN_WORKERS_MAX}");
             self.known_workers.clear();
         }
         let worker = KnownWorker {
@@ -110,8 +110,8 @@
         self.known_workers.insert(machine.into(), worker);
     }
 
-    /// Begins to probe under a new term: all workers with a heartbeat since `since`, idle ones first. Returns
-    /// false, and does nothing, where the term is not new.
+    /// Starts probing under a new term: all workers with a heartbeat since `since`, idle ones first. Returns
+    /// false, without effect, if the term is not new.
     pub fn begin_term(
         &mut self,
         now: Micros,
@@ -138,7 +138,7 @@
         true
     }
 
-    /// Adds workers that the leader wants probed by this controller, each under the fencing token of its row.
+    /// Adds workers that the leader has assigned to this controller, each with the fencing token of its row.
     pub fn assign(&mut self, now: Micros, rows: &[ProbeRow]) {
         if !self.has_pending() {
             self.next_batch_at = now;
@@ -158,12 +158,13 @@
         !self.queue.is_empty() || !self.assigned.is_empty()
     }
 
-    /// When the next batch is due; None where there is none.
+    /// When the next batch is due; `None` if no probe is pending.
     pub fn wake_at(&self) -> Option<Micros> {
         self.has_pending().then_some(self.next_batch_at)
     }
 
-    /// The next worker to be probed: those whose heartbeats come here first, then the assigned ones.
+    /// Removes and returns the next worker to probe: first those whose heartbeats this controller receives, then the
+    /// assigned ones.
     fn next_target(&mut self) -> Option<ProbeTarget> {
         while let Some(machine) = self.queue.pop() {
             if let Some(worker) = self.known_workers.get(&machine) {
@@ -183,8 +184,8 @@
         })
     }
 
-    /// Sends the next batch, if it is due. `lag` is how far the controller is behind its inputs; each probe
-    /// takes the next number of `tickets`.
+    /// Sends the next batch, if it is due. `lag` is how long the controller's inputs wait; each probe takes the next
+    /// number of `tickets`.
     pub fn tick(
         &mut self,
         now: Micros,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Records that a call has ended. Returns whether it was a probe.
+    /// Records that a call has an outcome. Returns whether it was a probe in flight.
     pub fn finish_probe(&mut self, ticket: Ticket) -> bool {
         self.in_flight.remove(&ticket)
     }
--- a/src/worker_probe/tests.rs
+++ b/src/worker_probe/tests.rs
@@ -1,4 +1,4 @@
-//! The order of probes, their batches, and the token that each shows.
+//! Tests of the order of probes, their batches, and the fencing token that each carries.
 
 use super::*;
 use crate::clock::SECOND;
@@ -10,7 +10,7 @@
     )
 }
 
-/// Lets all pending probes be sent, and answers them; their destinations and bodies, and when that was done.
+/// Sends and answers all pending probes; returns their destinations and bodies, and the time afterwards.
 fn send_all(probe: &mut WorkerProbe) -> (Vec<(SocketAddr, String)>, Micros) {
     let (mut tickets, mut sent, mut now) = (0, Vec::new(), 2 * SECOND);
     while probe.wake_at().is_some() {
@@ -22,10 +22,10 @@
                 ticket, dest, body, ..
             } = output
             else {
-                panic!("a call")
+                panic!("a probe must be a call")
             };
             assert!(probe.finish_probe(ticket) && !probe.finish_probe(ticket));
-            sent.push((dest, String::from_utf8(body).expect("a text")));
+            sent.push((dest, String::from_utf8(body).expect("UTF-8")));
         }
         now += BATCH_INTERVAL;
     }
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn assigned_workers_are_probed_under_their_token_after_those_whose_heartbeats_come_here() {
+fn assigned_workers_are_probed_with_their_own_token_after_known_workers() {
     let mut probe = WorkerProbe::default();
     probe.note_heartbeat(SECOND, heartbeat(0, "").as_bytes());
     probe.begin_term(2 * SECOND, 3, 3 << 24, SECOND);
@@ -51,15 +51,23 @@
         (dest, body.fencing_token & 0xff, body.agent_epoch)
     });
     let sent: Vec<_> = sent.collect();
-    assert_eq!(sent[0], (address(0), 0, Some(2)), "by its heartbeat");
-    assert_eq!(sent[1], (address(0), 5, Some(2)), "as it was assigned");
-    assert_eq!(sent[30], (address(29), 5, Some(1)), "agent epoch unknown");
+    assert_eq!(
+        sent[0],
+        (address(0), 0, Some(2)),
+        "a worker known by its heartbeat"
+    );
+    assert_eq!(sent[1], (address(0), 5, Some(2)), "an assigned worker");
+    assert_eq!(
+        sent[30],
+        (address(29), 5, Some(1)),
+        "an assigned worker with an unknown agent epoch"
+    );
     assert_eq!(sent.len(), 31);
     assert!(ProbeRow::new(1, "a name of more than 24 letters", address(1)).is_none());
 }
 
 #[test]
-fn workers_are_probed_once_a_term_in_batches_and_idle_ones_first() {
+fn workers_are_probed_once_per_term_in_batches_and_idle_ones_first() {
     let mut probe = WorkerProbe::default();
     let running = r#"{"part":"wk-1/0","try":1,"status":"running"}"#;
     for n in 0..60 {
@@ -72,12 +80,16 @@
     let (sent, now) = send_all(&mut probe);
     let expected = r#"{"baton":50331648,"stint":2,"orders":[]}"#;
     assert!(sent.iter().all(|(_, body)| body == expected));
-    assert_eq!(sent.len(), 60, "not the one whose heartbeat is too old");
+    assert_eq!(
+        sent.len(),
+        60,
+        "the worker whose heartbeat is too old is not probed"
+    );
     assert!(now < 4 * SECOND);
     let last_running: SocketAddr = "10.1.0.40:9000".parse().expect("an address");
     let idle = |(dest, _): &(SocketAddr, String)| *dest > last_running;
     assert!(sent[..20].iter().all(idle));
-    // A controller that is behind its inputs sends no probes.
+    // A controller whose inputs wait for too long sends no probes.
     probe.begin_term(now, 4, 4 << 24, 0);
     let mut outputs = Vec::new();
     probe.tick(now, SECOND, &mut 0, &mut outputs);
