--- a/src/heartbeat_batch.rs
+++ b/src/heartbeat_batch.rs
@@ -207,7 +207,7 @@
     /// Handles the leader's reply to a frame; returns the answers by connection.
     ///
     /// A heartbeat whose full body the leader requests is sent again. So is a heartbeat without an answer, within
-    /// [`LEADERLESS_HOLD`], if the leader answers 503 because it cannot act at the moment, or if it may no longer be
+    /// `LEADERLESS_HOLD`, if the leader answers 503 because it cannot act at the moment, or if it may no longer be
     /// there (`leader_in_doubt`).
     pub fn handle_outcome(
         &mut self,
