--- a/tests/suite/pages.rs
+++ b/tests/suite/documentation.rs
@@ -1,9 +1,10 @@
-//! What the pages name exists.
+//! Checks of the documentation pages against the source.
 
 use std::collections::BTreeSet;
 use std::path::Path;
 
-fn texts(dir: &Path, end: &str, into: &mut Vec<(String, String)>) {
+/// Collects the names and texts of all files under `dir` whose names end with `suffix`.
+fn collect_files(dir: &Path, suffix: &str, files: &mut Vec<(String, String)>) {
     for entry in std::fs::read_dir(dir).expect("a folder of the repository") {
         let path = entry.expect("an entry").path();
         let name = path
@@ -12,23 +13,23 @@
             .to_string_lossy()
             .into_owned();
         if path.is_dir() {
-            texts(&path, end, into);
-        } else if name.ends_with(end) {
+            collect_files(&path, suffix, files);
+        } else if name.ends_with(suffix) {
             let text = std::fs::read_to_string(&path).expect("a text");
-            into.push((name, text));
+            files.push((name, text));
         }
     }
 }
 
-/// Each test, day and trouble that `docs/meetings.md` names is there, and each meeting names one at least: a page that
-/// tells of tests long gone would say that a rule is held.
+/// Each test and scenario that the page of fault combinations (`docs/meetings.md`) names exists, and each of its rows
+/// names at least one test. Otherwise the page could claim that a rule is tested by a test that is long gone.
 #[test]
-fn every_test_and_day_that_the_page_of_meetings_names_exists() {
+fn tests_and_scenarios_named_on_the_fault_combinations_page_exist() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = std::fs::read_to_string(root.join("docs/meetings.md")).expect("the page");
     let mut sources = Vec::new();
     for dir in ["tests", "crates", "src"] {
-        texts(&root.join(dir), ".rs", &mut sources);
+        collect_files(&root.join(dir), ".rs", &mut sources);
     }
     let mut tests = BTreeSet::new();
     for (_, text) in &sources {
@@ -37,25 +38,25 @@
             tests.extend(name.map(str::to_owned));
         }
     }
-    let mut days = Vec::new();
-    texts(&root.join("scripts/days"), ".toml", &mut days);
-    let days: BTreeSet<String> = days
+    let mut scenarios = Vec::new();
+    collect_files(&root.join("scripts/days"), ".toml", &mut scenarios);
+    let scenarios: BTreeSet<String> = scenarios
         .into_iter()
-        .map(|d| d.0.trim_end_matches(".toml").to_owned())
+        .map(|file| file.0.trim_end_matches(".toml").to_owned())
         .collect();
-    let mut meetings = 0;
-    let mut named = 0;
+    let mut row_count = 0;
+    let mut test_count = 0;
     for line in page
         .lines()
         .filter(|l| l.starts_with("| ") && !l.starts_with("| ---"))
     {
         let cells: Vec<&str> = line.trim_matches('|').split(" | ").collect();
-        let (told, played) = match cells.len() {
+        let (tests_cell, scenarios_cell) = match cells.len() {
             5 if !cells[0].contains("meeting") => (cells[3], cells[4]),
             4 if cells[0].trim() != "what" => (cells[2], cells[3]),
             _ => continue,
         };
-        meetings += 1;
+        row_count += 1;
         let quoted = |text: &str| -> Vec<String> {
             text.split('`')
                 .skip(1)
@@ -63,18 +64,22 @@
                 .map(str::to_owned)
                 .collect()
         };
-        for test in quoted(told) {
+        for test in quoted(tests_cell) {
             assert!(tests.contains(&test), "no test {test}: {}", cells[0]);
-            named += 1;
+            test_count += 1;
         }
-        assert!(!quoted(told).is_empty(), "no test is named: {}", cells[0]);
-        for day in quoted(played.split("drawn:").next().unwrap_or("")) {
-            let known = days.contains(&day) || day == "left_waiting";
-            assert!(known, "no day {day}: {}", cells[0]);
+        assert!(
+            !quoted(tests_cell).is_empty(),
+            "no test is named: {}",
+            cells[0]
+        );
+        for scenario in quoted(scenarios_cell.split("drawn:").next().unwrap_or("")) {
+            let known = scenarios.contains(&scenario) || scenario == "left_waiting";
+            assert!(known, "no scenario {scenario}: {}", cells[0]);
         }
     }
     assert!(
-        meetings >= 28 && named > 40,
-        "{meetings} rows, {named} tests"
+        row_count >= 28 && test_count > 40,
+        "{row_count} rows, {test_count} tests"
     );
 }
--- a/tests/suite/test_cluster.rs
+++ b/tests/suite/test_cluster.rs
@@ -1,5 +1,5 @@
-//! A scripted world on a fake clock: state service, cloud, workers and peers, all answered in
-//! memory. Tests hold back, lose or delay what they want to.
+//! An in-memory cluster on a simulated clock for tests: real controllers, with a fake state service, cloud
+//! and workers. Tests can partition any of them, and lose, delay or refuse their requests and answers.
 
 mod samples;
 mod state_service;
@@ -23,6 +23,7 @@
 pub use state_service::FakeStateService;
 pub use worker::Worker;
 
+/// An HTTP answer with a JSON body.
 pub fn json_reply(status: u16, body: Value) -> Outcome {
     Outcome::Reply {
         status,
@@ -30,6 +31,7 @@
     }
 }
 
+/// A watch request that the state service answers at the next change, or at `until` without one.
 struct WaitingWatch {
     node: usize,
     ticket: Ticket,
@@ -37,62 +39,72 @@
     until: Micros,
 }
 
+/// Controllers, workers and the services that they use, with the faults that a test has injected.
+/// Nodes (controllers) and workers are referred to by their indices.
 pub struct TestCluster {
     pub now: Now,
+    /// `None` for a controller that does not run.
     pub controllers: Vec<Option<Controller>>,
     pub kv: FakeStateService,
     pub workers: Vec<Worker>,
+    /// The machines that the cloud lists.
     pub cloud_machines: Vec<Value>,
+    /// Machines that were returned to the cloud, in that order.
     pub released_machines: Vec<String>,
+    /// Answers to users that no test has taken yet: status and body by connection.
     pub answers: HashMap<ConnId, (u16, Value)>,
-    /// Pairs of nodes that can't talk.
+    /// Pairs of nodes between which all calls fail.
     pub cut_links: Vec<(usize, usize)>,
-    /// The node that can't reach workers, nor they it.
+    /// The node that is partitioned from all workers, in both directions.
     pub isolated_from_workers: Option<usize>,
     settings_text: String,
-    /// The node whose calls to the state service get no answer, and those that hang.
+    /// The node whose calls to the state service are not carried out and time out.
     pub state_calls_hang_for: Option<usize>,
+    /// Calls that get no answer: when they time out, the caller and its ticket.
     hanging_calls: Vec<(Micros, usize, Ticket)>,
-    /// The node that the state service refuses; its open watches wait.
+    /// The node whose requests the state service answers with 503; its open watches stay unanswered.
     pub state_calls_refused_for: Option<usize>,
-    /// The node whose watches that wait for a change are never answered, as on a connection that is gone
-    /// without its having been told; `true`: nor those that do not wait.
+    /// The node whose watches of the jobs time out, as on a connection that was lost without a reset. With
+    /// `false`, requests that do not wait for a change (`blockMs=0`) are still answered.
     pub watches_hang_for: Option<(usize, bool)>,
-    /// Transactions with this text are applied at once and answered by `deliver`.
+    /// Requests whose body contains this text are carried out at once, but their answers wait for
+    /// `deliver_delayed_answers`.
     pub delay_answers_with: Option<&'static str>,
     pub delayed_answers: Vec<(usize, Ticket, Outcome)>,
     waiting_watches: Vec<WaitingWatch>,
+    /// Open calls between controllers: by the called node and connection, the caller and its ticket.
     peer_calls: HashMap<(usize, ConnId), (usize, Ticket)>,
+    /// Heartbeats without an answer: worker, its agent epoch and when it sent them.
     heartbeats_in_flight: HashMap<ConnId, (String, u64, Micros)>,
     last_connection: ConnId,
     next_heartbeat_at: Micros,
     last_incarnation: u64,
-    /// Each input costs its node time, and waits until the node has it; see `work_off`.
+    /// Controllers need `processing_time` for each input and queue the inputs meanwhile.
     pub slow_controllers: bool,
-    /// Reports that one controller passes to another get no answer in time; all else does.
+    /// Heartbeats that one controller forwards to another time out; other calls are answered.
     pub slow_heartbeat_forwarding: bool,
-    /// How often a worker was named another controller.
+    /// How often an answer told a worker to use another controller.
     pub redirects: usize,
     processors: Vec<SlowProcessor>,
-    /// Users' requests that a node refused without looking at them.
+    /// Users' requests that load shedding refused.
     pub shed_requests: usize,
-    /// Controllers tell the leader of cancellations that they confirm; else those frames are lost.
+    /// Cancellation hints between controllers arrive; otherwise all of them are lost.
     pub deliver_cancellation_hints: bool,
-    /// The cloud offers the small type alone.
+    /// The cloud offers machines of type `small` only.
     pub only_small_type: bool,
-    /// It offers the large type in that zone alone.
+    /// The cloud offers type `big` in this zone only.
     pub big_type_only_in: Option<&'static str>,
 }
 
-/// A node with little processor: what waits for it, and until when it is busy.
+/// A controller on a slow processor: its queued inputs, its load and until when it is busy.
 #[derive(Default)]
 struct SlowProcessor {
-    lanes: InputQueue,
+    queue: InputQueue,
     load: LoadMonitor,
     busy_until: Micros,
 }
 
-/// What an input costs a slow node.
+/// How long a slow controller takes for an input.
 fn processing_time(input: &Input) -> Micros {
     match input {
         Input::Request { .. } => 4_000,
@@ -102,23 +114,26 @@
 }
 
 impl TestCluster {
+    /// Starts this many controllers with the sample settings.
     pub fn new(nodes: usize) -> Self {
         Self::with_settings(nodes, SETTINGS)
     }
 
-    /// Three controllers of which one leads, and a small machine, with room for one task, in each of these zones.
+    /// Starts three controllers, one small machine with room for one task in each of these zones, and waits
+    /// until a leader is elected.
     pub fn with_leader(zones: &[&'static str]) -> (Self, usize) {
-        let mut w = Self::new(3);
-        for (n, zone) in zones.iter().enumerate() {
-            w.add_worker(&format!("m-{}", n + 1), "small", zone);
+        let mut cluster = Self::new(3);
+        for (node, zone) in zones.iter().enumerate() {
+            cluster.add_worker(&format!("m-{}", node + 1), "small", zone);
         }
-        w.run(6.0);
-        let leader = w.leader().expect("one node leads");
-        (w, leader)
+        cluster.run(6.0);
+        let leader = cluster.leader().expect("one node leads");
+        (cluster, leader)
     }
 
+    /// Starts this many controllers with settings from a template like `SETTINGS`.
     pub fn with_settings(nodes: usize, text: &str) -> Self {
-        let mut w = TestCluster {
+        let mut cluster = TestCluster {
             now: Now {
                 steady: SECOND,
                 wall: 1_000_000 * SECOND,
@@ -153,37 +168,40 @@
             only_small_type: false,
             big_type_only_in: None,
         };
-        for n in 0..nodes {
-            w.controllers.push(None);
-            w.start_controller(n, nodes);
+        for node in 0..nodes {
+            cluster.controllers.push(None);
+            cluster.start_controller(node, nodes);
         }
-        w
+        cluster
     }
 
-    pub fn start_controller(&mut self, n: usize, of: usize) {
+    /// Starts one of `node_count` controllers, as a new incarnation.
+    pub fn start_controller(&mut self, node: usize, node_count: usize) {
         self.last_incarnation += 1;
         let props = Properties {
             seed: 7,
             ..Properties::default()
         };
-        self.controllers[n] = Some(Controller::new(
-            settings_from(&self.settings_text, n + 1, of),
+        self.controllers[node] = Some(Controller::new(
+            settings_from(&self.settings_text, node + 1, node_count),
             props,
             self.last_incarnation,
         ));
     }
 
-    pub fn kill_controller(&mut self, n: usize) {
-        self.controllers[n] = None;
-        self.waiting_watches.retain(|p| p.node != n);
+    /// Ends a controller without a shutdown.
+    pub fn kill_controller(&mut self, node: usize) {
+        self.controllers[node] = None;
+        self.waiting_watches.retain(|watch| watch.node != node);
     }
 
-    /// The state service is down for all, or up again, when all grants get their full time.
+    /// Stops or restarts the state service. Leases don't expire while it is down, and start their full TTL
+    /// anew when it is back.
     pub fn set_state_service_down(&mut self, down: bool) {
         self.kv.down = down;
         let now = self.now.steady;
-        for (id, ends) in &mut self.kv.leases {
-            *ends = if down {
+        for (id, expires_at) in &mut self.kv.leases {
+            *expires_at = if down {
                 Micros::MAX
             } else {
                 now + self.kv.lease_ttls[id]
@@ -191,17 +209,18 @@
         }
     }
 
-    /// The connections on which a node's watches wait are gone, and the node knows it.
+    /// Closes the connections of a node's open watches; the node is told so.
     pub fn close_watch_connections(&mut self, node: usize) {
-        let parked = std::mem::take(&mut self.waiting_watches);
-        let (lost, kept) = parked.into_iter().partition(|p| p.node == node);
+        let watches = std::mem::take(&mut self.waiting_watches);
+        let (lost, kept) = watches.into_iter().partition(|watch| watch.node == node);
         self.waiting_watches = kept;
         let lost: Vec<WaitingWatch> = lost;
-        for p in lost {
-            self.deliver_outcome(node, p.ticket, Outcome::Lost);
+        for watch in lost {
+            self.deliver_outcome(node, watch.ticket, Outcome::Lost);
         }
     }
 
+    /// Adds a machine with a running worker and returns its index.
     pub fn add_worker(
         &mut self,
         id: &str,
@@ -233,10 +252,11 @@
         n
     }
 
+    /// The node that may act as leader.
     pub fn leader(&self) -> Option<usize> {
         self.controllers
             .iter()
-            .position(|n| n.as_ref().is_some_and(Controller::is_leader))
+            .position(|c| c.as_ref().is_some_and(Controller::is_leader))
     }
 
     fn next_connection(&mut self) -> ConnId {
@@ -244,19 +264,19 @@
         self.last_connection
     }
 
-    /// Asks a node as a user would, and runs the world until it has answered.
+    /// Sends a user's request to a node and runs the cluster until the answer has come, for at most 3 s.
     pub fn request(&mut self, node: usize, method: &str, path: &str, body: Value) -> (u16, Value) {
         let conn = self.send_request(node, method, path, body);
         for _ in 0..600 {
             self.step(5_000);
-            if let Some(a) = self.answers.remove(&conn) {
-                return a;
+            if let Some(answer) = self.answers.remove(&conn) {
+                return answer;
             }
         }
         panic!("no answer to {method} {path}");
     }
 
-    /// Several GETs in the same moment.
+    /// Sends several GET requests at the same moment and returns their answers.
     pub fn get_concurrently(&mut self, node: usize, paths: &[&str]) -> Vec<(u16, Value)> {
         let sent = paths
             .iter()
@@ -269,7 +289,7 @@
             .collect()
     }
 
-    /// GETs one after the other, every 10 ms; the answers in that order.
+    /// Sends GET requests every 10 ms without waiting for answers, and returns the answers in that order.
     pub fn get_every_10_ms(&mut self, node: usize, paths: &[&str]) -> Vec<(u16, Value)> {
         let mut conns = Vec::new();
         for path in paths {
@@ -283,53 +303,56 @@
             .collect()
     }
 
-    /// An input for a node, at once or after what waits before it.
-    pub fn deliver_input(&mut self, n: usize, input: Input) {
+    /// Passes an input to a controller, or queues it if controllers are slow.
+    pub fn deliver_input(&mut self, node: usize, input: Input) {
         if self.slow_controllers {
-            self.processors[n].lanes.push(input);
-        } else if let Some(node) = self.controllers[n].as_mut() {
-            node.handle(self.now, input);
+            self.processors[node].queue.push(input);
+        } else if let Some(controller) = self.controllers[node].as_mut() {
+            controller.handle(self.now, input);
         }
     }
 
-    /// A slow node takes what its time allows, as the program's loop does; false while it is busy.
-    fn process_queued_inputs(&mut self, n: usize) -> bool {
+    /// Lets a slow controller handle queued inputs until its processor is busy, as the program's event loop
+    /// does. False if it is too busy for its timers too.
+    fn process_queued_inputs(&mut self, node: usize) -> bool {
         let now = self.now.steady;
-        let Some(node) = self.controllers[n].as_mut() else {
-            self.processors[n] = SlowProcessor::default();
+        let Some(controller) = self.controllers[node].as_mut() else {
+            self.processors[node] = SlowProcessor::default();
             return false;
         };
-        let slow = &mut self.processors[n];
-        slow.lanes.set_now(now);
-        slow.load.note_wait(now, slow.lanes.longest_wait());
-        node.update_load(slow.load);
-        // A user who has given up is gone; a worker too.
-        slow.busy_until = slow.busy_until.max(now.saturating_sub(20_000));
+        let processor = &mut self.processors[node];
+        processor.queue.set_now(now);
+        processor
+            .load
+            .note_wait(now, processor.queue.longest_wait());
+        controller.update_load(processor.load);
+        // An idle processor has only the time of the current step (20 ms), not what it left unused before.
+        processor.busy_until = processor.busy_until.max(now.saturating_sub(20_000));
         let mut refused = Vec::new();
-        while slow.busy_until <= now {
-            let Some(input) = slow.lanes.next(|_| true) else {
+        while processor.busy_until <= now {
+            let Some(input) = processor.queue.next(|_| true) else {
                 break;
             };
             if let Input::Request { conn, path, .. } = &input
                 && path != "/checkin"
-                && slow.load.shed_level().refuses(path)
+                && processor.load.shed_level().refuses(path)
             {
-                // Told so as soon as it is read.
-                slow.busy_until += processing_time(&input) / 10;
+                // The program refuses such a request right after reading it.
+                processor.busy_until += processing_time(&input) / 10;
                 refused.push(*conn);
                 continue;
             }
-            slow.busy_until += processing_time(&input);
-            node.handle(self.now, input);
+            processor.busy_until += processing_time(&input);
+            controller.handle(self.now, input);
         }
         self.shed_requests += refused.len();
         for conn in refused {
             self.answers.insert(conn, (503, Value::Null));
         }
-        self.processors[n].busy_until <= now + 20_000
+        self.processors[node].busy_until <= now + 20_000
     }
 
-    /// A request whose answer is looked for later in `answers`.
+    /// Sends a user's request without waiting. Its answer is put into `answers` under this connection.
     pub fn send_request(&mut self, node: usize, method: &str, path: &str, body: Value) -> ConnId {
         let body = if body.is_null() {
             Vec::new()
@@ -339,7 +362,7 @@
         self.send_request_bytes(node, method, path, body)
     }
 
-    /// The same with a body that need not be JSON.
+    /// Like `send_request`, with a body that need not be JSON.
     pub fn send_request_bytes(
         &mut self,
         node: usize,
@@ -358,6 +381,7 @@
         conn
     }
 
+    /// Advances the clock by this many seconds, in steps of 20 ms.
     pub fn run(&mut self, secs: f64) {
         let end = self.now.steady + (secs * 1e6) as Micros;
         while self.now.steady < end {
@@ -365,43 +389,46 @@
         }
     }
 
+    /// Advances the clock and lets everything that is due then happen.
     pub fn step(&mut self, dt: Micros) {
         self.now.steady += dt;
         self.now.wall += dt;
         if self.now.steady >= self.next_heartbeat_at {
             self.next_heartbeat_at = self.now.steady + SECOND;
-            for w in 0..self.workers.len() {
-                self.send_heartbeat(w);
+            for worker in 0..self.workers.len() {
+                self.send_heartbeat(worker);
             }
         }
         let now = self.now.steady;
-        let (over, kept) = std::mem::take(&mut self.hanging_calls)
+        let (timed_out, open) = std::mem::take(&mut self.hanging_calls)
             .into_iter()
-            .partition(|h: &(Micros, usize, Ticket)| h.0 <= now);
-        self.hanging_calls = kept;
-        for (_, node, ticket) in over {
+            .partition(|call: &(Micros, usize, Ticket)| call.0 <= now);
+        self.hanging_calls = open;
+        for (_, node, ticket) in timed_out {
             self.deliver_outcome(node, ticket, Outcome::Lost);
         }
         for _ in 0..6 {
             self.answer_waiting_watches();
-            for n in 0..self.controllers.len() {
-                if self.slow_controllers && !self.process_queued_inputs(n) {
+            for node in 0..self.controllers.len() {
+                if self.slow_controllers && !self.process_queued_inputs(node) {
                     continue;
                 }
-                let Some(node) = self.controllers[n].as_mut() else {
+                let Some(controller) = self.controllers[node].as_mut() else {
                     continue;
                 };
-                for output in node.tick(self.now) {
-                    self.perform_output(n, output);
+                for output in controller.tick(self.now) {
+                    self.perform_output(node, output);
                 }
             }
         }
     }
 
-    pub fn send_heartbeat(&mut self, w: usize) {
+    /// Sends a worker's heartbeat to its controller, or to the next one if that can't be reached. A worker
+    /// whose lease has expired first drops its tasks and begins a new agent epoch.
+    pub fn send_heartbeat(&mut self, index: usize) {
         let lease = 30 * SECOND;
         let now = self.now.steady;
-        let worker = &mut self.workers[w];
+        let worker = &mut self.workers[index];
         if now > worker.lease_renewed_at + lease {
             worker.agent_epoch += 1;
             worker.tasks.clear();
@@ -416,9 +443,9 @@
             worker.controller = node;
         }
         let body = worker.heartbeat().to_string().into_bytes();
-        let from = (worker.id.clone(), worker.agent_epoch, now);
+        let sender = (worker.id.clone(), worker.agent_epoch, now);
         let conn = self.next_connection();
-        self.heartbeats_in_flight.insert(conn, from);
+        self.heartbeats_in_flight.insert(conn, sender);
         let input = Input::Request {
             conn,
             method: "POST".into(),
@@ -432,32 +459,32 @@
         self.deliver_input(node, Input::Outcome { ticket, outcome });
     }
 
-    /// The machine stands still: it reports nothing, and what is sent to it waits.
-    pub fn suspend_worker(&mut self, w: usize) {
-        self.workers[w].partitioned = true;
-        self.workers[w].delayed_commands = Some(Vec::new());
+    /// Suspends a machine: it sends no heartbeats, and commands sent to it wait.
+    pub fn suspend_worker(&mut self, index: usize) {
+        self.workers[index].partitioned = true;
+        self.workers[index].delayed_commands = Some(Vec::new());
     }
 
-    /// It goes on: its lease is over by now or not, and then it does what waited.
-    pub fn resume_worker(&mut self, w: usize) {
-        self.send_heartbeat(w);
-        let worker = &mut self.workers[w];
+    /// Resumes a machine: it notices whether its lease has expired, then executes the commands that waited.
+    pub fn resume_worker(&mut self, index: usize) {
+        self.send_heartbeat(index);
+        let worker = &mut self.workers[index];
         worker.partitioned = false;
         for body in worker.delayed_commands.take().unwrap_or_default() {
             worker.handle_command_call(&body);
         }
     }
 
-    /// A controller is told to end: it lets the lead go, and ends.
-    pub fn shut_down_controller(&mut self, n: usize) {
-        if let Some(node) = &mut self.controllers[n] {
-            node.shut_down(self.now);
+    /// Shuts a controller down in an orderly way: a leader resigns first.
+    pub fn shut_down_controller(&mut self, node: usize) {
+        if let Some(controller) = &mut self.controllers[node] {
+            controller.shut_down(self.now);
         }
         self.step(1_000);
-        self.kill_controller(n);
+        self.kill_controller(node);
     }
 
-    /// Asks again until the answer is not a refusal, at most so many times; a user would wait a second.
+    /// Repeats a user's request every 0.1 s while it is refused (503), at most 60 times.
     pub fn request_with_retries(
         &mut self,
         node: usize,
@@ -467,9 +494,9 @@
     ) -> (u16, Value) {
         for _ in 0..60 {
             if self.controllers[node].is_some() {
-                let told = self.request(node, method, path, body.clone());
-                if told.0 != 503 {
-                    return told;
+                let answer = self.request(node, method, path, body.clone());
+                if answer.0 != 503 {
+                    return answer;
                 }
             }
             self.run(0.1);
@@ -477,74 +504,83 @@
         panic!("only refusals of {method} {path}");
     }
 
-    /// Cores that the tasks of these jobs have on machines now.
+    /// Cores that the tasks of these jobs hold now, at 4 cores a task.
     pub fn cores_in_use(&self, uids: &[&str]) -> f64 {
-        let parts = self.workers.iter().flat_map(|w| &w.tasks);
-        let of = |name: &str| uids.iter().any(|u| name.split('/').next() == Some(u));
-        parts.filter(|p| p.2 != "ended" && of(&p.0)).count() as f64 * 4.0
+        let tasks = self.workers.iter().flat_map(|worker| &worker.tasks);
+        let is_of_jobs = |task: &str| uids.iter().any(|uid| task.split('/').next() == Some(uid));
+        tasks
+            .filter(|task| task.2 != "ended" && is_of_jobs(&task.0))
+            .count() as f64
+            * 4.0
     }
 
-    /// Gives the answers that were kept back.
+    /// Delivers the answers that `delay_answers_with` has kept back.
     pub fn deliver_delayed_answers(&mut self) {
         for (node, ticket, outcome) in std::mem::take(&mut self.delayed_answers) {
             self.deliver_outcome(node, ticket, outcome);
         }
     }
 
+    /// Answers open watches that have changes to report or whose time is over.
     fn answer_waiting_watches(&mut self) {
-        for p in std::mem::take(&mut self.waiting_watches) {
-            if self.state_calls_refused_for == Some(p.node) {
-                self.waiting_watches.push(p);
+        for watch in std::mem::take(&mut self.waiting_watches) {
+            if self.state_calls_refused_for == Some(watch.node) {
+                self.waiting_watches.push(watch);
                 continue;
             }
-            match self.kv.handle_request(self.now.steady, "GET", &p.path, &[]) {
-                Some(o) => self.deliver_outcome(p.node, p.ticket, o),
-                None if self.now.steady >= p.until => {
+            match self
+                .kv
+                .handle_request(self.now.steady, "GET", &watch.path, &[])
+            {
+                Some(outcome) => self.deliver_outcome(watch.node, watch.ticket, outcome),
+                None if self.now.steady >= watch.until => {
                     let revision = self.kv.revision;
                     self.deliver_outcome(
-                        p.node,
-                        p.ticket,
+                        watch.node,
+                        watch.ticket,
                         json_reply(200, json!({"epoch": revision, "events": []})),
                     );
                 }
-                None => self.waiting_watches.push(p),
+                None => self.waiting_watches.push(watch),
             }
         }
     }
 
-    fn perform_output(&mut self, n: usize, output: Output) {
+    /// Carries out what a controller asks for: answers to clients, calls to services, workers and peers.
+    fn perform_output(&mut self, node: usize, output: Output) {
         match output {
             Output::Respond {
                 conn, status, body, ..
             } => {
                 let value: Value = serde_json::from_slice(&body).unwrap();
-                if let Some((id, stint, sent)) = self.heartbeats_in_flight.remove(&conn) {
-                    // A worker waits 4 s, and drops what comes later.
+                if let Some((id, agent_epoch, sent)) = self.heartbeats_in_flight.remove(&conn) {
+                    // A worker waits 4 s for the answer and ignores a later one.
                     if self.now.steady > sent + 4 * SECOND {
                         return;
                     }
                     let Some(worker) = self.workers.iter_mut().find(|w| w.id == id) else {
                         return;
                     };
-                    let baton = value["baton"].as_u64().unwrap_or(0);
+                    let fencing_token = value["baton"].as_u64().unwrap_or(0);
                     if worker.inbound_partitioned {
                         return;
                     }
                     if status == 200
                         && !worker.partitioned
-                        && worker.agent_epoch == stint
-                        && baton >= worker.fencing_token
+                        && worker.agent_epoch == agent_epoch
+                        && fencing_token >= worker.fencing_token
                     {
-                        worker.fencing_token = baton;
+                        worker.fencing_token = fencing_token;
                         worker.lease_renewed_at = self.now.steady;
                         worker.execute_commands(&value["orders"]);
                     } else if status != 200 {
-                        let boss = value["boss"].as_str().and_then(|b| b.strip_prefix("n-"));
-                        let named = boss.and_then(|b| b.parse::<usize>().ok());
-                        let named = named.filter(|n| (1..=self.controllers.len()).contains(n));
-                        self.redirects += usize::from(named.is_some());
+                        let leader = value["boss"].as_str().and_then(|b| b.strip_prefix("n-"));
+                        let redirected_to = leader.and_then(|b| b.parse::<usize>().ok());
+                        let redirected_to = redirected_to
+                            .filter(|node| (1..=self.controllers.len()).contains(node));
+                        self.redirects += usize::from(redirected_to.is_some());
                         let next = (worker.controller + 1) % self.controllers.len();
-                        worker.controller = named.map_or(next, |n| n - 1);
+                        worker.controller = redirected_to.map_or(next, |node| node - 1);
                     }
                 } else {
                     self.answers.insert(conn, (status, value));
@@ -559,55 +595,57 @@
                 timeout,
             } => {
                 if dest.ip().to_string() == "10.2.0.1" {
-                    if self.state_calls_hang_for == Some(n) {
-                        let at = self.now.steady + timeout;
-                        return self.hanging_calls.push((at, n, ticket));
+                    if self.state_calls_hang_for == Some(node) {
+                        let timeout_at = self.now.steady + timeout;
+                        return self.hanging_calls.push((timeout_at, node, ticket));
                     }
-                    let watch = path.starts_with("/watch?prefix=job/");
-                    if watch
-                        && let Some((node, all)) = self.watches_hang_for
-                        && node == n
-                        && (all || !path.ends_with("blockMs=0"))
+                    let is_job_watch = path.starts_with("/watch?prefix=job/");
+                    if is_job_watch
+                        && let Some((hanging_node, also_without_waiting)) = self.watches_hang_for
+                        && hanging_node == node
+                        && (also_without_waiting || !path.ends_with("blockMs=0"))
                     {
-                        let at = self.now.steady + timeout;
-                        return self.hanging_calls.push((at, n, ticket));
+                        let timeout_at = self.now.steady + timeout;
+                        return self.hanging_calls.push((timeout_at, node, ticket));
                     }
-                    if self.state_calls_refused_for == Some(n) {
-                        return self.deliver_outcome(n, ticket, json_reply(503, json!({})));
+                    if self.state_calls_refused_for == Some(node) {
+                        return self.deliver_outcome(node, ticket, json_reply(503, json!({})));
                     }
-                    let text = String::from_utf8_lossy(&body);
-                    let slow = self.delay_answers_with.is_some_and(|t| text.contains(t));
+                    let request_text = String::from_utf8_lossy(&body);
+                    let is_delayed = self
+                        .delay_answers_with
+                        .is_some_and(|text| request_text.contains(text));
                     match self
                         .kv
                         .handle_request(self.now.steady, method, &path, &body)
                     {
-                        Some(o) if slow => self.delayed_answers.push((n, ticket, o)),
-                        Some(o) => self.deliver_outcome(n, ticket, o),
+                        Some(outcome) if is_delayed => {
+                            self.delayed_answers.push((node, ticket, outcome))
+                        }
+                        Some(outcome) => self.deliver_outcome(node, ticket, outcome),
                         None => self.waiting_watches.push(WaitingWatch {
-                            node: n,
+                            node,
                             ticket,
                             path,
                             until: self.now.steady + timeout - 3 * SECOND,
                         }),
                     }
                 } else if dest.ip().to_string() == "10.2.0.2" {
-                    let o = self.cloud_answer(&path, &body);
-                    self.deliver_outcome(n, ticket, o);
+                    let outcome = self.cloud_answer(&path, &body);
+                    self.deliver_outcome(node, ticket, outcome);
                 } else {
-                    if self
-                        .workers
-                        .iter()
-                        .any(|w| w.addr == dest && (w.commands_hang || w.inbound_partitioned))
-                    {
-                        let at = self.now.steady + timeout;
-                        return self.hanging_calls.push((at, n, ticket));
+                    if self.workers.iter().any(|worker| {
+                        worker.addr == dest && (worker.commands_hang || worker.inbound_partitioned)
+                    }) {
+                        let timeout_at = self.now.steady + timeout;
+                        return self.hanging_calls.push((timeout_at, node, ticket));
                     }
-                    let o = if self.isolated_from_workers == Some(n) {
+                    let outcome = if self.isolated_from_workers == Some(node) {
                         Outcome::NotSent
                     } else {
                         self.send_commands_to_worker(dest, &body)
                     };
-                    self.deliver_outcome(n, ticket, o);
+                    self.deliver_outcome(node, ticket, outcome);
                 }
             }
             Output::PeerCall {
@@ -618,7 +656,7 @@
                 body,
                 timeout,
             } => {
-                let to: usize = dest
+                let called_node: usize = dest
                     .ip()
                     .to_string()
                     .rsplit('.')
@@ -628,22 +666,22 @@
                     .unwrap()
                     - 1;
                 if kind == KIND_CANCELLED && !self.deliver_cancellation_hints {
-                    return self.deliver_outcome(n, ticket, Outcome::Lost);
+                    return self.deliver_outcome(node, ticket, Outcome::Lost);
                 }
-                if self.controllers[to].is_none()
-                    || self.cut_links.contains(&(n, to))
-                    || self.cut_links.contains(&(to, n))
+                if self.controllers[called_node].is_none()
+                    || self.cut_links.contains(&(node, called_node))
+                    || self.cut_links.contains(&(called_node, node))
                 {
-                    return self.deliver_outcome(n, ticket, Outcome::NotSent);
+                    return self.deliver_outcome(node, ticket, Outcome::NotSent);
                 }
                 if self.slow_heartbeat_forwarding
                     && (kind == KIND_HEARTBEAT || kind == KIND_HEARTBEAT_BATCH)
                 {
-                    let at = self.now.steady + timeout;
-                    return self.hanging_calls.push((at, n, ticket));
+                    let timeout_at = self.now.steady + timeout;
+                    return self.hanging_calls.push((timeout_at, node, ticket));
                 }
                 let conn = self.next_connection();
-                self.peer_calls.insert((to, conn), (n, ticket));
+                self.peer_calls.insert((called_node, conn), (node, ticket));
                 let input = Input::PeerRequest {
                     conn,
                     ticket,
@@ -652,31 +690,33 @@
                     addr,
                     body,
                 };
-                self.deliver_input(to, input);
+                self.deliver_input(called_node, input);
             }
             Output::PeerRespond { conn, outcome, .. } => {
-                if let Some((from, ticket)) = self.peer_calls.remove(&(n, conn)) {
+                if let Some((from, ticket)) = self.peer_calls.remove(&(node, conn)) {
                     self.deliver_outcome(from, ticket, outcome);
                 }
             }
         }
     }
 
+    /// A controller's direct call to a worker.
     fn send_commands_to_worker(&mut self, dest: SocketAddr, body: &[u8]) -> Outcome {
-        let Some(w) = self.workers.iter_mut().find(|w| w.addr == dest) else {
+        let Some(worker) = self.workers.iter_mut().find(|worker| worker.addr == dest) else {
             return Outcome::NotSent;
         };
         let body: Value = serde_json::from_slice(body).unwrap();
-        if let Some(held) = &mut w.delayed_commands {
+        if let Some(held) = &mut worker.delayed_commands {
             held.push(body);
             return Outcome::Lost;
         }
-        if w.partitioned {
+        if worker.partitioned {
             return Outcome::NotSent;
         }
-        w.handle_command_call(&body)
+        worker.handle_command_call(&body)
     }
 
+    /// The cloud's answer to a call. It has no capacity for rentals.
     fn cloud_answer(&mut self, path: &str, body: &[u8]) -> Outcome {
         if path == "/machine_types" && self.only_small_type {
             return json_reply(
@@ -702,8 +742,8 @@
         }
         if path == "/hosts/return" {
             let body: Value = serde_json::from_slice(body).unwrap();
-            for h in body["hosts"].as_array().unwrap() {
-                let id = h.as_str().unwrap().to_owned();
+            for machine in body["hosts"].as_array().unwrap() {
+                let id = machine.as_str().unwrap().to_owned();
                 self.workers.retain(|w| w.id != id);
                 self.released_machines.push(id);
             }
@@ -712,29 +752,37 @@
         json_reply(503, json!({"error": "no capacity"}))
     }
 
-    /// The worker that has the task.
-    pub fn worker_running(&self, part: &str) -> usize {
-        let at = self.workers.iter().position(|w| w.is_running(part));
-        at.expect("placed")
+    /// The index of the worker on which the task runs.
+    pub fn worker_running(&self, task: &str) -> usize {
+        let position = self
+            .workers
+            .iter()
+            .position(|worker| worker.is_running(task));
+        position.expect("placed")
     }
 
-    /// On how many machines the task is now.
-    pub fn running_copies(&self, part: &str) -> usize {
-        self.workers.iter().filter(|w| w.is_running(part)).count()
+    /// On how many machines the task runs now.
+    pub fn running_copies(&self, task: &str) -> usize {
+        self.workers
+            .iter()
+            .filter(|worker| worker.is_running(task))
+            .count()
     }
 
-    pub fn start_count(&self, part: &str) -> usize {
+    /// How often the task was started, on any machine.
+    pub fn start_count(&self, task: &str) -> usize {
         self.workers
             .iter()
-            .flat_map(|w| &w.started_attempts)
-            .filter(|s| s.0 == part)
+            .flat_map(|worker| &worker.started_attempts)
+            .filter(|attempt| attempt.0 == task)
             .count()
     }
 
+    /// Submits a job like `job_submission`, with the fields of `change` replaced.
     pub fn submit(&mut self, node: usize, uid: &str, change: Value) -> (u16, Value) {
         let mut job = job_submission(uid);
-        for (k, v) in change.as_object().unwrap() {
-            job[k] = v.clone();
+        for (field, value) in change.as_object().unwrap() {
+            job[field] = value.clone();
         }
         self.request(node, "POST", "/work", job)
     }
--- a/tests/suite/test_cluster/samples.rs
+++ b/tests/suite/test_cluster/samples.rs
@@ -1,8 +1,9 @@
-//! What a deployment's settings and a user's submission look like.
+//! Sample settings of a deployment and a sample submission of a job.
 
 use dewramp::settings::Settings;
 use serde_json::{Value, json};
 
+/// Template of a node's settings; `LABEL` and `OTHERS` are replaced by `settings_from`.
 pub const SETTINGS: &str = r#"
 label = "n-LABEL"
 domain = "a"
@@ -47,7 +48,7 @@
 max_connections = 1000
 "#;
 
-/// The settings with the limits that the state service will have later.
+/// The settings with lower limits of the state service announced for later.
 pub fn settings_with_next_limits() -> String {
     SETTINGS.replace(
         "txn_ops = 20\n",
@@ -55,16 +56,16 @@
     )
 }
 
-/// Those limits as the state service then keeps to them.
+/// The announced limits in the form of `FakeStateService::limits`: bytes of a value, changes of a transaction.
 pub const NEXT_LIMITS: (usize, usize) = (2048, 6);
 
-/// Settings of node `n` by a text like `SETTINGS`.
+/// The settings of a node, counted from 1, from a template like `SETTINGS`.
 pub fn settings_from(text: &str, node: usize, node_count: usize) -> Settings {
     let others: String = (1..=node_count)
-        .filter(|o| *o != node)
-        .map(|o| {
+        .filter(|other| *other != node)
+        .map(|other| {
             format!(
-                "[[others]]\nlabel = \"n-{o}\"\ndomain = \"b\"\nendpoint = \"10.0.0.{o}:8081\"\n"
+                "[[others]]\nlabel = \"n-{other}\"\ndomain = \"b\"\nendpoint = \"10.0.0.{other}:8081\"\n"
             )
         })
         .collect();
@@ -74,10 +75,12 @@
     Settings::parse(&text).expect("test settings are valid")
 }
 
+/// The sample settings of a node, counted from 1.
 pub fn settings_for_node(node: usize, node_count: usize) -> Settings {
     settings_from(SETTINGS, node, node_count)
 }
 
+/// The body of a submission: one task of 4 cores, for team `blue`.
 pub fn job_submission(uid: &str) -> Value {
     json!({"uid": uid, "herd": "slow", "owner": "blue", "shape": "array", "urgency": "normal", "parts": 1,
            "cores": 4.0, "accelerators": 0.0, "memGb": 8.0, "bundle": "img-1", "sizeGb": 1.0, "builds": null,
--- a/tests/suite/test_cluster/state_service.rs
+++ b/tests/suite/test_cluster/state_service.rs
@@ -1,4 +1,5 @@
-//! The state service by the protocol, in memory: grants, conditional transactions, watches; answers lost or late.
+//! The state service, in memory: leases, transactions with preconditions, and watches. Tests can lose or delay its
+//! answers.
 
 use super::json_reply;
 use dewramp::clock::Micros;
@@ -7,100 +8,117 @@
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 
+/// Keys with their history, and the faults that a test has injected.
 #[derive(Default)]
 pub struct FakeStateService {
+    /// Value, `mod_revision` and lease by key.
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub revision: u64,
+    /// When each lease expires.
     pub leases: BTreeMap<u64, Micros>,
     pub lease_ttls: HashMap<u64, Micros>,
+    /// All changes: revision, key, and the value or `None` for a deletion.
     change_log: Vec<(u64, String, Option<Value>)>,
     pub last_lease_id: u64,
+    /// It answers 503 to every request, except watches, which stay open.
     pub down: bool,
-    /// The next watch on jobs is told that it started too far back.
+    /// The next watch of the jobs is answered 410, as if its revision were compacted.
     pub compacts_before_next_watch: bool,
-    /// Requests other than watches and grants.
+    /// Number of requests, without watches and those for leases.
     pub request_count: usize,
-    /// Transactions refused for their size.
+    /// Number of transactions rejected for their size.
     pub rejected_transactions: usize,
-    /// The largest value in bytes and the most changes of a transaction, if not the first ones.
+    /// The maximum size of a value in bytes and number of changes in a transaction, if other than 16 KiB and 20.
     pub limits: Option<(usize, usize)>,
-    /// Transactions that touch a key with this text get no answer and wait in `late`.
+    /// Transactions whose changes contain this text are not executed, get no answer and are kept in
+    /// `held_transactions`.
     pub hold_transactions_with: Option<&'static str>,
     pub held_transactions: Vec<Value>,
-    /// So many transactions that touch a key with this text are carried out at once, and only their answers are
-    /// lost.
+    /// So many transactions whose changes contain this text are executed at once, and only their answers are lost.
     pub lose_answers_with: Option<(&'static str, usize)>,
-    /// Changes of all keys at once are not told: such watches are refused.
+    /// Watches without a prefix, for the changes of all keys, are rejected.
     pub rejects_unprefixed_watches: bool,
-    /// Right after a list of these keys is read, the next transaction in `between` is carried out.
+    /// This transaction is executed right after the keys with this prefix are next read.
     pub transaction_after_list: Option<(&'static str, Value)>,
 }
 
 impl FakeStateService {
     fn expire_leases(&mut self, now: Micros) {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, t)| **t <= now)
-            .map(|g| *g.0)
+            .filter(|(_, expires_at)| **expires_at <= now)
+            .map(|lease| *lease.0)
             .collect();
-        for g in over {
-            self.end_lease(g);
+        for lease in expired {
+            self.end_lease(lease);
         }
     }
 
-    pub fn end_lease(&mut self, g: u64) {
-        self.leases.remove(&g);
-        let gone: Vec<String> = self
+    /// Ends a lease and deletes its keys.
+    pub fn end_lease(&mut self, lease: u64) {
+        self.leases.remove(&lease);
+        let deleted: Vec<String> = self
             .keys
             .iter()
-            .filter(|(_, v)| v.2 == Some(g))
-            .map(|k| k.0.clone())
+            .filter(|(_, stored)| stored.2 == Some(lease))
+            .map(|key| key.0.clone())
             .collect();
-        for k in gone {
+        for key in deleted {
             self.revision += 1;
-            self.keys.remove(&k);
-            self.change_log.push((self.revision, k, None));
+            self.keys.remove(&key);
+            self.change_log.push((self.revision, key, None));
         }
     }
 
+    /// Executes a transaction: 409 if a precondition fails, 400 if it is too large or a lease is missing.
     pub fn txn(&mut self, body: &Value) -> (u16, Value) {
         let mut failed = Vec::new();
-        for c in body["if"].as_array().unwrap() {
-            let path = c["path"].as_str().unwrap();
-            let mod_revision = self.keys.get(path).map_or(0, |k| k.1);
-            if mod_revision != c["stamp"].as_u64().unwrap() {
+        for condition in body["if"].as_array().unwrap() {
+            let path = condition["path"].as_str().unwrap();
+            let mod_revision = self.keys.get(path).map_or(0, |stored| stored.1);
+            if mod_revision != condition["stamp"].as_u64().unwrap() {
                 failed.push(path.to_owned());
             }
         }
         if !failed.is_empty() {
             return (409, json!({"failed": failed, "epoch": self.revision}));
         }
-        for a in body["apply"].as_array().unwrap() {
-            if let Some(p) = a["permit"].as_u64()
-                && !self.leases.contains_key(&p)
+        for change in body["apply"].as_array().unwrap() {
+            if let Some(lease) = change["permit"].as_u64()
+                && !self.leases.contains_key(&lease)
             {
                 return (400, json!({"error": "no such lease"}));
             }
         }
         let changes = body["apply"].as_array().unwrap();
-        let (value, ops) = self.limits.unwrap_or((16 * 1024, 20));
-        let too_large = |a: &Value| a["value"].to_string().len() > value;
+        let (value_bytes_max, changes_max) = self.limits.unwrap_or((16 * 1024, 20));
+        let too_large = |change: &Value| change["value"].to_string().len() > value_bytes_max;
         let conditions = body["if"].as_array().unwrap().len();
-        if changes.len() > ops || conditions > 4 * ops || changes.iter().any(too_large) {
+        if changes.len() > changes_max
+            || conditions > 4 * changes_max
+            || changes.iter().any(too_large)
+        {
             self.rejected_transactions += 1;
             return (400, json!({"error": "too large"}));
         }
         self.revision += 1;
-        for a in body["apply"].as_array().unwrap() {
-            if let Some(path) = a["set"].as_str() {
+        for change in body["apply"].as_array().unwrap() {
+            if let Some(path) = change["set"].as_str() {
                 self.keys.insert(
                     path.to_owned(),
-                    (a["value"].clone(), self.revision, a["permit"].as_u64()),
+                    (
+                        change["value"].clone(),
+                        self.revision,
+                        change["permit"].as_u64(),
+                    ),
                 );
-                self.change_log
-                    .push((self.revision, path.to_owned(), Some(a["value"].clone())));
-            } else if let Some(path) = a["delete"].as_str()
+                self.change_log.push((
+                    self.revision,
+                    path.to_owned(),
+                    Some(change["value"].clone()),
+                ));
+            } else if let Some(path) = change["delete"].as_str()
                 && self.keys.remove(path).is_some()
             {
                 self.change_log.push((self.revision, path.to_owned(), None));
@@ -112,14 +130,15 @@
     fn changes_since(&self, prefix: &str, from: u64) -> Vec<Value> {
         self.change_log
             .iter()
-            .filter(|(e, k, _)| *e > from && k.starts_with(prefix))
-            .map(|(e, k, v)| match v {
-                Some(v) => json!({"set": k, "value": v, "stamp": e}),
-                None => json!({"delete": k, "stamp": e}),
+            .filter(|(revision, key, _)| *revision > from && key.starts_with(prefix))
+            .map(|(revision, key, value)| match value {
+                Some(value) => json!({"set": key, "value": value, "stamp": revision}),
+                None => json!({"delete": key, "stamp": revision}),
             })
             .collect()
     }
 
+    /// Handles a request. `None` for a watch without changes to report, which stays open.
     pub fn handle_request(
         &mut self,
         now: Micros,
@@ -130,15 +149,15 @@
         self.expire_leases(now);
         let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
         if path.starts_with("/watch") {
-            let q = parse_query(path);
-            if self.rejects_unprefixed_watches && q["prefix"].is_empty() {
+            let params = parse_query(path);
+            if self.rejects_unprefixed_watches && params["prefix"].is_empty() {
                 return Some(json_reply(400, json!({"error": "prefix expected"})));
             }
-            if self.compacts_before_next_watch && q["prefix"] == "job/" {
+            if self.compacts_before_next_watch && params["prefix"] == "job/" {
                 self.compacts_before_next_watch = false;
                 return Some(json_reply(410, json!({})));
             }
-            let events = self.changes_since(&q["prefix"], q["from"].parse().unwrap());
+            let events = self.changes_since(&params["prefix"], params["from"].parse().unwrap());
             if events.is_empty() || self.down {
                 return None;
             }
@@ -159,16 +178,16 @@
                     self.held_transactions.push(body);
                     return Some(Outcome::Lost);
                 }
-                let (s, b) = self.txn(&body);
-                if s == 200
-                    && let Some((text, left)) = &mut self.lose_answers_with
-                    && *left > 0
+                let (status, answer) = self.txn(&body);
+                if status == 200
+                    && let Some((text, remaining)) = &mut self.lose_answers_with
+                    && *remaining > 0
                     && body["apply"].to_string().contains(*text)
                 {
-                    *left -= 1;
+                    *remaining -= 1;
                     return Some(Outcome::Lost);
                 }
-                json_reply(s, b)
+                json_reply(status, answer)
             }
             ("POST", "/grants") => {
                 self.last_lease_id += 1;
@@ -177,8 +196,8 @@
                 self.leases.insert(self.last_lease_id, now + ttl);
                 json_reply(200, json!({"permit": self.last_lease_id}))
             }
-            (_, p) if p.starts_with("/grants/") => {
-                let id: u64 = p.split('/').nth(2).unwrap().parse().unwrap();
+            (_, path) if path.starts_with("/grants/") => {
+                let id: u64 = path.split('/').nth(2).unwrap().parse().unwrap();
                 if !self.leases.contains_key(&id) {
                     json_reply(404, json!({}))
                 } else if method == "DELETE" {
@@ -189,25 +208,27 @@
                     json_reply(200, json!({"permit": id}))
                 }
             }
-            (_, p) if p.starts_with("/store?") => {
-                let q = parse_query(p);
+            (_, path) if path.starts_with("/store?") => {
+                let params = parse_query(path);
                 let items: Vec<Value> = self
                     .keys
                     .iter()
-                    .filter(|(k, _)| k.starts_with(&q["prefix"]))
-                    .map(|(k, v)| json!({"path": k, "value": v.0, "stamp": v.1}))
+                    .filter(|(key, _)| key.starts_with(&params["prefix"]))
+                    .map(|(key, stored)| json!({"path": key, "value": stored.0, "stamp": stored.1}))
                     .collect();
-                let told = json!({"items": items, "truncated": false, "epoch": self.revision});
-                if let Some((_, body)) = self.transaction_after_list.take_if(|b| b.0 == q["prefix"])
+                let page = json!({"items": items, "truncated": false, "epoch": self.revision});
+                if let Some((_, body)) = self
+                    .transaction_after_list
+                    .take_if(|transaction| transaction.0 == params["prefix"])
                 {
                     assert_eq!(self.txn(&body).0, 200);
                 }
-                json_reply(200, told)
+                json_reply(200, page)
             }
-            (_, p) => match self.keys.get(p.trim_start_matches("/store/")) {
-                Some(v) => json_reply(
+            (_, path) => match self.keys.get(path.trim_start_matches("/store/")) {
+                Some(stored) => json_reply(
                     200,
-                    json!({"path": p.trim_start_matches("/store/"), "value": v.0, "stamp": v.1}),
+                    json!({"path": path.trim_start_matches("/store/"), "value": stored.0, "stamp": stored.1}),
                 ),
                 None => json_reply(404, json!({"epoch": self.revision})),
             },
@@ -218,7 +239,7 @@
 fn parse_query(path: &str) -> HashMap<String, String> {
     let text = path.split_once('?').unwrap().1;
     text.split('&')
-        .filter_map(|p| p.split_once('='))
-        .map(|(a, b)| (a.to_owned(), b.to_owned()))
+        .filter_map(|parameter| parameter.split_once('='))
+        .map(|(name, value)| (name.to_owned(), value.to_owned()))
         .collect()
 }
--- a/tests/suite/test_cluster/worker.rs
+++ b/tests/suite/test_cluster/worker.rs
@@ -1,4 +1,4 @@
-//! A machine's worker by the protocol, in memory.
+//! A machine's worker, in memory.
 
 use super::json_reply;
 use dewramp::clock::Micros;
@@ -6,7 +6,8 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// A worker by the protocol: tokens, sessions, leases, repeated commands.
+/// Follows the worker protocol: fencing tokens, agent epochs, repeated commands. Its lease is expired by
+/// `TestCluster::send_heartbeat`.
 pub struct Worker {
     pub id: String,
     pub addr: SocketAddr,
@@ -16,36 +17,38 @@
     pub agent_epoch: u64,
     pub sequence: u64,
     pub fencing_token: u64,
-    /// Task, attempt, state, cause.
+    /// Task, attempt, status, and the cause of an ended one.
     pub tasks: Vec<(String, u64, &'static str, &'static str)>,
+    /// The node to which it sends its heartbeats.
     pub controller: usize,
     pub lease_renewed_at: Micros,
-    /// Nothing gets through, in either direction.
+    /// Its heartbeats and the commands to it fail: a network partition in both directions.
     pub partitioned: bool,
-    /// Its reports reach no controller; direct commands reach it.
+    /// Its heartbeats reach no controller, but direct commands reach it.
     pub outbound_partitioned: bool,
-    /// Its reports arrive; answers and commands to it are lost.
+    /// Its heartbeats arrive, but the answers and all commands to it are lost.
     pub inbound_partitioned: bool,
-    /// Its answers to commands don't come, and nothing is executed: calls hang until they time out.
+    /// Direct commands are not executed and time out.
     pub commands_hang: bool,
-    /// Commands reach it late: they are kept here and get no answer.
+    /// If set, direct commands are kept here without an answer, until a test executes them.
     pub delayed_commands: Option<Vec<Value>>,
-    /// Every task that ever started here: task and attempt.
+    /// Each start ever executed here: task and attempt.
     pub started_attempts: Vec<(String, u64)>,
 }
 
 impl Worker {
+    /// The body of its next heartbeat.
     pub fn heartbeat(&mut self) -> Value {
         self.sequence += 1;
         let tasks: Vec<Value> = self
             .tasks
             .iter()
-            .map(|p| {
-                let mut v = json!({"part": p.0, "try": p.1, "status": p.2});
-                if p.2 == "ended" {
-                    v["cause"] = json!(p.3);
+            .map(|task| {
+                let mut row = json!({"part": task.0, "try": task.1, "status": task.2});
+                if task.2 == "ended" {
+                    row["cause"] = json!(task.3);
                 }
-                v
+                row
             })
             .collect();
         json!({"host": self.id, "addr": self.addr.to_string(), "build": self.machine_type, "paddock": self.zone,
@@ -53,17 +56,18 @@
                "warningS": null, "parts": tasks})
     }
 
+    /// Executes start, stop and acknowledge commands; repeated ones change nothing.
     pub fn execute_commands(&mut self, commands: &Value) {
         for command in commands.as_array().unwrap() {
             let (task, attempt) = (
                 command["part"].as_str().unwrap().to_owned(),
                 command["try"].as_u64().unwrap(),
             );
-            let at = self
+            let position = self
                 .tasks
                 .iter()
-                .position(|p| p.0 == task && p.1 == attempt);
-            match (command["verb"].as_str().unwrap(), at) {
+                .position(|t| t.0 == task && t.1 == attempt);
+            match (command["verb"].as_str().unwrap(), position) {
                 ("start", None) => {
                     self.started_attempts.push((task.clone(), attempt));
                     self.tasks.push((task, attempt, "running", ""));
@@ -80,6 +84,8 @@
         }
     }
 
+    /// Answers a direct call with its heartbeat; refuses commands with a lower fencing token or for another
+    /// agent epoch.
     pub fn handle_command_call(&mut self, body: &Value) -> Outcome {
         if body["baton"].as_u64().unwrap() < self.fencing_token
             || body["stint"].as_u64() != Some(self.agent_epoch)
@@ -91,17 +97,19 @@
         json_reply(200, self.heartbeat())
     }
 
+    /// Ends a running task by itself, with this cause.
     pub fn end_task(&mut self, task: &str, cause: &'static str) {
-        let p = self
+        let entry = self
             .tasks
             .iter_mut()
-            .find(|p| p.0 == task && p.2 != "ended")
+            .find(|t| t.0 == task && t.2 != "ended")
             .expect("the task is there");
-        p.2 = "ended";
-        p.3 = cause;
+        entry.2 = "ended";
+        entry.3 = cause;
     }
 
+    /// Whether the task is here and has not ended.
     pub fn is_running(&self, task: &str) -> bool {
-        self.tasks.iter().any(|p| p.0 == task && p.2 != "ended")
+        self.tasks.iter().any(|t| t.0 == task && t.2 != "ended")
     }
 }
