--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -434,7 +434,7 @@
         self.apply_ledger_events();
     }
 
-    /// Answers with the state of a stored job; `over` tells that the item is its final state.
+    /// Answers with the state of a stored job; `over` is set if the item is its final state.
     pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
         let body = if over {
             serde_json::from_str::<FinalState>(item.value.get())
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -198,7 +198,7 @@
                 body["leader"] = answer.unwrap_or_else(|| json!("the leader does not answer"));
                 self.respond(conn, 200, &body);
             }
-            // A failed operator's request proves nothing about the link: the answer may only be late.
+            // A failed operator request proves nothing about the link: the answer may only be late.
             PeerCallPurpose::AdminQuery { conn } if !matches!(outcome, Outcome::Reply { .. }) => {
                 self.respond_error(conn, &ApiError::LeaderUnreachable);
             }
