--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -56,16 +56,16 @@
             .filter(|job| job.cancelled)
         {
             Self::stop_all_tasks(&mut leader_state.workers, job);
-            Self::acknowledge_all_ends(&mut leader_state.workers, job);
+            Self::acknowledge_all_attempts(&mut leader_state.workers, job);
         }
         self.apply_ledger_events();
-        self.watch_failover();
+        self.track_failover();
         self.share_probes();
         self.delete_cancelled_jobs();
         self.announce_progress();
         self.drain_machines_to_be_reclaimed();
         self.write_registry();
-        self.watch_schema_support();
+        self.check_schema_support();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -116,7 +116,7 @@
              {stopping} stopping, {unconfirmed} unconfirmed; {} machines booting; {} jobs wait for \
              dependencies; waiting tasks by class: {waiting:?}",
             cloud.booting.len(),
-            leader_state.pipelines.len()
+            leader_state.dependency_graph.len()
         );
         log::info!("work: {}", leader_state.accounting.summary());
     }
@@ -147,7 +147,7 @@
                 txn = txn.delete(chunk_key(&uid, number));
             }
             self.request_state(
-                StateRequest::ForgetCancelledJob { term, uid },
+                StateRequest::DeleteCancelledJob { term, uid },
                 Op::Transaction(txn),
                 LEADER_REQUEST_TIMEOUT,
             );
@@ -208,11 +208,11 @@
             return;
         };
         let (term, leader) = (leader_state.term, leader_state.leader_key_revision);
-        for request in
-            leader_state
-                .registry
-                .take_due(now, &mut leader_state.workers, &leader_state.rented)
-        {
+        for request in leader_state.registry.take_due(
+            now,
+            &mut leader_state.workers,
+            &leader_state.rented_machines,
+        ) {
             // Hundreds of new machines may wait for a few of these writes, so they get the priority
             // of submissions and cancellations.
             let priority = match request {
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -226,7 +226,7 @@
             let request = StateRequest::ReadDependency {
                 submission: id,
                 uid,
-                over: false,
+                finished: false,
             };
             self.request_state(request, Op::Get(key), timeout);
         }
@@ -278,7 +278,7 @@
                 let request = StateRequest::ReadDependency {
                     submission: id,
                     uid,
-                    over: true,
+                    finished: true,
                 };
                 let timeout = dependency_timeout(submission.dependencies.len());
                 return self.request_state(request, Op::Get(key), timeout);
@@ -407,7 +407,7 @@
         let request = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
-            over,
+            finished: over,
             reason,
         };
         self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
