--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -222,10 +222,12 @@
         self.read_for_poll(conn, uid.into(), false);
     }
 
-    /// Reads a job for a poll. If polls of the job have long gone unanswered, the read is queued
-    /// with the priority of submissions and cancellations, but only a few at a time: after an outage
-    /// all polls are starved, and submissions are waiting as well.
-    pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
+    /// Reads a job for a poll: its final state if `finished` is set, else its live record.
+    ///
+    /// If polls of the job have long gone unanswered, the read is queued with the priority of
+    /// submissions and cancellations, but only a few at a time: after an outage all polls are
+    /// starved, and submissions are waiting as well.
+    pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, finished: bool) {
         let now = self.now.steady;
         let has_queue_room = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
         let priority = if has_queue_room && self.client_requests.is_starved(now, &uid) {
@@ -233,11 +235,11 @@
         } else {
             RequestPriority::Background
         };
-        let op = Op::Get(job_key(&uid, over));
+        let op = Op::Get(job_key(&uid, finished));
         let request = StateRequest::PollJob {
             conn,
             uid,
-            finished: over,
+            finished,
         };
         self.state
             .submit(now, request, priority, op, CLIENT_REQUEST_TIMEOUT);
@@ -305,7 +307,7 @@
 
     /// Handles the reply to the check which of the polled jobs have finished.
     pub(super) fn handle_finished_check_reply(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
-        let finished: Vec<&str> = match reply {
+        let finished_uids: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
                 .iter()
@@ -330,7 +332,7 @@
             }
         };
         for PendingPoll { conn, uid, .. } in polls {
-            if finished.contains(&&*uid) {
+            if finished_uids.contains(&&*uid) {
                 self.read_for_poll(conn, uid, true);
                 continue;
             }
@@ -394,14 +396,20 @@
         self.read_for_cancel(conn, uid.into(), false, 0);
     }
 
-    /// Reads the stored state of a job that a client cancels.
-    pub(super) fn read_for_cancel(&mut self, conn: ConnId, uid: Arc<str>, over: bool, tries: u32) {
-        let op = Op::Get(job_key(&uid, over));
+    /// Reads a job that a client cancels: its final state if `finished` is set, else its live record.
+    pub(super) fn read_for_cancel(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        finished: bool,
+        retries: u32,
+    ) {
+        let op = Op::Get(job_key(&uid, finished));
         let request = StateRequest::ReadForCancel {
             conn,
             uid,
-            finished: over,
-            retries: tries,
+            finished,
+            retries,
         };
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
@@ -442,9 +450,15 @@
         self.apply_ledger_events();
     }
 
-    /// Answers with the state of a stored job; `over` is set if the item is its final state.
-    pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
-        let body = if over {
+    /// Answers with the state of a stored job; `finished` is set if the item is its final state.
+    pub(super) fn respond_stored_state(
+        &mut self,
+        conn: ConnId,
+        uid: &str,
+        finished: bool,
+        item: Item,
+    ) {
+        let body = if finished {
             serde_json::from_str::<FinalState>(item.value.get())
                 .ok()
                 .map(|end| final_body(uid, &end))
@@ -456,7 +470,7 @@
         let Some(body) = body else {
             return self.respond_error(conn, &ApiError::StoredJobUnreadable);
         };
-        if over {
+        if finished {
             self.client_requests.cache_final_state(uid, body.clone());
         }
         self.respond(conn, 200, &body);
@@ -467,20 +481,20 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
-        tries: u32,
+        finished: bool,
+        retries: u32,
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
-                self.overwrite_final_state(conn, uid, tries, &item);
+            Reply::Item(item) if finished && fault_injected(InjectedFault::FinalOverwritten) => {
+                self.overwrite_final_state(conn, uid, retries, &item);
             }
-            Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
+            Reply::Item(item) if finished => self.respond_stored_state(conn, &uid, true, item),
             Reply::Item(item) => match self.cancellation_transaction(&uid, item) {
-                Ok((txn, body)) => self.write_cancel(conn, uid, tries, body, txn),
+                Ok((txn, body)) => self.write_cancel(conn, uid, retries, body, txn),
                 Err(error) => self.respond_error(conn, &error),
             },
-            Reply::Absent if !over => self.read_for_cancel(conn, uid, true, tries),
+            Reply::Absent if !finished => self.read_for_cancel(conn, uid, true, retries),
             Reply::Absent => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.handle_state_unavailable(conn),
         }
@@ -490,26 +504,26 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        tries: u32,
+        retries: u32,
         body: Value,
         txn: Transaction,
     ) {
         let request = StateRequest::WriteCancel {
             conn,
             uid,
-            retries: tries,
+            retries,
             body,
         };
         self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
     }
 
     /// Overwrites a final state, as the injected fault [`InjectedFault::FinalOverwritten`] does.
-    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &Item) {
+    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, retries: u32, item: &Item) {
         if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
             end.status = "cancelled".to_owned();
             let body = final_body(&uid, &end);
             let txn = Transaction::default().set(finished_key(&uid), &end);
-            self.write_cancel(conn, uid, tries, body, txn);
+            self.write_cancel(conn, uid, retries, body, txn);
         }
     }
 
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -238,7 +238,7 @@
         &mut self,
         id: u64,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reply: Reply,
     ) {
         let Some(submission) = self.submissions.get_mut(id) else {
@@ -246,7 +246,7 @@
         };
         let mut state = DependencyState::Live;
         match reply {
-            Reply::Item(item) if !over => match schema::decode_job(&item.value) {
+            Reply::Item(item) if !finished => match schema::decode_job(&item.value) {
                 Ok((record, _)) if record.spec.kind == JobKind::Service => {
                     submission.rejection =
                         Some(format!("waitsOn: {uid} is a service, which is never done"));
@@ -273,7 +273,7 @@
                 }
             },
             // The live key is read before the final state, since a job moves only in this direction.
-            Reply::Absent if !over => {
+            Reply::Absent if !finished => {
                 let key = finished_key(&uid);
                 let request = StateRequest::ReadDependency {
                     submission: id,
@@ -395,19 +395,20 @@
         }
     }
 
-    /// Reads whether the submission repeats a job that was accepted before, to reject it if not.
+    /// Reads whether the submission repeats a job that was accepted before, to reject it if not. Looks
+    /// for the final state of the job if `finished` is set, else for its live record.
     fn reject_unless_resubmitted(
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reason: String,
     ) {
-        let key = job_key(&uid, over);
+        let key = job_key(&uid, finished);
         let request = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
-            finished: over,
+            finished,
             reason,
         };
         self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
@@ -419,13 +420,13 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reason: String,
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) => self.respond_stored_state(conn, &uid, over, item),
-            Reply::Absent if !over => self.reject_unless_resubmitted(conn, uid, true, reason),
+            Reply::Item(item) => self.respond_stored_state(conn, &uid, finished, item),
+            Reply::Absent if !finished => self.reject_unless_resubmitted(conn, uid, true, reason),
             Reply::Absent => self.respond_error(conn, &ApiError::JobRejected(reason)),
             _ => self.handle_state_unavailable(conn),
         }
