--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -182,7 +182,7 @@
 
     /// How many jobs are without an answer, and for how long at most, in microseconds.
     pub(super) fn worst_starvation(&self, now: Micros) -> (usize, Micros) {
-        self.starvation.starved_subjects(now)
+        self.starvation.unanswered_summary(now)
     }
 
     /// When the next polls are to be checked.
--- a/src/request_starvation.rs
+++ b/src/request_starvation.rs
@@ -79,7 +79,7 @@
     }
 
     /// How many subjects had no answer, and the longest wait among them in microseconds.
-    pub fn starved_subjects(&self, now: Micros) -> (usize, Micros) {
+    pub fn unanswered_summary(&self, now: Micros) -> (usize, Micros) {
         let recent = self
             .unanswered
             .values()
--- a/tests/suite/known.rs
+++ b/tests/suite/known.rs
@@ -15,7 +15,7 @@
     u.record_failure(t + 5 * SECOND, "wk-2");
     assert_eq!(u.unanswered_for(t + 6 * SECOND, "wk-1"), 6 * SECOND);
     assert!(u.is_starved(t + STARVED_AFTER, "wk-1") && !u.is_starved(t + STARVED_AFTER, "wk-2"));
-    assert_eq!(u.starved_subjects(t + STARVED_AFTER), (2, STARVED_AFTER));
+    assert_eq!(u.unanswered_summary(t + STARVED_AFTER), (2, STARVED_AFTER));
     u.record_answer("wk-1");
     assert_eq!(u.unanswered_for(t + STARVED_AFTER, "wk-1"), 0);
     // Asked elsewhere since, or not at all any more: the wait begins anew.
@@ -30,11 +30,11 @@
     for n in 0..100_000 {
         u.record_failure(SECOND, &format!("wk-{n}"));
     }
-    assert!(u.starved_subjects(SECOND).0 < 20_000);
+    assert!(u.unanswered_summary(SECOND).0 < 20_000);
     assert!(u.is_starved(SECOND + STARVED_AFTER, "wk-0"));
     // Once those are gone, others have their place.
     u.record_failure(100 * SECOND, "wk-99999");
-    assert_eq!(u.starved_subjects(100 * SECOND).0, 1);
+    assert_eq!(u.unanswered_summary(100 * SECOND).0, 1);
 }
 
 /// forgotten: users ask without end about jobs that nobody knows, each of which is two questions to the
