--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -365,7 +365,7 @@
     ) {
         self.rentals_requested += 1;
         // The controller's name, the incarnation and the count make the name unique among all controllers.
-        let incarnation = if fault_injected(InjectedFault::HireReused) {
+        let incarnation = if fault_injected(InjectedFault::RentalNamesReused) {
             0
         } else {
             self.incarnation
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -14,7 +14,7 @@
 use crate::messages::{ConnId, Outcome};
 use crate::scheduler::heartbeat_grace_period;
 use crate::schema::SCHEMA_VERSION;
-use crate::wire::{FRAME_MAX, KIND_ADMIN_QUERY};
+use crate::wire::{FRAME_PAYLOAD_BYTES_MAX, KIND_ADMIN_QUERY};
 use crate::worker_ledger::Machine;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -100,7 +100,7 @@
         let after = std::str::from_utf8(after).unwrap_or("");
         let body = self.admin_report(&path.split('/').collect::<Vec<_>>(), after);
         let (status, body) = match body.to_string() {
-            text if text.len() <= FRAME_MAX => (200, text),
+            text if text.len() <= FRAME_PAYLOAD_BYTES_MAX => (200, text),
             text => {
                 let bytes = text.len();
                 log::error!(
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -63,7 +63,7 @@
             ticket: self.last_ticket,
             dest,
             kind: request.kind,
-            addr: request.subject,
+            subject: request.subject,
             body: request.body,
             timeout: request.timeout,
         });
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -18,7 +18,7 @@
 use crate::schema::{self, SCHEMA_VERSION, Schema};
 use crate::seeded_hash::HashMap;
 use crate::state_client::{Op, RawJson, Reply, Transaction, to_raw_json};
-use crate::wire::{JobKind, JobSpec, valid_uid};
+use crate::wire::{JobKind, JobSpec, is_valid_uid};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -126,7 +126,7 @@
             // A job accepted while the cloud offered more machine types stays accepted.
             return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
-        let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
+        let is_invalid = |dependency: &&Arc<str>| !is_valid_uid(dependency) || **dependency == uid;
         if let Some(dependency) = spec.waits_on.iter().find(is_invalid) {
             let shown: String = dependency.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
@@ -161,7 +161,7 @@
         // A finished job has no live key any more. Without this precondition, a write that the state
         // service executes late would create the job again after a repeated submission of it was
         // accepted and the job finished.
-        if !fault_injected(InjectedFault::AbsenceTrusted) {
+        if !fault_injected(InjectedFault::AbsentKeyAssumedUnwritten) {
             txn = txn.require_revision(finished_key(&uid), 0);
         }
         self.request_state(
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -181,7 +181,7 @@
                 ticket,
                 dest,
                 kind: KIND_DELIVER_COMMANDS,
-                addr: call.address.to_string(),
+                subject: call.address.to_string(),
                 body: call.body,
                 timeout: DIRECT_CALL_TIMEOUT,
             },
@@ -309,7 +309,7 @@
         machine.direct_failures += 1;
         machine.use_proxy = !call.proxied;
         machine.proxied_at = now;
-        if may_be_executed && !fault_injected(InjectedFault::FenceNotRaised) {
+        if may_be_executed && !fault_injected(InjectedFault::FenceCounterNotRaised) {
             // The lost call may still be executed minutes later. Commands carry a higher fencing
             // token from now on; once the worker has reported that token, it rejects the lost call.
             machine.raise_fence();
@@ -394,7 +394,7 @@
     /// Marks the call that carried the start as closed with an unknown outcome: from now on only a
     /// heartbeat with a higher fencing token, or of a later agent epoch, rules the start out.
     fn mark_start_lost(&mut self) {
-        if fault_injected(InjectedFault::FenceNotRaised) {
+        if fault_injected(InjectedFault::FenceCounterNotRaised) {
             self.delivery = Delivery::Settled;
         } else if let Delivery::Direct { open, .. } = &mut self.delivery {
             *open = false;
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -54,7 +54,7 @@
         // delayed copy of it, may list the previous attempt of the task: if that one were taken for the placement,
         // the task would become free to start while the placed attempt may still run.
         let may_confirm_placements =
-            self.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
+            self.term_confirmed || fault_injected(InjectedFault::PlacementMatchedBeforeConfirmation);
         for reported in &heartbeat.tasks {
             let Some((uid, task, spec)) = identify(reported, jobs) else {
                 continue;
