--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: command line, settings, logs, and the loop around the library.
+//! The controller program: command line, settings, logging, and the event loop that drives the library.
 
 use calloop::EventLoop;
 use clap::{Parser, Subcommand};
@@ -17,7 +17,8 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Reports are many small strings and lists; a seventh of a leader's time went to the C library's allocator.
+/// Parsing heartbeats allocates many small strings and lists: with the C library's allocator, a leader spends a seventh
+/// of its processor time on allocation.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
@@ -35,11 +36,11 @@
     command: Option<Command>,
 }
 
-/// A process that is told to end resigns first, for this long at most.
+/// The longest time that a process stays up after SIGTERM to step down as leader.
 const SHUTDOWN_TIMEOUT: Micros = SECOND;
 
-/// So many reports are taken before sockets are looked at again.
-const HEARTBEATS_PER_TURN: usize = 32;
+/// The most heartbeats handled before the sockets are polled again.
+const HEARTBEATS_PER_ITERATION: usize = 32;
 
 #[derive(Subcommand)]
 enum Command {
@@ -66,7 +67,7 @@
 }
 
 fn run(cli: Cli) -> Result<(), String> {
-    // From here on its steady clock counts.
+    // The steady clock counts from the start of the process.
     let clock = Clock::default();
     let path = cli
         .config
@@ -108,13 +109,13 @@
     }
 }
 
-/// Tells this run of the process from all others, of this controller and of its peers: one that ends
-/// may be back within the same millisecond of a time of day that is off by some. 52 bits.
-fn run_number(label: &str, wall: Micros) -> u64 {
-    // Where the kernel's luck can't be had, label, time and process have to do.
-    let luck = rand::rngs::SmallRng::try_from_os_rng().map_or(0, |mut r| r.random::<u64>());
-    let named = format!("{label}/{wall}/{}/{luck}", std::process::id());
-    xxhash_rust::xxh3::xxh3_64(named.as_bytes()) >> 12
+/// A 52-bit number that identifies this incarnation of the process among all incarnations of all controllers. The time
+/// of day alone does not: a restarted process may see the same time as its predecessor when the clock is set back.
+fn incarnation_id(controller: &str, wall: Micros) -> u64 {
+    // Without random numbers from the kernel, the controller's name, the time and the process id have to suffice.
+    let random = rand::rngs::SmallRng::try_from_os_rng().map_or(0, |mut r| r.random::<u64>());
+    let identity = format!("{controller}/{wall}/{}/{random}", std::process::id());
+    xxhash_rust::xxh3::xxh3_64(identity.as_bytes()) >> 12
 }
 
 fn serve(clock: Clock, settings: Settings, props: Properties) -> Result<(), String> {
@@ -135,8 +136,8 @@
         log::warn!("{warning}");
     }
     let now = clock.now();
-    let run = run_number(&settings.name, now.wall);
-    dewramp::seeded_hash::set_seed(run);
+    let incarnation = incarnation_id(&settings.name, now.wall);
+    dewramp::seeded_hash::set_seed(incarnation);
     let mut event_loop: EventLoop<Net> =
         EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
     let mut net = Net::new(
@@ -149,64 +150,65 @@
         .map_err(|e| format!("listening on {}: {e}", settings.listen))?;
     net.listen(settings.peer_listen, true)
         .map_err(|e| format!("listening on {}: {e}", settings.peer_listen))?;
-    log::info!("{} starts", settings.name);
-    let mut node = Controller::new(settings, props, run);
+    log::info!("controller starting name={}", settings.name);
+    let mut controller = Controller::new(settings, props, incarnation);
     let mut load = LoadMonitor::default();
-    let mut spent = LoopTiming::default();
-    // Where signals can't be had, the process just ends when it is killed.
-    let told_to_end = Arc::new(AtomicBool::new(false));
-    let _ = signal_hook::flag::register(signal_hook::consts::SIGTERM, told_to_end.clone());
-    let mut leaving: Option<Micros> = None;
-    // When sockets were last looked at: what comes in meanwhile waits.
-    let mut looked = now.steady;
+    let mut timing = LoopTiming::default();
+    // If the handler can't be registered, SIGTERM ends the process without stepping down as leader.
+    let termination_requested = Arc::new(AtomicBool::new(false));
+    let _ =
+        signal_hook::flag::register(signal_hook::consts::SIGTERM, termination_requested.clone());
+    let mut shutdown_started_at: Option<Micros> = None;
+    // When the sockets were last polled: anything that has arrived since then is waiting.
+    let mut last_polled_at = now.steady;
     loop {
         let mut now = clock.now();
         net.set_now(now.steady);
         net.expire();
-        if told_to_end.load(Ordering::Relaxed) {
-            if leaving.is_none() {
-                node.shut_down(now);
+        if termination_requested.load(Ordering::Relaxed) {
+            if shutdown_started_at.is_none() {
+                controller.shut_down(now);
             }
-            let since = *leaving.get_or_insert(now.steady);
+            let since = *shutdown_started_at.get_or_insert(now.steady);
             if now.steady > since
-                && (node.has_shut_down() || now.steady >= since + SHUTDOWN_TIMEOUT)
+                && (controller.has_shut_down() || now.steady >= since + SHUTDOWN_TIMEOUT)
             {
                 return Ok(());
             }
         }
-        // Answers may bring new inputs at once, so until nothing is left.
+        // Sending outputs may produce new inputs at once, so repeat until none are left.
         loop {
-            let mut at = now.steady;
-            let mut took = |spent: &mut LoopTiming, work| {
-                let then = clock.now().steady;
-                spent.add(work, then - at);
-                at = then;
+            let mut phase_start = now.steady;
+            let mut record_phase = |timing: &mut LoopTiming, phase| {
+                let end = clock.now().steady;
+                timing.add(phase, end - phase_start);
+                phase_start = end;
             };
             while let Some(input) = net.next_urgent() {
-                node.handle(now, input);
+                controller.handle(now, input);
             }
-            took(&mut spent, LoopPhase::Requests);
-            for _ in 0..HEARTBEATS_PER_TURN {
+            record_phase(&mut timing, LoopPhase::Requests);
+            for _ in 0..HEARTBEATS_PER_ITERATION {
                 let Some(input) = net.next_input() else { break };
-                node.handle(now, input);
+                controller.handle(now, input);
             }
-            took(&mut spent, LoopPhase::Heartbeats);
-            // What was taken just now, and what still waits, has waited since.
+            record_phase(&mut timing, LoopPhase::Heartbeats);
+            // Inputs handled just now, or still queued, may have waited since the sockets were last polled.
             let before = clock.now();
             net.set_now(before.steady);
             load.record_wait(
                 before.steady,
-                net.longest_wait().max(before.steady - looked),
+                net.longest_wait().max(before.steady - last_polled_at),
             );
             net.set_shed_level(load.shed_level(), load.retry_after(0));
             load.connection_pressure = net.connection_pressure();
-            node.set_loop_load(load);
+            controller.set_loop_load(load);
             now = before;
-            let outputs = node.tick(now);
-            net.set_isolated(node.is_isolated());
-            took(&mut spent, LoopPhase::Internal);
-            node.note_tick_cost(clock.now().steady - before.steady);
-            if let Some(reason) = node.fatal_error() {
+            let outputs = controller.tick(now);
+            net.set_isolated(controller.is_isolated());
+            record_phase(&mut timing, LoopPhase::Internal);
+            controller.note_tick_cost(clock.now().steady - before.steady);
+            if let Some(reason) = controller.fatal_error() {
                 return Err(reason.to_owned());
             }
             let more = net.has_input();
@@ -216,23 +218,23 @@
             for output in outputs {
                 net.perform(output);
             }
-            took(&mut spent, LoopPhase::Sending);
+            record_phase(&mut timing, LoopPhase::Sending);
             if more {
-                // What is urgent may have come in meanwhile.
+                // Urgent inputs may have arrived meanwhile.
                 event_loop
                     .dispatch(Some(Duration::ZERO), &mut net)
                     .map_err(|e| format!("event loop: {e}"))?;
-                took(&mut spent, LoopPhase::Sockets);
+                record_phase(&mut timing, LoopPhase::Sockets);
             }
             now = clock.now();
             net.set_now(now.steady);
             if more {
-                load.record_wait(now.steady, now.steady - looked);
-                looked = now.steady;
+                load.record_wait(now.steady, now.steady - last_polled_at);
+                last_polled_at = now.steady;
             }
             net.expire();
         }
-        if let Some(line) = spent.take_log_line(now.steady) {
+        if let Some(line) = timing.take_log_line(now.steady) {
             let traffic = std::mem::take(&mut net.traffic);
             log::info!(
                 "time: {line}; {traffic}; {} users refused",
@@ -241,16 +243,16 @@
         }
         let wake = net
             .next_deadline()
-            .map_or(node.wake_at(), |d| d.min(node.wake_at()));
+            .map_or(controller.wake_at(), |d| d.min(controller.wake_at()));
         let mut wait = wake.saturating_sub(now.steady).max(MILLISECOND / 2);
         let events = net.traffic.events;
-        if leaving.is_some() {
+        if shutdown_started_at.is_some() {
             wait = wait.min(20 * MILLISECOND);
         }
         event_loop
             .dispatch(Some(Duration::from_micros(wait)), &mut net)
             .map_err(|e| format!("event loop: {e}"))?;
-        looked = looked.max(clock.now().steady);
-        spent.record_iteration(net.traffic.events == events);
+        last_polled_at = last_polled_at.max(clock.now().steady);
+        timing.record_iteration(net.traffic.events == events);
     }
 }
--- a/src/net.rs
+++ b/src/net.rs
@@ -1,9 +1,9 @@
-//! Sockets on one `calloop` event loop: HTTP/1.1 as server and client, frames between controllers, timeouts, and
-//! caps on connections.
+//! Socket I/O on one `calloop` event loop: HTTP/1.1 server and client, frames between controllers, timeouts, and
+//! connection limits.
 //!
-//! [`Net`] owns the connections, the calls in flight and the inputs that wait. It knows nothing of jobs or leaders:
-//! what it takes in goes out as [`Input`], and what it is to send comes as [`Output`]. Every call that it accepts ends
-//! with exactly one [`Input::Outcome`].
+//! [`Net`] owns the connections, the calls in flight and the queue of received inputs. It has no knowledge of jobs or
+//! leadership: it delivers what it receives as [`Input`], and sends what it is given as [`Output`]. Every call that it
+//! accepts ends with exactly one [`Input::Outcome`].
 
 mod frames;
 mod http;
@@ -26,39 +26,45 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// The largest response taken from another system, in bytes; the answer to a watch has no limit of its own.
+/// The largest response body accepted from another system, in bytes; the limit holds for watch responses as well.
 const RESPONSE_BYTES_MAX: usize = 16 << 20;
-/// The largest head of a request or response, in bytes.
+/// The largest head (start line and headers) of a request or response, in bytes.
 const HTTP_HEAD_BYTES_MAX: usize = 16 * 1024;
-/// Time for a request to arrive completely, and for its sender to take the answer.
+/// Time within which the first request on a connection, or a pipelined one, has to arrive completely.
 const REQUEST_TIMEOUT: Micros = 10 * SECOND;
-/// An idle connection to this node is closed after this time.
+/// An idle incoming connection is closed after this time.
 const SERVER_IDLE_TIMEOUT: Micros = 90 * SECOND;
-/// An idle connection of this node's own calls is closed after this time.
+/// An idle outgoing connection is closed after this time.
 const CLIENT_IDLE_TIMEOUT: Micros = 45 * SECOND;
 /// Time for a connection to be established.
 const CONNECT_TIMEOUT: Micros = SECOND;
-/// This many calls in a row without an answer close a link between controllers.
-const LINK_MISSED_ANSWERS_MAX: u32 = 8;
-/// The owner of a connection that was idle for this many heartbeat periods is gone.
-const IDLE_PEER_GONE_PERIODS: Micros = 2;
-/// The same where the heartbeat period is not known.
-const IDLE_PEER_GONE_AFTER: Micros = 16 * SECOND;
-/// With this share of its connections in use a node takes no more workers.
+/// A link between controllers is closed after this many consecutive calls that timed out.
+const LINK_CONSECUTIVE_TIMEOUTS_MAX: u32 = 8;
+/// An incoming connection counts as abandoned by its client or worker after it has been idle for this many
+/// heartbeat periods.
+const ABANDONED_AFTER_HEARTBEAT_PERIODS: Micros = 2;
+/// An incoming connection counts as abandoned after this idle time while the heartbeat period is not known.
+const DEFAULT_ABANDONED_AFTER: Micros = 16 * SECOND;
+/// Above this share of incoming connections in use, the controller takes over no more workers from the leader.
 const HIGH_PRESSURE_SHARE: f64 = 0.9;
-/// With this share of its connections in use a node hands workers back to the leader.
+/// Above this share of incoming connections in use, the controller sends workers back to the leader.
 const CRITICAL_PRESSURE_SHARE: f64 = 0.95;
 /// The most connections accepted per event of a listening socket.
 const ACCEPTS_PER_EVENT: usize = 32;
 /// A link with more unsent bytes than this is closed.
-const PENDING_OUTPUT_BYTES_MAX: usize = 4 << 20;
-/// The share of the connections to this node that clients may have while workers need the others.
+const UNSENT_BYTES_MAX: usize = 4 << 20;
+/// The share of incoming connections that clients may hold while nearly all of them are in use, so that workers can
+/// still connect.
 const CLIENT_CONNS_SHARE: f64 = 0.6;
 
+/// The role of this process on a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
+    /// Serves HTTP requests of clients, operators and workers.
     Server,
+    /// Serves frames of another controller.
     PeerServer,
+    /// Makes calls to this destination.
     Client(Dest),
 }
 
@@ -67,35 +73,38 @@
     token: RegistrationToken,
     role: Role,
     connected: bool,
+    /// The remote host refused the connection.
     refused: bool,
     input: Vec<u8>,
     output: Vec<u8>,
+    /// How many bytes of `output` have been written to the socket.
     written: usize,
-    /// The calls an answer is due for (HTTP: one at a time).
-    waiting_calls: Vec<Ticket>,
-    /// A request was handed on and its answer is not written yet.
-    busy: bool,
+    /// Calls sent on it that have no answer yet; at most one over HTTP.
+    pending_calls: Vec<Ticket>,
+    /// A request was received on it and its response has not been written yet.
+    request_in_progress: bool,
     /// At least one request has been answered on it.
     served: bool,
-    /// The other end is a user (or an operator), by its last request.
-    user: bool,
-    /// Answers in a row on it that sent its user away.
-    refusals_in_row: u8,
+    /// It belongs to a client (not a worker): it has carried a client request.
+    is_client: bool,
+    /// Consecutive 503 responses to its client.
+    consecutive_refusals: u8,
+    /// It is closed once the current response is written.
     close_after: bool,
-    /// Calls over a link between controllers that got no answer in time since the last that did.
-    missed_answers: u32,
-    /// When it is closed unless something happens first.
+    /// On a link between controllers: calls that timed out since the last answer.
+    consecutive_timeouts: u32,
+    /// When it is closed unless the deadline is extended before.
     deadline: Micros,
-    /// Since when it rests between two requests.
+    /// When it became idle between two requests; `None` if it is not idle.
     idle_since: Option<Micros>,
 }
 
 impl Conn {
-    /// Whether its last request is answered and nothing of the next has come.
+    /// Whether its last request is answered and no byte of the next one has arrived.
     fn is_idle(&self) -> bool {
         self.role == Role::Server
             && self.served
-            && !self.busy
+            && !self.request_in_progress
             && !self.close_after
             && self.input.is_empty()
             && self.output.is_empty()
@@ -108,51 +117,54 @@
     deadline: Micros,
 }
 
-/// The sockets of this process, and what is under way on them.
+/// The sockets of this process, with the requests and calls in progress on them.
 pub struct Net {
     handle: LoopHandle<'static, Net>,
     now: Micros,
     conns: HashMap<ConnId, Conn>,
     calls: HashMap<Ticket, Call>,
-    deadlines: BTreeSet<(Micros, Ticket)>,
+    call_deadlines: BTreeSet<(Micros, Ticket)>,
     conn_deadlines: BTreeSet<(Micros, ConnId)>,
-    /// The connections to us that rest between two requests, and since when.
-    idle_since_order: BTreeSet<(Micros, ConnId)>,
-    /// Who has not come again for so long is gone.
-    idle_peer_gone_after: Micros,
-    idle: HashMap<Dest, Vec<ConnId>>,
+    /// The idle incoming connections, ordered by the time at which they became idle.
+    idle_incoming: BTreeSet<(Micros, ConnId)>,
+    /// An incoming connection that has been idle for this long counts as abandoned.
+    abandoned_after: Micros,
+    /// Outgoing connections that can carry another call: idle ones over HTTP, and the link to each controller.
+    idle_outgoing: HashMap<Dest, Vec<ConnId>>,
     next_conn: ConnId,
-    server_conns: usize,
-    server_conns_max: usize,
-    client_conns_max: usize,
-    /// Up to that many in all, our own calls may keep more connections than their part.
-    lent_conns_max: usize,
-    /// What was taken from the sockets, until it is handed on.
+    incoming_conns: usize,
+    incoming_conns_max: usize,
+    outgoing_conns_max: usize,
+    /// While fewer connections than this are open in total, outgoing connections may exceed `outgoing_conns_max`.
+    outgoing_excess_total_max: usize,
+    /// Received inputs that have not been processed yet.
     inputs: InputQueue,
-    /// How many connections are users'.
-    user_conns: usize,
+    /// How many incoming connections belong to clients.
+    client_conns: usize,
     shed_level: ShedLevel,
+    /// Smallest `Retry-After` of a shed request, in seconds.
     retry_after: u32,
+    /// See [`Net::set_isolated`].
     isolated: bool,
-    /// How many client requests were refused unparsed.
+    /// How many client requests load shedding has refused.
     pub refused_requests: u64,
-    /// What those were about.
+    /// Paths of shed requests, so that clients who have waited for long are served first.
     starvation: RequestStarvation,
-    /// What the sockets did since this was last taken.
+    /// Socket activity since the last log line; the caller resets it.
     pub traffic: Traffic,
 }
 
-/// What the sockets did, for the log line on loop timing: nearly each of these is a system call, and these cost as
-/// much as what they carry (`docs/cost.md`).
+/// Counts of socket activity, for the log line on loop timing. Nearly each of these is a system call, which costs as
+/// much as processing the data it carries (`docs/cost.md`).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
-    /// Events of sockets.
+    /// Readiness events of sockets.
     pub events: u64,
     /// Connections accepted.
     pub accepted: u64,
-    /// Idle connections closed to make room for those.
+    /// Idle incoming connections closed to make room for new ones.
     pub evicted: u64,
-    /// Connections opened for this node's own calls.
+    /// Outgoing connections opened.
     pub connected: u64,
     /// Reads from sockets.
     pub reads: u64,
@@ -185,26 +197,27 @@
 }
 
 impl Net {
-    /// Without sockets yet. Of `max_connections`, two thirds are for connections to this node.
+    /// Creates the state without opening sockets. Two thirds of `max_connections` are reserved for incoming
+    /// connections.
     pub fn new(handle: LoopHandle<'static, Net>, max_connections: usize) -> Self {
         Self {
             handle,
             now: 0,
             conns: HashMap::default(),
             calls: HashMap::default(),
-            deadlines: BTreeSet::new(),
+            call_deadlines: BTreeSet::new(),
             conn_deadlines: BTreeSet::new(),
-            idle_since_order: BTreeSet::new(),
-            idle_peer_gone_after: IDLE_PEER_GONE_AFTER,
-            idle: HashMap::default(),
+            idle_incoming: BTreeSet::new(),
+            abandoned_after: DEFAULT_ABANDONED_AFTER,
+            idle_outgoing: HashMap::default(),
             next_conn: 1,
-            server_conns: 0,
-            // The rest is for our own calls: state, cloud, workers, peers.
-            server_conns_max: max_connections * 2 / 3,
-            client_conns_max: max_connections / 3 - max_connections / 50,
-            lent_conns_max: max_connections * 4 / 5,
+            incoming_conns: 0,
+            // The rest is for outgoing calls: state service, cloud provider, workers, controllers.
+            incoming_conns_max: max_connections * 2 / 3,
+            outgoing_conns_max: max_connections / 3 - max_connections / 50,
+            outgoing_excess_total_max: max_connections * 4 / 5,
             inputs: InputQueue::default(),
-            user_conns: 0,
+            client_conns: 0,
             shed_level: ShedLevel::Nothing,
             retry_after: 1,
             isolated: false,
@@ -223,7 +236,7 @@
         let kind = Type::STREAM.nonblocking();
         let socket = Socket::new(Domain::for_address(addr), kind, Some(Protocol::TCP))?;
         socket.set_reuse_address(true)?;
-        // Connections inherit it from here, which spares a call of the system for each.
+        // Accepted connections inherit the option, which saves one system call for each.
         socket.set_tcp_nodelay(true)?;
         socket.bind(&SockAddr::from(addr))?;
         socket.listen(1024)?;
@@ -245,25 +258,25 @@
         Ok(())
     }
 
-    /// Sets whether this node can serve nobody. The connections of clients that it tells so are closed, since they
-    /// would otherwise return here.
+    /// Sets whether this controller is cut off from the state service and all other controllers. While it is, each 503
+    /// response closes its connection, so that the client's retry can reach another controller.
     pub fn set_isolated(&mut self, isolated: bool) {
         self.isolated = isolated;
     }
 
-    /// Sets which client requests are refused unparsed, and after how many seconds they may be retried.
+    /// Sets which client requests are refused before they are queued, and after how many seconds clients may retry.
     pub fn set_shed_level(&mut self, shed: ShedLevel, retry_after: u32) {
         (self.shed_level, self.retry_after) = (shed, retry_after);
     }
 
-    /// Sets how often a worker sends a heartbeat.
+    /// Sets the time between two heartbeats of a worker.
     pub fn set_heartbeat_period(&mut self, period: Micros) {
-        self.idle_peer_gone_after = IDLE_PEER_GONE_PERIODS * period;
+        self.abandoned_after = ABANDONED_AFTER_HEARTBEAT_PERIODS * period;
     }
 
-    /// How many of the connections that others may have to this node are in use.
+    /// How close the number of incoming connections is to its limit.
     pub fn connection_pressure(&self) -> ConnectionPressure {
-        let taken = self.server_conns as f64 / self.server_conns_max.max(1) as f64;
+        let taken = self.incoming_conns as f64 / self.incoming_conns_max.max(1) as f64;
         match taken {
             taken if taken > CRITICAL_PRESSURE_SHARE => ConnectionPressure::Critical,
             taken if taken > HIGH_PRESSURE_SHARE => ConnectionPressure::High,
@@ -271,30 +284,31 @@
         }
     }
 
-    /// Sets the time. What arrived since it was last set counts as having arrived now.
+    /// Sets the current time. Inputs received since the last call are given this time as their arrival time.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
         self.inputs.set_now(now);
     }
 
-    /// How long the input that has waited longest has done so, in microseconds.
+    /// How long the oldest client request or heartbeat in the queue has waited, in microseconds.
     pub fn longest_wait(&self) -> Micros {
         self.inputs.longest_wait()
     }
 
-    /// The next input that precedes heartbeats.
+    /// Removes and returns the next input that takes precedence over heartbeats.
     pub fn next_urgent(&mut self) -> Option<Input> {
         let conns = &self.conns;
-        self.inputs.next_urgent(|input| awaited(conns, input))
+        self.inputs
+            .next_urgent(|input| is_sender_connected(conns, input))
     }
 
-    /// The next input of any kind.
+    /// Removes and returns the next input of any kind.
     pub fn next_input(&mut self) -> Option<Input> {
         let conns = &self.conns;
-        self.inputs.next(|input| awaited(conns, input))
+        self.inputs.next(|input| is_sender_connected(conns, input))
     }
 
-    /// Whether any input waits.
+    /// Whether any input is queued.
     pub fn has_input(&self) -> bool {
         !self.inputs.is_empty()
     }
@@ -303,41 +317,42 @@
         self.inputs.push(input);
     }
 
-    /// When [`Net::expire`] next has something to do.
+    /// When the next call or connection times out, so that [`Net::expire`] has to be called.
     pub fn next_deadline(&self) -> Option<Micros> {
-        let calls = self.deadlines.first().map(|d| d.0);
+        let calls = self.call_deadlines.first().map(|d| d.0);
         let conns = self.conn_deadlines.first().map(|d| d.0);
         calls.into_iter().chain(conns).min()
     }
 
     /// Ends calls and connections that have timed out.
     pub fn expire(&mut self) {
-        while let Some(&(at, ticket)) = self.deadlines.first() {
+        while let Some(&(at, ticket)) = self.call_deadlines.first() {
             if at > self.now {
                 break;
             }
-            self.deadlines.remove(&(at, ticket));
+            self.call_deadlines.remove(&(at, ticket));
             if let Some(call) = self.calls.get(&ticket) {
                 let (conn, dest) = (call.conn, call.dest);
                 let connected = self.conns.get(&conn).is_some_and(|c| c.connected);
                 if connected && matches!(dest, Dest::Peer(_)) {
-                    // Other calls share the link, and answers carry their tickets: it stays. Were
-                    // it closed, one slow answer would end as lost all that wait on it, and send
-                    // all their workers elsewhere. A link that stays silent is closed below.
+                    // A late answer can't be taken for another call's, since frames carry tickets, so
+                    // the link stays open. If it were closed, one slow answer would end all other calls
+                    // on the link as lost, and the workers behind them would turn to other controllers.
+                    // A link without any answer is closed below.
                     if let Some(c) = self.conns.get_mut(&conn) {
-                        c.waiting_calls.retain(|t| *t != ticket);
-                        c.missed_answers += 1;
+                        c.pending_calls.retain(|t| *t != ticket);
+                        c.consecutive_timeouts += 1;
                     }
                     self.finish(ticket, Outcome::Lost);
                     if self
                         .conns
                         .get(&conn)
-                        .is_some_and(|c| c.missed_answers < LINK_MISSED_ANSWERS_MAX)
+                        .is_some_and(|c| c.consecutive_timeouts < LINK_CONSECUTIVE_TIMEOUTS_MAX)
                     {
                         continue;
                     }
                 }
-                // The answer to this call must not be taken for that of the next.
+                // A late answer to this call must not be taken for the answer to the next one.
                 self.close(conn);
             }
         }
@@ -350,26 +365,28 @@
     }
 
     fn accept(&mut self, listener: &TcpListener, role: Role) {
-        // The listener tells again what is left: when a controller ends, some five hundred workers come at
-        // once, and were all of them taken first, the users who wait would be answered after them.
+        // The listener is level-triggered and reports again what is left in its backlog. When a controller
+        // ends, about five hundred workers reconnect at once; if all of them were accepted first, clients with
+        // open requests would have to wait for that.
         for _ in 0..ACCEPTS_PER_EVENT {
-            // Not blocking from the start: that again is a call of the system less.
+            // Setting the flags in accept4 saves another system call.
             let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
             match accept_with(listener, flags) {
                 Ok(stream) => {
                     let stream = TcpStream::from(stream);
-                    // At the cap a connection that rests has to go: after a pause or a cut many are left
-                    // over whose other ends are gone. Were the new one refused instead, workers
-                    // would not get through until their leases are over.
-                    if self.server_conns >= self.server_conns_max && !self.close_idle_server() {
+                    // At the limit, an idle connection is closed in favour of the new one. After a process
+                    // stall or a network partition, many connections remain whose remote ends are gone; if
+                    // new ones were refused, workers could not connect before their leases expire.
+                    if self.incoming_conns >= self.incoming_conns_max && !self.evict_idle_incoming()
+                    {
                         continue;
                     }
-                    // What our calls keep beyond their part is only lent. An own day on which all workers
-                    // came to the leader had it at the cap but for a dozen before.
-                    if self.client_conns() > self.client_conns_max
-                        && self.conns.len() >= self.lent_conns_max
+                    // Outgoing connections beyond their share give way to incoming ones. Without this, a
+                    // leader to which all workers connect comes within a dozen connections of its limit.
+                    if self.outgoing_conns() > self.outgoing_conns_max
+                        && self.conns.len() >= self.outgoing_excess_total_max
                     {
-                        self.close_idle_client();
+                        self.close_idle_outgoing();
                     }
                     self.traffic.accepted += 1;
                     let limit = if role == Role::Server {
@@ -378,7 +395,7 @@
                         SERVER_IDLE_TIMEOUT
                     };
                     if self.add(stream, role, true, limit).is_some() {
-                        self.server_conns += 1;
+                        self.incoming_conns += 1;
                     }
                 }
                 Err(Errno::INTR) => {}
@@ -387,29 +404,32 @@
         }
     }
 
-    /// How many connections are our own calls'.
-    fn client_conns(&self) -> usize {
-        self.conns.len() - self.server_conns
+    /// How many connections are outgoing.
+    fn outgoing_conns(&self) -> usize {
+        self.conns.len() - self.incoming_conns
     }
 
-    /// Closes an idle connection of this node's own calls: a thousand workers may each have one.
-    fn close_idle_client(&mut self) {
-        let resting = |d: &&Dest| matches!(d, Dest::Http(_));
-        let found = self.idle.iter().find(|(d, l)| resting(d) && !l.is_empty());
+    /// Closes an idle outgoing HTTP connection, of which there may be one to each of a thousand workers.
+    fn close_idle_outgoing(&mut self) {
+        let is_http = |d: &&Dest| matches!(d, Dest::Http(_));
+        let found = self
+            .idle_outgoing
+            .iter()
+            .find(|(d, l)| is_http(d) && !l.is_empty());
         if let Some(id) = found.and_then(|(_, l)| l.first().copied()) {
             self.close(id);
         }
     }
 
-    /// Closes an idle connection to this node; false if there is none. One idle for longer than the owner of a live
-    /// one would leave it goes first. After those goes the one idle for the shortest time: callers come in turn, so it
-    /// is needed last. Were the one idle longest closed, as in a cache whose use has no period, a few callers too
-    /// many would cost each caller its connection just before it is used again, and every request would need a
-    /// new one, for ever.
-    fn close_idle_server(&mut self) -> bool {
-        let oldest = self.idle_since_order.first();
-        let gone = oldest.filter(|(since, _)| self.now >= since + self.idle_peer_gone_after);
-        let found = gone.or(self.idle_since_order.last()).map(|r| r.1);
+    /// Closes an idle incoming connection; false if there is none. Abandoned connections, idle for longer than a live
+    /// worker leaves them, are closed first, the oldest before the others. After those it closes the connection idle
+    /// for the shortest time (MRU eviction): workers send heartbeats periodically, so this one is needed last. LRU
+    /// eviction would close each connection just before it is used again as soon as there are a few workers too many,
+    /// and every request would need a new connection.
+    fn evict_idle_incoming(&mut self) -> bool {
+        let oldest = self.idle_incoming.first();
+        let abandoned = oldest.filter(|(since, _)| self.now >= since + self.abandoned_after);
+        let found = abandoned.or(self.idle_incoming.last()).map(|(_, id)| *id);
         if let Some(id) = found {
             self.traffic.evicted += 1;
             self.close(id);
@@ -417,19 +437,19 @@
         found.is_some()
     }
 
-    /// Notes whether a connection to this node is idle now.
-    fn note_idle(&mut self, id: ConnId) {
+    /// Updates the index of idle incoming connections after a change of this one.
+    fn update_idle(&mut self, id: ConnId) {
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
         match (c.is_idle(), c.idle_since) {
             (true, None) => {
                 c.idle_since = Some(self.now);
-                self.idle_since_order.insert((self.now, id));
+                self.idle_incoming.insert((self.now, id));
             }
             (false, Some(since)) => {
                 c.idle_since = None;
-                self.idle_since_order.remove(&(since, id));
+                self.idle_incoming.remove(&(since, id));
             }
             _ => {}
         }
@@ -449,7 +469,7 @@
         let token = self
             .handle
             .insert_source(source, move |readiness, _, net: &mut Net| {
-                net.ready(id, readiness);
+                net.handle_readiness(id, readiness);
                 Ok(PostAction::Continue)
             })
             .ok()?;
@@ -466,13 +486,13 @@
                 input: Vec::new(),
                 output: Vec::new(),
                 written: 0,
-                waiting_calls: Vec::new(),
-                busy: false,
+                pending_calls: Vec::new(),
+                request_in_progress: false,
                 served: false,
-                user: false,
-                refusals_in_row: 0,
+                is_client: false,
+                consecutive_refusals: 0,
                 close_after: false,
-                missed_answers: 0,
+                consecutive_timeouts: 0,
                 deadline,
                 idle_since: None,
             },
@@ -495,23 +515,23 @@
         self.handle.remove(c.token);
         self.conn_deadlines.remove(&(c.deadline, id));
         if let Some(since) = c.idle_since {
-            self.idle_since_order.remove(&(since, id));
+            self.idle_incoming.remove(&(since, id));
         }
         match c.role {
             Role::Server | Role::PeerServer => {
-                self.server_conns -= 1;
-                self.user_conns -= usize::from(c.user);
+                self.incoming_conns -= 1;
+                self.client_conns -= usize::from(c.is_client);
             }
             Role::Client(dest) => {
-                if let Some(list) = self.idle.get_mut(&dest) {
+                if let Some(list) = self.idle_outgoing.get_mut(&dest) {
                     list.retain(|i| *i != id);
                     if list.is_empty() {
-                        self.idle.remove(&dest);
+                        self.idle_outgoing.remove(&dest);
                     }
                 }
             }
         }
-        for ticket in c.waiting_calls {
+        for ticket in c.pending_calls {
             self.finish(
                 ticket,
                 if c.connected {
@@ -527,19 +547,19 @@
 
     fn finish(&mut self, ticket: Ticket, outcome: Outcome) {
         if let Some(call) = self.calls.remove(&ticket) {
-            self.deadlines.remove(&(call.deadline, ticket));
+            self.call_deadlines.remove(&(call.deadline, ticket));
             self.push_input(Input::Outcome { ticket, outcome });
         }
     }
 
-    fn ready(&mut self, id: ConnId, readiness: Readiness) {
+    fn handle_readiness(&mut self, id: ConnId, readiness: Readiness) {
         self.traffic.events += 1;
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
         if !c.connected {
             let error = c.stream.take_error().ok().flatten();
-            // Told once only.
+            // The socket reports its error only once, so it is kept.
             c.refused |= error
                 .as_ref()
                 .is_some_and(|e| e.kind() == ErrorKind::ConnectionRefused);
@@ -560,7 +580,7 @@
         if readiness.readable || readiness.error {
             self.read(id);
         }
-        self.note_idle(id);
+        self.update_idle(id);
     }
 
     fn read(&mut self, id: ConnId) {
@@ -607,9 +627,9 @@
                 } else {
                     CLIENT_IDLE_TIMEOUT
                 };
-            // A long poll has its own time limit, that of its call.
+            // A call with a longer timeout, such as a long poll, extends the connection's deadline beyond its own.
             let at = c
-                .waiting_calls
+                .pending_calls
                 .iter()
                 .filter_map(|t| self.calls.get(t))
                 .map(|k| k.deadline + SECOND)
@@ -622,19 +642,19 @@
         loop {
             let Some(c) = self.conns.get(&id) else { return };
             let role = c.role;
-            let went_on = match role {
+            let consumed = match role {
                 Role::Server => self.consume_request(id),
                 Role::PeerServer | Role::Client(Dest::Peer(_)) => self.consume_frame(id),
                 Role::Client(Dest::Http(_)) => self.consume_response(id),
             };
-            if went_on {
+            if consumed {
                 match role {
                     Role::Server => self.traffic.requests += 1,
                     Role::PeerServer | Role::Client(Dest::Peer(_)) => self.traffic.frames += 1,
                     Role::Client(Dest::Http(_)) => {}
                 }
             }
-            if !went_on {
+            if !consumed {
                 return;
             }
         }
@@ -662,12 +682,12 @@
         }
         c.output.clear();
         c.written = 0;
-        if c.role == Role::Server && c.close_after && !c.busy {
+        if c.role == Role::Server && c.close_after && !c.request_in_progress {
             self.close(id);
         }
     }
 
-    /// Sends an output. A call that can't be sent ends as not sent.
+    /// Sends an output. A call that can't be sent ends with [`Outcome::NotSent`].
     pub fn perform(&mut self, output: Output) {
         match output {
             Output::Respond {
@@ -684,7 +704,7 @@
                 let (status, body) = match outcome {
                     Outcome::NotSent | Outcome::Refused => (FRAME_NOT_SENT, Vec::new()),
                     Outcome::Lost => (FRAME_LOST, Vec::new()),
-                    // What was asked may have been done; only its answer can't be told.
+                    // The request may have been executed; only its answer can't be delivered.
                     Outcome::Reply { body, .. } if !Self::fits_frame(KIND_ANSWER, "", &body) => {
                         (FRAME_LOST, Vec::new())
                     }
@@ -750,13 +770,16 @@
         }
     }
 
-    /// Finds or opens a connection for a call; on failure the call has ended as not sent.
+    /// Finds or opens a connection for a call. On failure, ends the call with [`Outcome::NotSent`].
     fn open(&mut self, ticket: Ticket, dest: Dest, timeout: Micros) -> Option<ConnId> {
         let deadline = self.now + timeout;
         let reuse = match dest {
-            Dest::Http(_) => self.idle.get_mut(&dest).and_then(Vec::pop),
+            Dest::Http(_) => self.idle_outgoing.get_mut(&dest).and_then(Vec::pop),
             // Frames carry tickets, so all calls to a peer share one connection.
-            Dest::Peer(_) => self.idle.get(&dest).and_then(|l| l.first().copied()),
+            Dest::Peer(_) => self
+                .idle_outgoing
+                .get(&dest)
+                .and_then(|l| l.first().copied()),
         };
         let id = match reuse.filter(|id| self.conns.contains_key(id)) {
             Some(id) => Some(id),
@@ -777,9 +800,9 @@
                 deadline,
             },
         );
-        self.deadlines.insert((deadline, ticket));
+        self.call_deadlines.insert((deadline, ticket));
         let c = self.conns.get_mut(&id)?;
-        c.waiting_calls.push(ticket);
+        c.pending_calls.push(ticket);
         if c.connected {
             let at = c.deadline.max(deadline + SECOND);
             self.set_deadline(id, at);
@@ -789,16 +812,20 @@
 
     fn connect(&mut self, dest: Dest) -> Option<ConnId> {
         let (Dest::Http(addr) | Dest::Peer(addr)) = dest;
-        // More workers than our part of the connections: were it kept to while others are free, a leader
-        // would open and close one for every third command, which costs it more than the command.
-        if self.client_conns() >= self.client_conns_max && self.conns.len() >= self.lent_conns_max {
-            self.close_idle_client();
+        // There may be more workers than the outgoing share allows connections. If the share were enforced
+        // while other connections are free, a leader would open and close a connection for every third
+        // command, which costs more than the command itself.
+        if self.outgoing_conns() >= self.outgoing_conns_max
+            && self.conns.len() >= self.outgoing_excess_total_max
+        {
+            self.close_idle_outgoing();
         }
         self.traffic.connected += 1;
         let kind = Type::STREAM.nonblocking();
         let socket = Socket::new(Domain::for_address(addr), kind, Some(Protocol::TCP)).ok()?;
         if matches!(dest, Dest::Peer(_)) {
-            // A request of ours is written at once and waits for its answer; frames follow one another.
+            // Frames follow one another without waiting for answers, so Nagle's algorithm would delay them. An
+            // HTTP request is written at once and then waits for its answer, so it needs no option.
             let _ = socket.set_tcp_nodelay(true);
         }
         if let Err(e) = socket.connect(&SockAddr::from(addr))
@@ -809,19 +836,19 @@
         }
         let id = self.add(socket.into(), Role::Client(dest), false, CONNECT_TIMEOUT)?;
         if matches!(dest, Dest::Peer(_)) {
-            self.idle.entry(dest).or_default().push(id);
+            self.idle_outgoing.entry(dest).or_default().push(id);
         }
         Some(id)
     }
 }
 
-/// Whether the other end of the connection that it came by is still there.
-fn awaited(conns: &HashMap<ConnId, Conn>, input: &Input) -> bool {
+/// Whether the sender of an input can still receive the answer: the connection that it arrived on is open.
+fn is_sender_connected(conns: &HashMap<ConnId, Conn>, input: &Input) -> bool {
     match input {
         Input::Request { conn, .. } | Input::PeerRequest { conn, .. } => conns.contains_key(conn),
         Input::Outcome { .. } => true,
     }
 }
 
-/// "Operation now in progress" on Linux: a connection that is being made.
+/// Error number of "operation now in progress" on Linux: the connection is being established.
 const EINPROGRESS: i32 = 115;
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -1,6 +1,7 @@
-//! Frames between controllers: one link each way, calls told apart by their tickets.
+//! Frames between controllers. Each controller opens one link to every other one for its own calls; a ticket in each
+//! frame matches answers to calls, so that many calls share a link.
 
-use super::{Net, PENDING_OUTPUT_BYTES_MAX};
+use super::{Net, UNSENT_BYTES_MAX};
 use crate::clock::Micros;
 use crate::messages::{ConnId, Input, Outcome, Ticket};
 use crate::wire::{
@@ -12,27 +13,27 @@
 /// A frame to be written.
 pub(super) struct OutgoingFrame<'a> {
     pub(super) kind: u16,
-    /// Of an answer: HTTP status or one of the `FRAME_` outcomes.
+    /// In an answer: the HTTP status or one of the `FRAME_` outcomes.
     pub(super) status: u16,
     pub(super) ticket: Ticket,
-    /// How long the answer is waited for, in microseconds.
+    /// How long the sender waits for the answer, in microseconds.
     pub(super) timeout: Micros,
     pub(super) subject: &'a str,
     pub(super) body: &'a [u8],
 }
 
 impl Net {
-    /// Takes a frame from what was read; false if there is no complete one.
+    /// Parses and removes one frame from the received bytes; false if there is no complete one.
     pub(super) fn consume_frame(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
         };
-        let Ok((head, rest)) = FrameHeader::read_from_prefix(&c.input) else {
+        let Ok((header, rest)) = FrameHeader::read_from_prefix(&c.input) else {
             return false;
         };
-        let (len, subject_len) = (head.len.get() as usize, head.subject_len.get() as usize);
-        if head.magic.get() != FRAME_MAGIC || len > FRAME_PAYLOAD_BYTES_MAX || subject_len > len {
-            log::error!("a controller sent a malformed frame; closing that link");
+        let (len, subject_len) = (header.len.get() as usize, header.subject_len.get() as usize);
+        if header.magic.get() != FRAME_MAGIC || len > FRAME_PAYLOAD_BYTES_MAX || subject_len > len {
+            log::error!("malformed frame from another controller; closing the link");
             self.close(id);
             return false;
         }
@@ -42,18 +43,18 @@
         let subject = String::from_utf8_lossy(&rest[..subject_len]).into_owned();
         let body = rest[subject_len..len].to_vec();
         c.input.drain(..FRAME_HEADER_BYTES + len);
-        let ticket = head.ticket.get();
-        if head.kind.get() == KIND_ANSWER {
-            c.waiting_calls.retain(|t| *t != ticket);
-            c.missed_answers = 0;
-            let outcome = match head.status.get() {
+        let ticket = header.ticket.get();
+        if header.kind.get() == KIND_ANSWER {
+            c.pending_calls.retain(|t| *t != ticket);
+            c.consecutive_timeouts = 0;
+            let outcome = match header.status.get() {
                 FRAME_NOT_SENT => Outcome::NotSent,
                 FRAME_LOST => Outcome::Lost,
                 status => Outcome::Reply { status, body },
             };
             self.finish(ticket, outcome);
         } else {
-            let (kind, timeout) = (head.kind.get(), head.timeout.get());
+            let (kind, timeout) = (header.kind.get(), header.timeout.get());
             self.push_input(Input::PeerRequest {
                 conn: id,
                 ticket,
@@ -66,28 +67,28 @@
         true
     }
 
-    /// Whether a payload fits a frame. The receiver of a longer frame would close the link, and with it all calls and
-    /// heartbeats on it, so what does not fit is refused here.
+    /// Whether a payload fits in a frame. The receiver of a longer frame would close the link, which ends all calls
+    /// on it, so the sender does not send it.
     pub(super) fn fits_frame(kind: u16, subject: &str, body: &[u8]) -> bool {
         let length = subject.len() + body.len();
         if length > FRAME_PAYLOAD_BYTES_MAX {
             log::error!(
-                "not sent: {length} bytes of kind {kind}, a frame takes {FRAME_PAYLOAD_BYTES_MAX}"
+                "frame payload too large; not sending it kind={kind} bytes={length} max={FRAME_PAYLOAD_BYTES_MAX}"
             );
         }
         length <= FRAME_PAYLOAD_BYTES_MAX
     }
 
-    /// Writes a frame to a link; a link that takes nothing any more is closed.
+    /// Writes a frame to a link. Closes the link if too many bytes are still unsent on it.
     pub(super) fn write_frame(&mut self, id: ConnId, frame: &OutgoingFrame) {
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
-        if c.output.len() > PENDING_OUTPUT_BYTES_MAX {
+        if c.output.len() > UNSENT_BYTES_MAX {
             self.close(id);
             return;
         }
-        let head = FrameHeader {
+        let header = FrameHeader {
             magic: FRAME_MAGIC.into(),
             kind: frame.kind.into(),
             status: frame.status.into(),
@@ -96,7 +97,7 @@
             subject_len: (frame.subject.len() as u32).into(),
             len: ((frame.subject.len() + frame.body.len()) as u32).into(),
         };
-        c.output.extend_from_slice(head.as_bytes());
+        c.output.extend_from_slice(header.as_bytes());
         c.output.extend_from_slice(frame.subject.as_bytes());
         c.output.extend_from_slice(frame.body);
         self.flush(id);
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1, as server and as client.
+//! The HTTP/1.1 server and client: parses requests and responses, sheds client requests, and writes responses.
 
 use super::{
     CLIENT_CONNS_SHARE, HTTP_HEAD_BYTES_MAX, Net, REQUEST_TIMEOUT, RESPONSE_BYTES_MAX, Role,
@@ -7,14 +7,14 @@
 use crate::messages::{ConnId, Input, Outcome};
 use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, REQUEST_BODY_BYTES_MAX};
 
-/// This many 503 answers in a row close a client's connection.
+/// A client's connection is closed after this many consecutive 503 responses.
 const REFUSALS_BEFORE_CLOSE: u8 = 2;
 
-/// Decodes a chunked body: its bytes and how many were used, or None while incomplete.
+/// Decodes a chunked body. Returns its content and the length of its encoding, or `None` while it is incomplete.
 pub(super) fn decode_chunked(
     mut raw: &[u8],
 ) -> Result<Option<(Vec<u8>, usize)>, httparse::InvalidChunkSize> {
-    let whole = raw.len();
+    let received = raw.len();
     let mut body = Vec::new();
     loop {
         let (start, size) = match httparse::parse_chunk_size(raw)? {
@@ -30,12 +30,12 @@
         body.extend_from_slice(&raw[start..start + size]);
         raw = &raw[end..];
         if size == 0 {
-            return Ok(Some((body, whole - raw.len())));
+            return Ok(Some((body, received - raw.len())));
         }
     }
 }
 
-/// The reason phrase that goes with a status.
+/// The reason phrase of an HTTP status.
 pub(super) fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -56,12 +56,13 @@
 }
 
 impl Net {
-    /// Takes a request from what was read; false if there is no complete one.
+    /// Parses one request from the received bytes and queues it; false if there is no complete one, or if it is
+    /// answered at once.
     pub(super) fn consume_request(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
         };
-        if c.busy || c.close_after || c.input.is_empty() {
+        if c.request_in_progress || c.close_after || c.input.is_empty() {
             return false;
         }
         let mut headers = [httparse::EMPTY_HEADER; 48];
@@ -70,9 +71,9 @@
             Ok(httparse::Status::Complete(n)) => n,
             Ok(httparse::Status::Partial) if c.input.len() <= HTTP_HEAD_BYTES_MAX => return false,
             Ok(httparse::Status::Partial) => {
-                return self.reject_malformed(id, 431, "head too large");
+                return self.reject_request(id, 431, "head too large");
             }
-            Err(_) => return self.reject_malformed(id, 400, "malformed HTTP"),
+            Err(_) => return self.reject_request(id, 400, "malformed HTTP"),
         };
         let mut length = 0usize;
         for h in request.headers.iter() {
@@ -82,10 +83,10 @@
                     .and_then(|v| v.trim().parse().ok())
                 {
                     Some(n) => length = n,
-                    None => return self.reject_malformed(id, 400, "malformed Content-Length"),
+                    None => return self.reject_request(id, 400, "malformed Content-Length"),
                 }
             } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
-                return self.reject_malformed(id, 411, "send the body with Content-Length");
+                return self.reject_request(id, 411, "send the body with Content-Length");
             } else if h.name.eq_ignore_ascii_case("connection")
                 && h.value.eq_ignore_ascii_case(b"close")
             {
@@ -93,7 +94,7 @@
             }
         }
         if length > REQUEST_BODY_BYTES_MAX {
-            return self.reject_malformed(id, 413, "a request body is limited to 64 KiB");
+            return self.reject_request(id, 413, "a request body is limited to 64 KiB");
         }
         if c.input.len() < head + length {
             c.close_after = false;
@@ -103,8 +104,8 @@
         let path = request.path.unwrap_or("").to_owned();
         let body = c.input[head..head + length].to_vec();
         c.input.drain(..head + length);
-        c.busy = true;
-        self.note_idle(id);
+        c.request_in_progress = true;
+        self.update_idle(id);
         self.set_deadline(id, self.now + SERVER_IDLE_TIMEOUT);
         if self.shed_client_request(id, &path) {
             return false;
@@ -118,7 +119,8 @@
         true
     }
 
-    /// Refuses a client request if load shedding covers it; true if so.
+    /// Refuses a client request with 503 if load shedding applies to it, or if clients hold too many connections; true
+    /// if so.
     pub(super) fn shed_client_request(&mut self, id: ConnId, path: &str) -> bool {
         if path == HEARTBEAT_PATH || path == HEALTH_PATH || path.starts_with("/inspect") {
             return false;
@@ -126,19 +128,20 @@
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
         };
-        if !c.user {
-            c.user = true;
-            self.user_conns += 1;
+        if !c.is_client {
+            c.is_client = true;
+            self.client_conns += 1;
         }
-        let crowd = self.user_conns as f64 > CLIENT_CONNS_SHARE * self.server_conns_max as f64
-            && self.server_conns + self.server_conns_max / 20 > self.server_conns_max;
-        if crowd {
+        let clients_crowd_out_workers = self.client_conns as f64
+            > CLIENT_CONNS_SHARE * self.incoming_conns_max as f64
+            && self.incoming_conns + self.incoming_conns_max / 20 > self.incoming_conns_max;
+        if clients_crowd_out_workers {
             c.close_after = true;
         }
-        // A client that retries precedes those that come for the first time.
-        let again = self.starvation.is_starved(self.now, path);
-        let refused = crowd || (self.shed_level.refuses(path) && !again);
-        if again {
+        // A path whose requests have been refused here for long is exempt from load shedding.
+        let starved = self.starvation.is_starved(self.now, path);
+        let refused = clients_crowd_out_workers || (self.shed_level.refuses(path) && !starved);
+        if starved {
             self.starvation.record_answer(path);
         }
         if refused {
@@ -151,11 +154,11 @@
         refused
     }
 
-    /// Answers a request that can't be parsed, and closes the connection.
-    pub(super) fn reject_malformed(&mut self, id: ConnId, status: u16, reason: &str) -> bool {
+    /// Rejects a request that can't be parsed or is not accepted, and closes the connection after the response.
+    pub(super) fn reject_request(&mut self, id: ConnId, status: u16, reason: &str) -> bool {
         if let Some(c) = self.conns.get_mut(&id) {
             c.close_after = true;
-            c.busy = true;
+            c.request_in_progress = true;
             c.input = Vec::new();
             self.respond(
                 id,
@@ -167,7 +170,8 @@
         false
     }
 
-    /// Takes the response to a call from what was read; false, since a connection carries one call at a time.
+    /// Parses the response to a call from the received bytes and ends the call. Always returns false, since a
+    /// connection carries one call at a time, so that nothing is left to parse.
     pub(super) fn consume_response(&mut self, id: ConnId) -> bool {
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
@@ -175,8 +179,8 @@
         if c.input.is_empty() {
             return false;
         }
-        if c.waiting_calls.is_empty() {
-            // No call waits on it: whatever this is, it answers none.
+        if c.pending_calls.is_empty() {
+            // No call is in progress, so these bytes can't be a response.
             self.close(id);
             return false;
         }
@@ -230,7 +234,7 @@
             c.input.drain(..head + length);
             body
         };
-        let Some(ticket) = c.waiting_calls.pop() else {
+        let Some(ticket) = c.pending_calls.pop() else {
             return false;
         };
         let Role::Client(dest) = c.role else {
@@ -241,12 +245,12 @@
         if close || leftover {
             self.close(id);
         } else {
-            self.idle.entry(dest).or_default().push(id);
+            self.idle_outgoing.entry(dest).or_default().push(id);
         }
         false
     }
 
-    /// Writes the answer to the request under way on a connection.
+    /// Writes the response to the request in progress on a connection.
     pub(super) fn respond(
         &mut self,
         id: ConnId,
@@ -257,20 +261,20 @@
         let Some(c) = self.conns.get_mut(&id) else {
             return;
         };
-        if !c.busy {
+        if !c.request_in_progress {
             return;
         }
-        c.busy = false;
+        c.request_in_progress = false;
         c.served = true;
-        // A client refused twice in a row comes back over a new connection, which the load balancer may give to
-        // another node: it does not move open ones.
-        c.refusals_in_row = if c.user && status == 503 {
-            c.refusals_in_row.saturating_add(1)
+        // The load balancer assigns connections, not requests, to controllers. Closing the connection of a client that
+        // was refused repeatedly lets its retry reach another controller.
+        c.consecutive_refusals = if c.is_client && status == 503 {
+            c.consecutive_refusals.saturating_add(1)
         } else {
             0
         };
         c.close_after |=
-            c.refusals_in_row >= REFUSALS_BEFORE_CLOSE || (self.isolated && status == 503);
+            c.consecutive_refusals >= REFUSALS_BEFORE_CLOSE || (self.isolated && status == 503);
         let mut head = format!(
             "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
             reason_phrase(status),
@@ -285,7 +289,7 @@
         head.push_str("\r\n");
         c.output.extend_from_slice(head.as_bytes());
         c.output.extend_from_slice(body);
-        // A request that stalls half way is closed; a connection between requests may rest.
+        // A partly received request has to be completed soon; a connection between requests may stay idle.
         let limit = if c.input.is_empty() {
             SERVER_IDLE_TIMEOUT
         } else {
@@ -294,6 +298,6 @@
         self.set_deadline(id, self.now + limit);
         self.flush(id);
         self.consume(id);
-        self.note_idle(id);
+        self.update_idle(id);
     }
 }
