--- a/src/admin_client.rs
+++ b/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! The read-only commands: they ask a running node and print what it says.
+//! Client of the read-only operator commands: fetches reports from a running controller and formats them.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -6,20 +6,24 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Asks a node and returns the body of its answer.
+/// Fetches a path from a controller over HTTP and returns the body of its response.
+///
+/// # Errors
+///
+/// If the controller cannot be reached, or answers with another status than 200; the text is shown to the operator.
 pub fn fetch(addr: SocketAddr, path: &str) -> Result<String, String> {
-    let wait = Duration::from_secs(5);
-    let mut stream = TcpStream::connect_timeout(&addr, wait)
+    let timeout = Duration::from_secs(5);
+    let mut stream = TcpStream::connect_timeout(&addr, timeout)
         .map_err(|e| format!("no node answers at {addr}: {e}; is the service running?"))?;
-    let text = |e: std::io::Error| format!("asking {addr}: {e}");
-    stream.set_read_timeout(Some(wait)).map_err(text)?;
+    let io_error = |e: std::io::Error| format!("asking {addr}: {e}");
+    stream.set_read_timeout(Some(timeout)).map_err(io_error)?;
     write!(
         stream,
         "GET {path} HTTP/1.1\r\nHost: {addr}\r\nConnection: close\r\n\r\n"
     )
-    .map_err(text)?;
+    .map_err(io_error)?;
     let mut raw = Vec::new();
-    stream.read_to_end(&mut raw).map_err(text)?;
+    stream.read_to_end(&mut raw).map_err(io_error)?;
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut response = httparse::Response::new(&mut headers);
     match response.parse(&raw) {
@@ -34,23 +38,28 @@
     }
 }
 
-/// Begins the query of a page: of the rows after that key.
+/// Prefix of the query that requests a page; the key after which the page starts follows it.
 pub const PAGE_QUERY_PREFIX: &str = "after=";
 
-/// Asks for a list, page after page as each answer's `next` says, and returns the first answer with the rows of
-/// all. `list` names the rows in it; a row that comes again, as from a leader of the version before, counts once.
+/// Fetches a list page by page, following each page's `next` key, and returns the first page with the rows of all
+/// pages added. `list` is the name of the field that holds the rows. A job that appears on several pages, as it does
+/// from a leader of the previous version, is listed once.
+///
+/// # Errors
+///
+/// If a page cannot be fetched or parsed, or its `next` key does not follow the previous one.
 pub fn fetch_all_pages(
     path: &str,
     list: &str,
-    mut ask: impl FnMut(&str) -> Result<String, String>,
+    mut fetch_page: impl FnMut(&str) -> Result<String, String>,
 ) -> Result<String, String> {
-    let read = |body: &str| {
+    let parse = |body: &str| {
         serde_json::from_str::<Value>(body).map_err(|e| format!("the answer is no JSON: {e}"))
     };
-    let mut all = read(&ask(path)?)?;
+    let mut all = parse(&fetch_page(path)?)?;
     let mut after = next_key(&mut all);
     while let Some(key) = after {
-        let mut page = read(&ask(&format!("{path}?{PAGE_QUERY_PREFIX}{key}"))?)?;
+        let mut page = parse(&fetch_page(&format!("{path}?{PAGE_QUERY_PREFIX}{key}"))?)?;
         after = next_key(&mut page);
         if after.as_ref().is_some_and(|next| *next <= key) {
             return Err(format!("the page after {key} does not lead on"));
@@ -77,7 +86,7 @@
     }
 }
 
-/// The answer, laid out for reading.
+/// The JSON text with line breaks and indentation; a text that is not JSON is returned unchanged.
 pub fn format_json(body: &str) -> String {
     serde_json::from_str::<serde_json::Value>(body)
         .and_then(|v| serde_json::to_string_pretty(&v))
--- a/src/election.rs
+++ b/src/election.rs
@@ -333,8 +333,7 @@
     pub fn is_valid(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
-            now < held.valid_until()
-                || fault_injected(InjectedFault::HeartbeatAnsweredAfterLeaseExpiry)
+            now < held.valid_until() || fault_injected(InjectedFault::LeaderLeaseExpiryIgnored)
         })
     }
 
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -1,75 +1,74 @@
-//! Fault injection: bugs that a test or the simulator can switch on, to show that it finds them.
+//! Fault injection: deliberate bugs that a test or the simulator enables to verify that its checks detect them.
 //!
-//! Each fault removes one safeguard of the controller, at the place where the safeguard stands. Without the
-//! feature `fault-injection`, which the controller program is never built with, `fault_injected` is a constant
-//! `false` and none of the faults exists.
+//! Each fault disables one safeguard of the controller, in the code that implements the safeguard. The controller program
+//! is never built with the feature `fault-injection`; without it, `fault_injected` is a constant `false`, and the faults
+//! are compiled out.
 
-/// A safeguard of the controller that is switched off.
+/// A deliberate bug, described by the faulty behaviour that it causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedFault {
     /// A start command is sent before the placement is stored.
     StartBeforeStored,
-    /// A machine's fence counter is not raised when the answer to a direct command is lost.
+    /// When the outcome of a direct call to a machine is unknown, the call is treated as settled, and the machine's fence
+    /// counter is not incremented.
     FenceCounterNotRaised,
-    /// A stored placement that no heartbeat has confirmed is given up one second after a failover.
+    /// A new leader drops stored placements that no heartbeat has confirmed one second after the failover.
     UnconfirmedPlacementDropped,
     /// A task that its machine has not confirmed is not charged to its team's quota.
     UnconfirmedTaskNotCharged,
-    /// Workers are answered with 200 after the leader's lease has expired.
-    HeartbeatAnsweredAfterLeaseExpiry,
+    /// A leader considers its lease valid after it has expired, and still answers heartbeats with status 200.
+    LeaderLeaseExpiryIgnored,
     /// The end of an attempt is acknowledged before it is stored.
     AcknowledgedBeforeStored,
-    /// Attempt numbers start again at the same value in each term.
+    /// Attempt numbers start at the same value in each term.
     AttemptNumbersReused,
     /// A cancellation overwrites the final state of a job.
     FinalStateOverwritten,
-    /// Names of rentals are numbered from the start again in each process incarnation.
+    /// Each process incarnation numbers its rentals from the start, so that names of rentals are reused.
     RentalNamesReused,
-    /// A new leader skips the first of the live jobs.
+    /// A new leader does not load the first of the live jobs.
     LiveJobSkippedOnTakeover,
     /// A standby's replica is not compared with the leader's checksum.
     ReplicaChecksumIgnored,
     /// A new leader does not read the changes since its replica was last updated.
     ReplicaCatchUpSkipped,
-    /// Each process incarnation numbers its calls from 0, so that an answer to the incarnation before is taken
-    /// for an answer to its own call.
+    /// Each process incarnation numbers its calls from 0, so that an answer to a call of the previous incarnation is
+    /// taken for an answer to one of its own calls.
     TicketsReused,
-    /// A process that finds the leader key of its earlier incarnation acts as leader under that key, and renews
-    /// its lease.
+    /// A process that finds the leader key of its previous incarnation acts as leader under that key and renews its
+    /// lease.
     PreviousLeaderKeyKept,
-    /// A process that revokes the lease of its earlier incarnation becomes leader again under the same term, and
-    /// so with the same fencing tokens and attempt numbers.
+    /// A process that revokes the lease of its previous incarnation becomes leader again in the same term, and thus
+    /// reuses fencing tokens and attempt numbers.
     PreviousTermReused,
-    /// A restarted leader is assumed to hold the heartbeats that its earlier incarnation held: a heartbeat that
-    /// repeats the last one is accepted without it.
+    /// A new leader accepts an abbreviated heartbeat, which repeats the previous one of its machine, without having
+    /// received that one.
     PreviousDigestsTrusted,
-    /// A leader's knowledge of cancellations never becomes stale.
+    /// A leader never considers its knowledge of cancellations stale, however old it is.
     CancellationsNeverStale,
-    /// A leader whose leadership was not valid for a while acts on what it knew before, without reading the
-    /// changes since.
+    /// A leader whose lease was not valid for a while does not read the changes of that time before it acts again.
     CatchUpSkippedAfterRegain,
-    /// A machine whose heartbeats arrive is assumed to receive the answers and commands.
+    /// A machine whose heartbeats arrive is assumed to receive answers and commands as well, although it may be
+    /// inbound-partitioned.
     ReachabilityAssumed,
-    /// A repeated copy of an old heartbeat is accepted as a new one.
+    /// A duplicate of an old heartbeat is accepted as a new one.
     DuplicateHeartbeatAccepted,
-    /// A key that is absent is assumed never to have been written.
+    /// The acceptance of a job does not require that no final state of the job is stored: an absent key of a live job is
+    /// assumed never to have been written, although the job may be done.
     AbsentKeyAssumedUnwritten,
-    /// A stored placement is taken for the attempt that any heartbeat shows, even before the machine has
+    /// A stored placement is identified with the attempt that a heartbeat reports, even before the machine has
     /// confirmed the term.
     PlacementMatchedBeforeConfirmation,
 }
 
 impl InjectedFault {
-    /// All faults, by the names by which they are chosen in scenarios and on the command line.
+    /// All faults with the names that select them in scenarios and on the command line.
     pub const ALL: [(&'static str, InjectedFault); 22] = [
         ("start-before-stored", InjectedFault::StartBeforeStored),
         ("fence-not-raised", InjectedFault::FenceCounterNotRaised),
         ("hold-let-go", InjectedFault::UnconfirmedPlacementDropped),
         ("quota-uncharged", InjectedFault::UnconfirmedTaskNotCharged),
-        (
-            "answer-past-grant",
-            InjectedFault::HeartbeatAnsweredAfterLeaseExpiry,
-        ),
+        ("answer-past-grant", InjectedFault::LeaderLeaseExpiryIgnored),
         ("reaped-early", InjectedFault::AcknowledgedBeforeStored),
         ("attempt-reused", InjectedFault::AttemptNumbersReused),
         ("final-overwritten", InjectedFault::FinalStateOverwritten),
@@ -104,19 +103,19 @@
     static INJECTED: std::cell::Cell<Option<InjectedFault>> = const { std::cell::Cell::new(None) };
 }
 
-/// Switches on one fault, or none, in all controllers that this thread drives.
+/// Enables a fault, or none, in all controllers that run on this thread.
 #[cfg(feature = "fault-injection")]
 pub fn inject_fault(fault: Option<InjectedFault>) {
     INJECTED.set(fault);
 }
 
-/// Whether this fault is switched on.
+/// Whether this fault is enabled.
 #[cfg(feature = "fault-injection")]
 pub(crate) fn fault_injected(fault: InjectedFault) -> bool {
     INJECTED.get() == Some(fault)
 }
 
-/// Always false: the feature is off.
+/// Always false without the feature `fault-injection`.
 #[cfg(not(feature = "fault-injection"))]
 pub(crate) const fn fault_injected(_: InjectedFault) -> bool {
     false
--- a/src/http_call.rs
+++ b/src/http_call.rs
@@ -1,8 +1,8 @@
-//! Building a call to one of the HTTP services that a controller uses (the state service and the cloud).
+//! HTTP calls of a controller to the state service, the cloud provider and worker agents.
 //!
-//! An [`HttpCall`] is the call before it has a ticket and a destination. Actors build one from their own
-//! request type and hand it over with [`HttpCall::send`], which numbers it and emits the output. Nothing
-//! here does I/O, and nothing here remembers what was sent: the actor keeps what it needs under the ticket.
+//! An [`HttpCall`] describes a call that has no ticket and no destination yet. Actors build one from their own request
+//! type and pass it to [`HttpCall::send`], which assigns a ticket and emits the output. This module does no I/O and
+//! keeps no record of calls: the actor stores what it needs to handle the outcome under the ticket.
 
 use crate::clock::Micros;
 use crate::messages::{Output, Ticket};
@@ -13,16 +13,16 @@
 pub struct HttpCall {
     /// HTTP method, in upper case.
     pub method: &'static str,
-    /// Path with its query.
+    /// Path, including the query.
     pub path: String,
-    /// Body; empty for none.
+    /// Body; empty if there is none.
     pub body: Vec<u8>,
-    /// How long the answer is waited for before the call counts as lost.
+    /// The call ends as [`Outcome::Lost`](crate::messages::Outcome::Lost) if no answer arrives within this time.
     pub timeout: Micros,
 }
 
 impl HttpCall {
-    /// A call without a body.
+    /// Creates a call without a body.
     pub fn without_body(method: &'static str, path: String, timeout: Micros) -> Self {
         Self {
             method,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A `POST` with a JSON body.
+    /// Creates a `POST` call with a JSON body.
     pub fn post(path: String, body: Vec<u8>, timeout: Micros) -> Self {
         Self {
             method: "POST",
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Emits the call to `destination` and returns its ticket, under which the outcome will arrive.
-    /// `last_ticket` is the last ticket that this process has given out.
+    /// Emits the call to `destination` and returns its ticket, which its outcome will carry. `last_ticket` is the last
+    /// ticket that this process has assigned; it is incremented.
     pub fn send(
         self,
         destination: SocketAddr,
--- a/src/input_queue.rs
+++ b/src/input_queue.rs
@@ -1,8 +1,8 @@
-//! The order in which inputs are served: answers first, then client requests, then heartbeats, as long as that
-//! costs no worker its lease.
+//! Priority queue of received inputs: answers and control messages first, then client requests, then heartbeats. Overdue
+//! heartbeats take turns with client requests, so that no worker's lease expires because of a delayed answer.
 //!
-//! [`InputQueue`] owns the inputs that wait, and when each arrived. It knows nothing of sockets, and drops an
-//! input only when its sender no longer waits for the answer.
+//! [`InputQueue`] owns the queued inputs and their arrival times. It is independent of sockets, and drops an input only
+//! if its sender no longer waits for the answer.
 
 use crate::clock::{MILLISECOND, Micros};
 use crate::messages::Input;
@@ -11,14 +11,16 @@
 };
 use std::collections::VecDeque;
 
-/// Heartbeats that have waited this long, an eighth of what their workers wait for an answer, no longer queue
-/// behind client requests.
-const HEARTBEAT_WAIT_MAX: Micros = 500 * MILLISECOND;
-/// From then on this many of them are served for each client request.
+/// Heartbeats that have waited for this long are overdue and no longer yield to all client requests. It is an eighth of
+/// a worker's timeout.
+const HEARTBEAT_OVERDUE_AFTER: Micros = 500 * MILLISECOND;
+/// How many heartbeats are served per client request while heartbeats are overdue.
 const HEARTBEATS_PER_CLIENT_REQUEST: u32 = 4;
 
+/// Priority classes of inputs, the most urgent first.
 enum InputClass {
-    Answers,
+    /// Answers to this controller's calls, control frames of other controllers, and health checks.
+    Urgent,
     ClientRequests,
     Heartbeats,
 }
@@ -26,118 +28,125 @@
 fn classify(input: &Input) -> InputClass {
     match input {
         Input::Request { path, .. } if path == HEARTBEAT_PATH => InputClass::Heartbeats,
-        Input::Request { path, .. } if path == HEALTH_PATH => InputClass::Answers,
+        Input::Request { path, .. } if path == HEALTH_PATH => InputClass::Urgent,
         Input::Request { .. } => InputClass::ClientRequests,
         Input::PeerRequest { kind, .. } => match *kind {
             KIND_HEARTBEAT | KIND_HEARTBEAT_BATCH => InputClass::Heartbeats,
             KIND_CLIENT_REQUEST => InputClass::ClientRequests,
-            _ => InputClass::Answers,
+            _ => InputClass::Urgent,
         },
-        Input::Outcome { .. } => InputClass::Answers,
+        Input::Outcome { .. } => InputClass::Urgent,
     }
 }
 
-/// An input that waits.
-struct Waiting {
-    since: Micros,
+/// A queued input.
+struct QueuedInput {
+    arrived_at: Micros,
     input: Input,
 }
 
-/// The inputs that wait, by class.
+/// The queued inputs, by class.
 #[derive(Default)]
 pub struct InputQueue {
     now: Micros,
-    /// Arrived since the time was last set.
-    unsorted: Vec<Input>,
-    /// Answers to this node's calls, and what other controllers ask for themselves.
-    answers: VecDeque<Input>,
-    client_requests: VecDeque<Waiting>,
-    /// Workers' heartbeats, also those that peers forward.
-    heartbeats: VecDeque<Waiting>,
-    /// Counts the inputs served while heartbeats are overdue.
-    turn: u32,
+    /// Inputs that have arrived since the time was last set.
+    unclassified: Vec<Input>,
+    urgent: VecDeque<Input>,
+    client_requests: VecDeque<QueuedInput>,
+    /// Heartbeats, including those that other controllers forward.
+    heartbeats: VecDeque<QueuedInput>,
+    /// Position in the round-robin cycle of heartbeats and client requests.
+    round_robin_position: u32,
 }
 
 impl InputQueue {
-    /// Sets the time. What arrived since it was last set counts as having arrived now.
+    /// Sets the current time. Inputs received since the last call are given this time as their arrival time.
     pub fn set_now(&mut self, now: Micros) {
         self.now = now;
-        for input in std::mem::take(&mut self.unsorted) {
+        for input in std::mem::take(&mut self.unclassified) {
             let class = classify(&input);
-            let waiting = Waiting { since: now, input };
+            let queued = QueuedInput {
+                arrived_at: now,
+                input,
+            };
             match class {
-                InputClass::Answers => self.answers.push_back(waiting.input),
-                InputClass::ClientRequests => self.client_requests.push_back(waiting),
-                InputClass::Heartbeats => self.heartbeats.push_back(waiting),
+                InputClass::Urgent => self.urgent.push_back(queued.input),
+                InputClass::ClientRequests => self.client_requests.push_back(queued),
+                InputClass::Heartbeats => self.heartbeats.push_back(queued),
             }
         }
     }
 
     /// Adds an input that has just arrived.
     pub fn push(&mut self, input: Input) {
-        self.unsorted.push(input);
+        self.unclassified.push(input);
     }
 
-    /// Whether no input waits.
+    /// Whether no input is queued.
     pub fn is_empty(&self) -> bool {
-        self.unsorted.is_empty()
-            && self.answers.is_empty()
+        self.unclassified.is_empty()
+            && self.urgent.is_empty()
             && self.client_requests.is_empty()
             && self.heartbeats.is_empty()
     }
 
-    /// How long the client request or heartbeat that has waited longest has done so, in microseconds.
+    /// How long the oldest client request or heartbeat has waited, in microseconds.
     pub fn longest_wait(&self) -> Micros {
         let fronts = [self.client_requests.front(), self.heartbeats.front()];
-        let since = fronts.into_iter().flatten().map(|waiting| waiting.since);
+        let since = fronts.into_iter().flatten().map(|queued| queued.arrived_at);
         since
             .min()
             .map_or(0, |since| self.now.saturating_sub(since))
     }
 
-    /// Whether heartbeats have waited for so long that client requests take turns with them.
+    /// Whether the oldest heartbeat has waited for so long that heartbeats take turns with client requests.
     fn heartbeats_overdue(&self) -> bool {
         let first = self.heartbeats.front();
-        first.is_some_and(|waiting| self.now >= waiting.since + HEARTBEAT_WAIT_MAX)
+        first.is_some_and(|queued| self.now >= queued.arrived_at + HEARTBEAT_OVERDUE_AFTER)
     }
 
-    /// The next input that precedes heartbeats. After a failover a thousand heartbeats arrive within seconds; in
-    /// one queue with them, client requests and lease renewals would wait as long.
+    /// Removes and returns the next input that takes precedence over heartbeats. After a failover, a thousand heartbeats
+    /// arrive within seconds; in a common queue, client requests and answers to lease renewals would wait behind them.
     ///
-    /// `awaited` says whether the sender of an input still waits for the answer. A sender that has given up asks
-    /// again; were both served, a node that is behind would only fall further behind.
-    pub fn next_urgent(&mut self, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
+    /// `is_sender_waiting` tells whether the sender of an input still waits for the answer. A sender that has timed out
+    /// retries; serving both requests would make an overloaded controller fall further behind.
+    pub fn next_urgent(&mut self, is_sender_waiting: impl Fn(&Input) -> bool) -> Option<Input> {
         self.set_now(self.now);
-        if let Some(input) = self.answers.pop_front() {
+        if let Some(input) = self.urgent.pop_front() {
             return Some(input);
         }
         if self.heartbeats_overdue() {
             return None;
         }
-        pop_awaited(&mut self.client_requests, awaited)
+        pop_waiting(&mut self.client_requests, is_sender_waiting)
     }
 
-    /// The next input. Heartbeats come last, or, once they are overdue, take turns with client requests.
-    pub fn next(&mut self, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
-        if let Some(input) = self.next_urgent(&awaited) {
+    /// Removes and returns the next input. Heartbeats come last; once they are overdue, they take turns with client
+    /// requests.
+    pub fn next(&mut self, is_sender_waiting: impl Fn(&Input) -> bool) -> Option<Input> {
+        if let Some(input) = self.next_urgent(&is_sender_waiting) {
             return Some(input);
         }
-        self.turn = (self.turn + 1) % (HEARTBEATS_PER_CLIENT_REQUEST + 1);
-        if self.turn == 0
-            && let Some(input) = pop_awaited(&mut self.client_requests, &awaited)
+        self.round_robin_position =
+            (self.round_robin_position + 1) % (HEARTBEATS_PER_CLIENT_REQUEST + 1);
+        if self.round_robin_position == 0
+            && let Some(input) = pop_waiting(&mut self.client_requests, &is_sender_waiting)
         {
             return Some(input);
         }
-        pop_awaited(&mut self.heartbeats, &awaited)
-            .or_else(|| pop_awaited(&mut self.client_requests, &awaited))
+        pop_waiting(&mut self.heartbeats, &is_sender_waiting)
+            .or_else(|| pop_waiting(&mut self.client_requests, &is_sender_waiting))
     }
 }
 
-/// The first input of the queue whose sender still waits; those before it are dropped.
-fn pop_awaited(queue: &mut VecDeque<Waiting>, awaited: impl Fn(&Input) -> bool) -> Option<Input> {
-    while let Some(waiting) = queue.pop_front() {
-        if awaited(&waiting.input) {
-            return Some(waiting.input);
+/// Removes and returns the first input of the queue whose sender still waits, and drops those before it.
+fn pop_waiting(
+    queue: &mut VecDeque<QueuedInput>,
+    is_sender_waiting: impl Fn(&Input) -> bool,
+) -> Option<Input> {
+    while let Some(queued) = queue.pop_front() {
+        if is_sender_waiting(&queued.input) {
+            return Some(queued.input);
         }
     }
     None
--- a/src/load_shedding/tests.rs
+++ b/src/load_shedding/tests.rs
@@ -1,4 +1,4 @@
-//! What is refused at which lag.
+//! Which client requests are refused at which lag.
 
 use super::{LoadMonitor, ShedLevel};
 use crate::clock::{MILLISECOND, SECOND};
--- a/src/loop_timing.rs
+++ b/src/loop_timing.rs
@@ -1,6 +1,6 @@
-//! What the event loop's time goes to, for the log line that says so.
+//! Statistics on how the event loop spends its time, for a periodic log line.
 //!
-//! [`LoopTiming`] owns the counts since the last line; it measures nothing itself.
+//! [`LoopTiming`] accumulates the durations that the event loop measures, and formats them.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use std::fmt::{Display, Formatter, Result};
@@ -8,13 +8,13 @@
 /// A phase of the event loop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoopPhase {
-    /// Taking bytes from sockets, and waiting for them.
+    /// Polling the sockets and reading from them.
     Sockets,
-    /// Client requests, answers of other systems, and what other controllers ask.
+    /// Handling client requests, answers of other systems, and requests of other controllers.
     Requests,
-    /// Workers' heartbeats.
+    /// Handling heartbeats of workers.
     Heartbeats,
-    /// What the node does by itself: placing, saving, maintenance.
+    /// Periodic work of the controller: placing tasks, storing state, maintenance.
     Internal,
     /// Writing to sockets.
     Sending,
@@ -43,44 +43,46 @@
 /// Time between two log lines.
 const LOG_INTERVAL: Micros = 10 * SECOND;
 
-/// How often each phase was run since the last log line, and the time it took.
+/// How often each phase ran since the last log line, and how long it took in total.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LoopTiming {
     counts: [u64; PHASES.len()],
     times: [Micros; PHASES.len()],
-    /// Turns of the loop, and those in which nothing arrived.
-    turns: u64,
-    idle_turns: u64,
+    /// Iterations of the loop.
+    iterations: u64,
+    /// Iterations in which nothing arrived.
+    idle_iterations: u64,
     last_logged_at: Micros,
 }
 
 impl LoopTiming {
-    /// A phase was run, and took this many microseconds.
-    pub fn add(&mut self, phase: LoopPhase, took: Micros) {
+    /// Records one run of a phase and its duration.
+    pub fn add(&mut self, phase: LoopPhase, duration: Micros) {
         self.counts[phase as usize] += 1;
-        self.times[phase as usize] += took;
+        self.times[phase as usize] += duration;
     }
 
-    /// The loop has waited for input; `idle` says that none arrived.
+    /// Records that the loop has waited for input; `idle` tells that none arrived.
     pub fn record_iteration(&mut self, idle: bool) {
-        self.turns += 1;
-        self.idle_turns += u64::from(idle);
+        self.iterations += 1;
+        self.idle_iterations += u64::from(idle);
     }
 
-    /// The log line on the time since the last one, ten seconds after it.
+    /// Returns the log line on the time since the last one and resets the statistics; `None` within ten seconds of the
+    /// last one.
     pub fn take_log_line(&mut self, now: Micros) -> Option<String> {
         if now < self.last_logged_at + LOG_INTERVAL {
             return None;
         }
         let phases = PHASES.iter().map(|phase| {
-            let at = *phase as usize;
-            let (count, ms) = (self.counts[at], self.times[at] / MILLISECOND);
+            let index = *phase as usize;
+            let (count, ms) = (self.counts[index], self.times[index] / MILLISECOND);
             format!("{phase} {count} in {ms} ms")
         });
         let phases = phases.collect::<Vec<_>>().join(", ");
         let line = format!(
             "{phases}; {} turns, {} without input",
-            self.turns, self.idle_turns
+            self.iterations, self.idle_iterations
         );
         *self = Self {
             last_logged_at: now,
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,76 +1,78 @@
-//! The messages between the controller and the outside: inputs that `net` takes from sockets, and
-//! outputs that it writes to them. Plain data, without I/O: tests and the simulator pass them by hand.
+//! The messages between the controller and its environment: inputs that [`net`](crate::net) receives from sockets, and
+//! outputs that it writes to them. They are plain data without I/O, so that tests and the simulator can pass them
+//! directly.
 
 use crate::clock::Micros;
 use std::net::SocketAddr;
 
-/// A connection of a client, a worker or a peer to this process. Never reused within a process.
+/// Identifies a connection to or from this process. Never reused within a process.
 pub type ConnId = u64;
-/// Identifies a call of this process until its outcome is known. Unique across restarts.
+/// Identifies a call that this process makes to another system. Unique across restarts of the process, so that an answer
+/// to a call of an earlier incarnation is not taken for the answer to a call of this one.
 pub type Ticket = u64;
 
 /// How a call to another system ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
-    /// It never left: no connection came about. Such an attempt does not complete later.
+    /// The call was not sent, since no connection was established. It will certainly not be executed.
     NotSent,
-    /// It never left, since nobody listens there or something on the way says so: the process has ended,
-    /// has no free socket, or a filter stands between. A host that is gone or cut off says nothing.
+    /// The call was not sent, since the connection was refused: the process on the remote host has ended or has no free
+    /// socket, or a firewall rejects the connection. A host that is down or partitioned does not answer at all.
     Refused,
-    /// No answer; it may have been executed, or may still be, minutes later.
+    /// No answer arrived. The call may have been executed, or may still be executed minutes later.
     Lost,
-    /// It was answered.
+    /// An answer arrived.
     Reply {
         /// HTTP status.
         status: u16,
-        /// The body as it came.
+        /// Body of the answer.
         body: Vec<u8>,
     },
 }
 
 impl Outcome {
-    /// Whether the call surely never left.
+    /// Whether the call was certainly not sent.
     pub fn not_sent(&self) -> bool {
         matches!(self, Outcome::NotSent | Outcome::Refused)
     }
 }
 
-/// Where a call goes.
+/// The destination of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Dest {
-    /// An HTTP server: the state service, the cloud or a worker.
+    /// An HTTP server: the state service, the cloud provider or a worker agent.
     Http(SocketAddr),
     /// Another controller.
     Peer(SocketAddr),
 }
 
-/// What came in from outside.
+/// A message to the controller.
 #[derive(Debug)]
 pub enum Input {
-    /// An HTTP request; answered once on its connection.
+    /// An HTTP request. It is answered once, on its connection.
     Request {
-        /// The connection that it came on.
+        /// The connection that it arrived on.
         conn: ConnId,
         /// HTTP method.
         method: String,
-        /// Path with its query.
+        /// Path, including the query.
         path: String,
-        /// The whole body.
+        /// Body of the request.
         body: Vec<u8>,
     },
-    /// A frame of another controller; answered by ticket on the same connection.
+    /// A frame of another controller. Its answer carries the ticket and is sent on the same connection.
     PeerRequest {
-        /// The connection that it came on.
+        /// The connection that it arrived on.
         conn: ConnId,
         /// The sender's ticket, which the answer carries.
         ticket: Ticket,
-        /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
+        /// Kind of the frame, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
         /// How long the sender waits for the answer, in microseconds.
         timeout: Micros,
-        /// What it is about; its meaning depends on the kind.
+        /// A short text whose meaning depends on the kind, such as an address or a path.
         subject: String,
-        /// The payload, in the format of the kind.
+        /// Body in the format of the kind.
         body: Vec<u8>,
     },
     /// A call of this process has ended.
@@ -82,7 +84,7 @@
     },
 }
 
-/// What is to be sent.
+/// A message from the controller.
 #[derive(Debug)]
 pub enum Output {
     /// The answer to an HTTP request.
@@ -93,7 +95,7 @@
         status: u16,
         /// The body, JSON.
         body: Vec<u8>,
-        /// Seconds of the header `Retry-After`, if there is to be one.
+        /// Value of the `Retry-After` header in seconds, if the answer has one.
         retry_after: Option<u32>,
     },
     /// The answer to a frame of another controller.
@@ -102,37 +104,37 @@
         conn: ConnId,
         /// The frame's ticket.
         ticket: Ticket,
-        /// The answer, or how the call ended that was made for it.
+        /// The answer, or the outcome of the call that was made on behalf of the sender.
         outcome: Outcome,
     },
     /// A call over HTTP.
     Call {
-        /// Identifies the call in its outcome.
+        /// Ticket of the call, which its outcome will carry.
         ticket: Ticket,
-        /// The server.
+        /// Address of the server.
         dest: SocketAddr,
         /// HTTP method.
         method: &'static str,
-        /// Path with its query.
+        /// Path, including the query.
         path: String,
         /// The body, JSON.
         body: Vec<u8>,
-        /// The call ends as lost after this time, in microseconds.
+        /// The call ends as [`Outcome::Lost`] if no answer arrives within this time, in microseconds.
         timeout: Micros,
     },
     /// A frame to another controller.
     PeerCall {
-        /// Identifies the call in its outcome.
+        /// Ticket of the call, which its outcome will carry.
         ticket: Ticket,
-        /// The other controller.
+        /// Address of the other controller.
         dest: SocketAddr,
-        /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
+        /// Kind of the frame, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
-        /// What it is about; its meaning depends on the kind.
+        /// A short text whose meaning depends on the kind, such as an address or a path.
         subject: String,
-        /// The payload, in the format of the kind.
+        /// Body in the format of the kind.
         body: Vec<u8>,
-        /// The call ends as lost after this time, in microseconds.
+        /// The call ends as [`Outcome::Lost`] if no answer arrives within this time, in microseconds.
         timeout: Micros,
     },
 }
--- a/src/open_files.rs
+++ b/src/open_files.rs
@@ -1,13 +1,15 @@
-//! The process's limit of open files, compared with what the settings need: each connection takes one file.
+//! Adjusts the process's limit of open files to the configured number of connections, each of which takes one file
+//! descriptor.
 //!
-//! Raises the soft limit of this process as far as its hard limit allows, and nothing else.
+//! Only the soft limit of this process is raised, up to its hard limit.
 
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-/// Files beside connections: listening sockets, the event loop, signals, logs, and connections accepted only to be closed.
-const RESERVE: u64 = 64;
+/// File descriptors needed besides connections: listening sockets, the event loop, signals, logs, and connections that
+/// are closed right after they are accepted.
+const RESERVED_FILES: u64 = 64;
 
-/// What is to be done about the limit.
+/// How the limit has to be changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitPlan {
     /// The soft limit suffices.
@@ -17,18 +19,18 @@
         /// The new soft limit.
         to: u64,
     },
-    /// The hard limit is too low as well.
+    /// The hard limit is lower than what is needed.
     Short {
         /// The new soft limit: the hard limit.
         to: u64,
-        /// How many files are missing then.
+        /// How many file descriptors are still missing then.
         missing: u64,
     },
 }
 
-/// What `max_connections` needs of the limits; `None` is no limit.
+/// Determines the change that `max_connections` needs; a limit of `None` is no limit.
 pub fn plan_limit(max_connections: usize, soft: Option<u64>, hard: Option<u64>) -> LimitPlan {
-    let needed = (max_connections as u64).saturating_add(RESERVE);
+    let needed = (max_connections as u64).saturating_add(RESERVED_FILES);
     match (soft, hard) {
         (None, _) => LimitPlan::Enough,
         (Some(soft), _) if soft >= needed => LimitPlan::Enough,
@@ -40,8 +42,8 @@
     }
 }
 
-/// Raises this process's soft limit as far as `max_connections` needs it and the hard limit allows. Returns a
-/// warning for the log when that is not enough.
+/// Raises the soft limit of this process to what `max_connections` needs, as far as the hard limit allows. Returns a
+/// warning for the log if that is not enough.
 pub fn raise_limit(max_connections: usize) -> Option<String> {
     let now = getrlimit(Resource::Nofile);
     let (to, missing) = match plan_limit(max_connections, now.current, now.maximum) {
@@ -56,9 +58,8 @@
     let missing = match setrlimit(Resource::Nofile, raised) {
         Ok(()) if missing == 0 => return None,
         Ok(()) => missing,
-        Err(_) => {
-            (max_connections as u64 + RESERVE).saturating_sub(now.current.unwrap_or(u64::MAX))
-        }
+        Err(_) => (max_connections as u64 + RESERVED_FILES)
+            .saturating_sub(now.current.unwrap_or(u64::MAX)),
     };
     Some(format!(
         "open files: max_connections {max_connections} needs {missing} more than this process may have; \
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
-//! The settings: the platform's file (TOML), and the operators' own properties file.
+//! The configuration of a controller: the platform's settings file (TOML), and the operators' properties file.
 //!
-//! Owns the names in both files, the defaults, and the checks. A value is checked once, when it is read; the rest of
-//! the program relies on it. Both files are read only at the start.
+//! This module defines the names in both files, the defaults, and the validation. Each value is validated once, when it
+//! is loaded; the rest of the program relies on that. Both files are read only at startup.
 
 use crate::cancellation_freshness::{cancellation_slack, cancellation_slack_min_s};
 use crate::clock::{MILLISECOND, Micros, SECOND, from_secs};
@@ -12,34 +12,34 @@
 
 /// The fewest connections that a controller can work with.
 const CONNECTIONS_MIN: usize = 64;
-/// The fewest changes of a transaction that jobs can be stored with: the end of a job takes two, beside those that
-/// delete its chunks.
+/// The smallest supported limit on changes per store transaction: storing the final state of a job takes two, besides
+/// those that delete its chunks.
 const TXN_OPS_MIN: usize = 2;
 /// The longest name of a controller, in bytes.
 const NAME_BYTES_MAX: usize = 64;
-/// [`Deployment::clock_offset_max_ms`] if the settings do not say it.
+/// Default of [`Deployment::clock_offset_max_ms`].
 const DEFAULT_CLOCK_OFFSET_MAX_MS: f64 = 1000.0;
 
-/// What is wrong with the settings: where, and what is expected there.
+/// An invalid settings or properties file: where the error is, and what is expected there.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A file cannot be read, or not be parsed.
+    /// A file cannot be read or parsed.
     #[error("settings {path}: {reason}")]
     File {
         /// Path of the file.
         path: String,
-        /// Why, in one line.
+        /// The cause, in one line.
         reason: String,
     },
-    /// A field of the settings file has a value that is out of its range.
+    /// A field of the settings file is out of its range.
     #[error("settings field `{field}`: {expected}")]
     Field {
-        /// Name of the field, with those of the tables around it.
+        /// Full name of the field, including the tables that contain it.
         field: &'static str,
         /// What its value must be.
         expected: String,
     },
-    /// A property has a value that is out of its range, or is not known.
+    /// A property is unknown, or its value is out of its range.
     #[error("property `{name}`: {expected}")]
     Property {
         /// Name of the property.
@@ -58,18 +58,18 @@
     /// Zone that the controller is in.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Where clients, operators and agents reach it.
+    /// Address for HTTP requests of clients, operators and agents.
     pub listen: SocketAddr,
-    /// Where the other controllers reach it.
+    /// Address for frames from other controllers.
     #[serde(rename = "cluster_listen")]
     pub peer_listen: SocketAddr,
     /// The other controllers.
     #[serde(rename = "others", default)]
     pub peers: Vec<Peer>,
-    /// Where the services are that it uses.
+    /// Addresses of the services that it uses.
     #[serde(rename = "endpoints")]
     pub services: Endpoints,
-    /// What holds for the whole deployment.
+    /// Settings of the whole deployment, the same for all controllers.
     #[serde(rename = "settings")]
     pub deployment: Deployment,
 }
@@ -83,36 +83,36 @@
     /// Zone that it is in.
     #[serde(rename = "domain", default)]
     pub zone: String,
-    /// Where it listens for other controllers.
+    /// Address for frames from other controllers.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
 }
 
-/// The services that a controller uses.
+/// Addresses of the services that a controller uses.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Endpoints {
-    /// The cloud provider.
+    /// Address of the cloud provider.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the state service, a key-value store.
     pub state: SocketAddr,
 }
 
-/// What holds for the whole deployment.
+/// Settings of the whole deployment.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Deployment {
     /// The zones with machines.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// How far the time of day may be from true time, in milliseconds.
+    /// The largest deviation of a controller's time of day from true time, in milliseconds.
     #[serde(rename = "time_bound_ms", default = "default_clock_offset_max_ms")]
     pub clock_offset_max_ms: f64,
-    /// The teams with their guarantees and limits.
+    /// The teams with their guaranteed and maximum resources.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// What users expect of each class of jobs.
+    /// Service-level objectives of the classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// The times that worker agents keep to.
+    /// Timing of worker agents.
     pub workers: WorkerLimits,
     /// The limits of the key-value store.
     pub state: StateLimits,
@@ -127,76 +127,76 @@
     DEFAULT_CLOCK_OFFSET_MAX_MS
 }
 
-/// A team with what it is guaranteed, and what it may use at most.
+/// A team with its guaranteed and its maximum resources. A maximum of 0 means no limit.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Team {
     /// Name of the team.
     pub name: String,
-    /// Cores that are guaranteed.
+    /// Guaranteed cores.
     #[serde(default)]
     pub cpus: f64,
-    /// The most cores.
+    /// Maximum of cores.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Accelerators that are guaranteed.
+    /// Guaranteed accelerators.
     #[serde(default)]
     pub gpus: f64,
-    /// The most accelerators.
+    /// Maximum of accelerators.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What users expect of a class of jobs.
+/// A service-level objective of a class of jobs.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Objective {
-    /// What is bounded: `wait`, `guarantee`, `deadline` or `finished`.
+    /// What the objective bounds: `wait`, `guarantee`, `deadline` or `finished`.
     pub kind: String,
     /// The class; absent for a `guarantee`, which holds for jobs of all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// The time that is expected, in seconds.
+    /// The target time, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// With `deadline`: the time that is expected, as a multiple of the job's own.
+    /// For `deadline`: the target time, as a multiple of the job's own deadline.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// The times that worker agents keep to.
+/// Timing of worker agents.
 #[derive(Clone, Debug, Deserialize)]
 pub struct WorkerLimits {
     /// The time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// How long after it sent the last heartbeat that was answered a worker's lease expires, in seconds; its tasks
-    /// end then.
+    /// TTL of a worker's lease in seconds, counted from the sending of the last heartbeat that was answered. The worker
+    /// ends its tasks when the lease expires.
     pub lease_s: f64,
-    /// How long after a confirmed cancellation the job's tasks may still be on machines, in seconds.
+    /// The longest time that tasks of a job may remain on machines after its cancellation was confirmed, in seconds.
     pub cancel_s: f64,
 }
 
 /// The limits of the key-value store.
 #[derive(Clone, Debug, Deserialize)]
 pub struct StateLimits {
-    /// Requests a second, of all controllers.
+    /// Requests per second, of all controllers together.
     pub rps: f64,
-    /// Changes a second, of all controllers.
+    /// Changes of keys per second, of all controllers together.
     pub write_rps: f64,
     /// The largest value, in kilobytes of 1024 bytes.
     pub value_kb: f64,
     /// The most changes of a transaction.
     pub txn_ops: usize,
-    /// The limits that will hold from some moment on, which comes without notice.
+    /// Limits that will replace these at some time, without further notice.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
-/// Limits to come; what is absent stays as it is. The fields are those of [`StateLimits`].
+/// Future limits of the key-value store; an absent field leaves the limit of [`StateLimits`] unchanged.
 #[derive(Clone, Debug, Deserialize)]
 pub struct NextLimits {
-    /// Requests a second.
+    /// Requests per second.
     #[serde(default)]
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Changes of keys per second.
     #[serde(default)]
     pub write_rps: Option<f64>,
     /// The largest value, in kilobytes of 1024 bytes.
@@ -208,7 +208,7 @@
 }
 
 impl StateLimits {
-    /// The tighter of what holds now and what will hold.
+    /// For each limit, the smaller of its current and its future value.
     pub fn tightest(&self) -> StateLimits {
         let mut tightest = self.clone();
         if let Some(next) = tightest.next.take() {
@@ -235,9 +235,9 @@
 /// The limits of the cloud provider.
 #[derive(Clone, Debug, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second, of all controllers.
+    /// Calls per second, of all controllers together.
     pub rps: f64,
-    /// How far a list of machines may lag behind, in seconds.
+    /// The largest delay after which a change appears in the list of machines, in seconds.
     pub list_lag_s: f64,
 }
 
@@ -246,8 +246,8 @@
 pub struct ProcessLimits {
     /// The most open connections.
     pub max_connections: usize,
-    /// The controller's share of one core. Only checked here: what a node can take on is learned from how far it
-    /// falls behind.
+    /// The controller's share of one core. Validated but not used otherwise: load shedding depends on the measured lag of
+    /// the event loop.
     #[serde(default)]
     pub cpu_share: Option<f64>,
     /// The memory that the process may hold, in megabytes.
@@ -256,11 +256,11 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Loads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or parsed, or a field is out of its range; the first one is named.
+    /// If the file cannot be read or parsed, or a field is out of its range. The error names the first such field.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| file_error(path, error))?;
         Self::parse(&text).map_err(|error| match error {
@@ -269,15 +269,15 @@
         })
     }
 
-    /// Reads and checks the text of a settings file.
+    /// Parses and validates the text of a settings file.
     ///
     /// # Errors
     ///
-    /// If it cannot be parsed, or a field is out of its range; the first one is named.
+    /// If the text cannot be parsed, or a field is out of its range. The error names the first such field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|error| SettingsError::File {
             path: String::new(),
-            // One line: which field, and what is expected of it.
+            // Keeps the error message on one line.
             reason: error.to_string().replace('\n', " "),
         })?;
         settings.check()?;
@@ -310,12 +310,12 @@
         Ok(())
     }
 
-    /// How long after it sent the last heartbeat that was answered a worker's lease expires.
+    /// TTL of a worker's lease, counted from the sending of the last heartbeat that was answered.
     pub fn worker_lease(&self) -> Micros {
         from_secs(self.deployment.workers.lease_s)
     }
 
-    /// How long after a confirmed cancellation the job's tasks may still be on machines.
+    /// The longest time that tasks of a job may remain on machines after its cancellation was confirmed.
     pub fn cancellation_deadline(&self) -> Micros {
         from_secs(self.deployment.workers.cancel_s)
     }
@@ -325,7 +325,7 @@
         from_secs(self.deployment.workers.report_s)
     }
 
-    /// What these settings make impossible to guarantee, in one line that says what to change.
+    /// A warning about a guarantee that these settings make impossible, in one line that says what to change.
     pub fn warning(&self) -> Option<String> {
         let limits = &self.deployment.workers;
         if cancellation_slack(self.worker_lease(), self.cancellation_deadline()).is_some() {
@@ -341,7 +341,7 @@
         ))
     }
 
-    /// The team of that name.
+    /// The team with this name.
     pub fn team(&self, name: &str) -> Option<&Team> {
         let mut teams = self.deployment.teams.iter();
         teams.find(|team| team.name == name)
@@ -433,24 +433,24 @@
     }
 }
 
-/// The operators' own settings, with their defaults.
+/// The operators' properties.
 #[derive(Clone, Debug)]
 pub struct Properties {
-    /// Evaporation of pheromone per round (ρ), 0 to 1.
+    /// Share of the pheromone that evaporates in each round (ρ), 0 to 1.
     pub evaporation: f64,
-    /// Exponent of the fairness weight (β).
+    /// Exponent of the fairness weight in the order of jobs (β).
     pub fairness_exponent: f64,
-    /// Length of a deposit round.
+    /// Length of a pheromone round, at whose end pheromone evaporates and is deposited.
     pub round: Micros,
-    /// How long the leader's lease lives without a renewal, at most.
+    /// The longest TTL of the leader's lease.
     pub leader_ttl: Micros,
-    /// How long the leader's lease lives without a renewal, at least.
+    /// The shortest TTL of the leader's lease.
     pub leader_ttl_min: Micros,
-    /// A rented machine that has been idle for this long is released.
+    /// A rented machine is released after it has been idle for this long.
     pub idle_release_timeout: Micros,
     /// Whether this controller may replicate the leader's state as a standby.
     pub follow: bool,
-    /// Seed of the random numbers; 0: taken from the time of day.
+    /// Seed of the scheduler's random numbers; 0 takes the incarnation id of the process, which differs on each start.
     pub seed: u64,
 }
 
@@ -470,11 +470,11 @@
 }
 
 impl Properties {
-    /// Reads and checks a properties file.
+    /// Loads and validates a properties file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or parsed, or a property is not known or out of its range.
+    /// If the file cannot be read or parsed, or a property is unknown or out of its range.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         let file = std::fs::File::open(path).map_err(|error| file_error(path, error))?;
         let pairs = java_properties::read(std::io::BufReader::new(file))
@@ -482,11 +482,11 @@
         Self::from_pairs(&pairs)
     }
 
-    /// The properties of these names and values.
+    /// Builds the properties from names and values.
     ///
     /// # Errors
     ///
-    /// If a property is not known or out of its range; the first one is named.
+    /// If a property is unknown or out of its range. The error names the first such property.
     pub fn from_pairs<'a>(
         pairs: impl IntoIterator<Item = (&'a String, &'a String)>,
     ) -> Result<Self, SettingsError> {
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,9 +1,9 @@
-//! The protocols' types: what clients, worker agents and the cloud provider send and get, and the frames between
+//! Message types of the protocols with clients, worker agents and the cloud provider, and the frames between
 //! controllers.
 //!
-//! Plain data with its encoding; nothing here decides anything. The names on the wire stand only here, in
-//! `serde(rename)` and in constants; the rest of the program uses the terms of the field. Names and layouts must
-//! not change: users, agents and controllers of the version before rely on them.
+//! The types are plain data with their encoding and contain no scheduling logic. Names on the wire appear only here, in
+//! `serde(rename)` and in constants; the rest of the program uses other names. Names and layouts must not change:
+//! users, agents and controllers of the previous version rely on them.
 
 mod agent;
 mod cloud;
@@ -30,9 +30,9 @@
 };
 pub use job_spec::{JobKind, JobSpec, JobSpecError, Priority, is_valid_uid};
 
-/// The longest body of a request, in bytes.
+/// The largest body of an HTTP request to a controller, in bytes.
 pub const REQUEST_BODY_BYTES_MAX: usize = 64 * 1024;
-/// Path at a worker that takes commands.
+/// Path on a worker agent that accepts commands.
 pub const COMMANDS_PATH: &str = "/commands";
 /// Path that worker agents send heartbeats to.
 pub const HEARTBEAT_PATH: &str = "/checkin";
--- a/src/wire/agent.rs
+++ b/src/wire/agent.rs
@@ -1,19 +1,19 @@
-//! What worker agents and controllers send each other.
+//! Messages between worker agents and controllers: heartbeats and commands.
 
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The state of an attempt of a task on a machine.
+/// The state of an attempt to run a task on a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskStatus {
-    /// Waits for its image.
+    /// Waits for the machine to fetch its image.
     Fetching,
-    /// Has its image, and waits for the other tasks of its gang.
+    /// Has its image, and waits until all tasks of its gang can start.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Runs.
+    /// Is running.
     Running,
     /// Saves a checkpoint before it stops.
     #[serde(rename = "saving")]
@@ -22,8 +22,8 @@
     Ended,
 }
 
-/// An attempt of a task, as a heartbeat reports it. Names and causes are short, so they are kept in place, without
-/// an allocation for each.
+/// An attempt to run a task, as a heartbeat reports it. Names and causes are short, so `CompactString` stores them
+/// inline, without an allocation for each.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReportedTask {
     /// Name of the task; see [`split_task_name`].
@@ -32,12 +32,12 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Its state.
+    /// State of the attempt.
     pub status: TaskStatus,
     /// Why it has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<CompactString>,
-    /// Whether it has saved a checkpoint at its end.
+    /// Whether it saved a checkpoint when it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
@@ -60,25 +60,25 @@
     /// Whether it is a spot machine.
     #[serde(rename = "loaners", default)]
     pub spot: bool,
-    /// Starts at 1, and goes up each time the agent's lease expires.
+    /// Starts at 1, and is incremented each time the agent's lease expires.
     #[serde(rename = "stint")]
     pub agent_epoch: u64,
-    /// Goes up with each message of the agent. Of two messages, the one with the larger agent epoch and sequence
-    /// number is the newer.
+    /// Sequence number, incremented with each message of the agent. Of two messages, the one with the larger pair of
+    /// agent epoch and sequence number is the newer.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// The highest fencing token that the agent has seen.
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
-    /// The time until the provider takes a spot machine back, in seconds, once it has given notice.
+    /// After a reclaim notice for a spot machine: the time until the provider takes the machine back, in seconds.
     #[serde(rename = "warningS", default)]
     pub notice_s: Option<f64>,
-    /// The tasks on the machine, with the ended ones that have not been acknowledged.
+    /// The attempts on the machine, including ended ones that have not been acknowledged.
     #[serde(rename = "parts", default)]
     pub tasks: Vec<ReportedTask>,
 }
 
-/// A command to an agent about one attempt of a task.
+/// A command to an agent concerning one attempt of a task.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
     /// What to do.
@@ -90,32 +90,33 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// With a stop: the time that the task may take to save, in seconds.
+    /// For a stop command: the time that the task has to save a checkpoint, in seconds.
     #[serde(rename = "windDownS", skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
 
-/// What an agent is to do with an attempt.
+/// What a command does with an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CommandKind {
-    /// Start it.
+    /// Starts it.
     Start,
-    /// Stop it, with a grace period to save in.
+    /// Stops it, after a grace period in which it can save a checkpoint.
     #[serde(rename = "halt")]
     Stop,
-    /// Drop the record of an ended one.
+    /// Deletes the agent's record of an attempt that has ended.
     #[serde(rename = "reap")]
     Acknowledge,
 }
 
-/// Commands for an agent: the answer to a heartbeat, or sent directly.
+/// Commands for an agent: the answer to a heartbeat, or the body of a direct call to the agent.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Commands {
-    /// Identifies the term that they come from; an agent refuses those with a token below the highest it has seen.
+    /// Fencing token of the leader that sends the commands. An agent rejects commands with a token below the highest
+    /// that it has seen.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// With a direct command: the agent epoch that it is meant for.
+    /// In a direct call: the agent epoch that the commands are meant for.
     #[serde(rename = "stint", skip_serializing_if = "Option::is_none")]
     pub agent_epoch: Option<u64>,
     /// The commands, in order.
@@ -123,7 +124,8 @@
     pub commands: Vec<Command>,
 }
 
-/// The job's id and the task's index in a task's name, such as `wk-000412/3`; `None` if it is no such name.
+/// Splits a task's name, such as `wk-000412/3`, into the job's id and the task's index. `None` if the name has another
+/// form.
 pub fn split_task_name(name: &str) -> Option<(&str, u32)> {
     let (uid, index) = name.rsplit_once('/')?;
     Some((uid, index.parse().ok()?))
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,4 +1,4 @@
-//! What the cloud provider sends and gets.
+//! Messages between controllers and the cloud provider: machine types, listing, rental and release of machines.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -24,27 +24,27 @@
     /// Memory of a machine, in gigabytes.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
-    /// What a machine can cache of images, in gigabytes.
+    /// Size of a machine's image cache, in gigabytes.
     #[serde(rename = "cacheGb", default)]
     pub cache_gb: f64,
-    /// How fast a machine fetches images, in gigabytes a second; give or take a third.
+    /// The rate at which a machine fetches images, in gigabytes per second; the actual rate may deviate by a third.
     #[serde(rename = "fetchGbPerS", default)]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine.
+    /// Price of an on-demand machine.
     #[serde(default)]
     pub price: f64,
     /// Price of a spot machine.
     #[serde(rename = "spotPrice", default)]
     pub spot_price: f64,
-    /// The stated boot time, in seconds.
+    /// The boot time that the provider states, in seconds.
     #[serde(rename = "readyS", default)]
     pub boot_s: f64,
-    /// The zones that it is offered in.
+    /// The zones in which the type is offered.
     #[serde(rename = "paddocks", default)]
     pub zones: Vec<String>,
 }
 
-/// The answer to a request for the machine types.
+/// The response to a request for the machine types.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MachineTypes {
     /// The machine types.
@@ -52,20 +52,20 @@
     pub types: Vec<MachineType>,
 }
 
-/// The state of a listed machine, as far as it matters here.
+/// The state of a listed machine. Only the states that the controller handles are told apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineStatus {
-    /// Its boot has begun.
+    /// It is booting.
     Booting,
-    /// Its boot has failed: it will not come up.
+    /// Its boot has failed; it will never become available.
     Failed,
     /// Any other state.
     #[serde(other)]
     Other,
 }
 
-/// A rented machine in a list.
+/// A rented machine in the provider's list.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ListedMachine {
     /// Name of the machine.
@@ -96,7 +96,7 @@
     /// The machines, in the order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// There are more machines after the last one.
+    /// Whether more machines follow on the next page.
     #[serde(default)]
     pub truncated: bool,
 }
@@ -107,16 +107,16 @@
     /// Name of the machine type.
     #[serde(rename = "build")]
     pub machine_type: &'a str,
-    /// Name of the rental: the provider rents the same machines for the same name.
+    /// Name of the rental, an idempotency key: a repeated request with the same name rents no further machines.
     #[serde(rename = "hire")]
     pub rental: &'a str,
-    /// Whether spot machines are wanted.
+    /// Whether to rent spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many machines.
+    /// How many machines to rent.
     #[serde(rename = "number")]
     pub machines: u32,
-    /// The zone.
+    /// Zone of the machines.
     #[serde(rename = "paddock")]
     pub zone: &'a str,
 }
@@ -124,7 +124,7 @@
 /// A request to release machines.
 #[derive(Clone, Debug, Serialize)]
 pub struct ReleaseRequest<'a> {
-    /// Names of the machines.
+    /// Names of the machines to release.
     #[serde(rename = "hosts")]
     pub machines: &'a [Arc<str>],
 }
--- a/src/wire/frames.rs
+++ b/src/wire/frames.rs
@@ -1,13 +1,14 @@
-//! Frames between controllers: a fixed header, followed by an address and a body. Several bodies are rows of a
-//! fixed layout, all little-endian, written as they stand in memory.
+//! Frames between controllers: a fixed header, followed by a subject (a short text) and a body. Some bodies consist of
+//! rows with a fixed little-endian layout, which are copied without further encoding.
 //!
-//! The version before and this one run side by side, so no layout or number here may change.
+//! During a rolling upgrade, controllers of the previous version and of this one exchange frames, so no layout or
+//! number here may change.
 
 use std::net::SocketAddr;
 use zerocopy::byteorder::little_endian::{U16, U32, U64, U128};
 use zerocopy::{FromBytes, Immutable, IntoBytes, KnownLayout};
 
-/// Length of a name in a row; shorter ones are padded with zeros.
+/// Length of a name in a row, in bytes; shorter names are padded with zeros.
 const ROW_NAME_BYTES: usize = 24;
 
 /// Header of every frame.
@@ -20,60 +21,60 @@
     pub kind: U16,
     /// In an answer: the HTTP status, or one of the `FRAME_*` outcomes.
     pub status: U16,
-    /// Number of the request, repeated in its answer.
+    /// Identifies the call among those of its sender; repeated in the answer.
     pub ticket: U64,
-    /// The time that the receiver has to answer, in microseconds.
+    /// How long the sender waits for the answer, in microseconds.
     pub timeout: U64,
-    /// Length of the first part of the payload (an address); the rest is the body.
+    /// Length of the subject, the first part of the payload; the rest is the body.
     pub subject_len: U32,
-    /// Length of the payload.
+    /// Length of the payload, in bytes.
     pub len: U32,
 }
 
-/// What every frame begins with.
+/// The first four bytes of every frame.
 pub const FRAME_MAGIC: u32 = 0x4457_5232;
 /// Length of a frame's header, in bytes.
 pub const FRAME_HEADER_BYTES: usize = size_of::<FrameHeader>();
-/// The longest payload, in bytes.
+/// The largest payload of a frame, in bytes.
 pub const FRAME_PAYLOAD_BYTES_MAX: usize = 1 << 20;
 
 /// A heartbeat, forwarded to the leader.
 pub const KIND_HEARTBEAT: u16 = 1;
-/// Commands for a worker that the leader cannot reach by itself; the address is the worker's.
+/// Commands for a worker that the leader cannot reach itself; the subject is the worker's address.
 pub const KIND_DELIVER_COMMANDS: u16 = 2;
 /// The answer to a request.
 pub const KIND_ANSWER: u16 = 3;
 /// An operator's query, forwarded to the leader.
 pub const KIND_ADMIN_QUERY: u16 = 4;
-/// The progress of the live jobs, announced by the leader; the body is a [`ProgressRow`] for each.
+/// The progress of the live jobs, announced by the leader; the body has a [`ProgressRow`] for each job.
 pub const KIND_PROGRESS: u16 = 5;
-/// A client's request that its node cannot answer; the address is method and path.
+/// A client's request that its controller cannot answer, forwarded to another one; the subject is method and path.
 pub const KIND_CLIENT_REQUEST: u16 = 6;
-/// Many heartbeats, forwarded to the leader: [`HeartbeatRow`]s, each followed by its heartbeat where the leader may
-/// not have it. Sent only to a leader that has answered a frame without rows, since the version before does not know
-/// them.
+/// A batch of heartbeats, forwarded to the leader: [`HeartbeatRow`]s, each followed by the heartbeat's text where the
+/// leader may not have it. Sent only to a leader that has answered a batch without rows, since controllers of the
+/// previous version do not know this kind.
 pub const KIND_HEARTBEAT_BATCH: u16 = 7;
-/// A [`ChecksumRow`] of the leader, to its standbys. Controllers of the version before answer that they do not know
-/// it.
+/// A [`ChecksumRow`] from the leader to its standbys. Controllers of the previous version reject it as an unknown kind.
 pub const KIND_CHECKSUM: u16 = 8;
-/// A worker's answer to a node that probed it on behalf of the leader. Taken like a heartbeat, but not answered, since
-/// no answer would reach the worker.
+/// A worker's answer to a controller that probed it on behalf of the leader. The leader processes it like a heartbeat,
+/// but sends no answer, since none would reach the worker.
 pub const KIND_PROBE_ANSWER: u16 = 9;
-/// From a new leader: [`ProbeRow`]s of workers that have sent no heartbeat, for this node to probe. The version before
-/// does not know it; the leader then probes them itself.
+/// From a new leader: [`ProbeRow`]s of workers that have sent no heartbeat, for the receiver to probe. Controllers of the
+/// previous version do not know it; the leader then probes the workers itself.
 pub const KIND_PROBE_WORKERS: u16 = 10;
-/// To the leader: the id of a job that the sender has just confirmed as cancelled. A hint on which nothing relies; the
-/// version before does not know it.
+/// To the leader: the id of a job whose cancellation the sender has just confirmed to the client. A hint that may be
+/// lost without harm; controllers of the previous version do not know it.
 pub const KIND_CANCELLED: u16 = 11;
 
 /// In place of an HTTP status: the call was certainly not sent.
 pub const FRAME_NOT_SENT: u16 = 1;
 /// In place of an HTTP status: the call may have been executed.
 pub const FRAME_LOST: u16 = 2;
-/// In place of an HTTP status, in an [`AnswerRow`]: the leader does not have that heartbeat, send it in full.
+/// In place of an HTTP status, in an [`AnswerRow`]: the leader does not have the heartbeat that is repeated; the sender
+/// must send it in full.
 pub const SEND_FULL_HEARTBEAT: u16 = 3;
 
-/// A name as it stands in a row; `None` if it is too long.
+/// A name padded for a row; `None` if it is too long.
 pub(super) fn pad_name(name: &str) -> Option<[u8; ROW_NAME_BYTES]> {
     let mut padded = [0; ROW_NAME_BYTES];
     padded
@@ -82,20 +83,21 @@
     Some(padded)
 }
 
-/// The progress of one live job. Jobs with ids that are too long are left out; they are read when they are polled.
+/// The progress of one live job. Jobs whose ids are too long for a row are left out; their state is read from the store
+/// when a client polls them.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
 pub struct ProgressRow {
     /// The job's id, padded with zeros.
     pub uid: [u8; ROW_NAME_BYTES],
-    /// How many tasks are done.
+    /// Number of tasks that are done.
     pub done: U32,
-    /// How many tasks are placed.
+    /// Number of tasks that are placed.
     pub placed: U32,
 }
 
 impl ProgressRow {
-    /// A row; `None` for an id that does not fit.
+    /// Creates a row; `None` if the id is too long.
     pub fn new(uid: &str, done: u32, placed: u32) -> Option<Self> {
         Some(Self {
             uid: pad_name(uid)?,
@@ -105,7 +107,7 @@
     }
 }
 
-/// One worker that is to be probed under a fencing token.
+/// A worker to be probed with a fencing token.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
 pub struct ProbeRow {
@@ -113,7 +115,7 @@
     pub fencing_token: U64,
     /// Name of the machine, padded with zeros.
     pub machine: [u8; ROW_NAME_BYTES],
-    /// Address of the agent.
+    /// IPv4 address of the agent.
     pub ip: [u8; 4],
     /// Port of the agent.
     pub port: U16,
@@ -122,7 +124,7 @@
 }
 
 impl ProbeRow {
-    /// A row; `None` for a name or an address that does not fit.
+    /// Creates a row; `None` if the name is too long or the address is not IPv4.
     pub fn new(fencing_token: u64, machine: &str, address: SocketAddr) -> Option<Self> {
         let SocketAddr::V4(address) = address else {
             return None;
@@ -148,7 +150,7 @@
     }
 }
 
-/// The checksum over the live jobs as the leader knows them at a store revision.
+/// The leader's checksum over the live jobs at a store revision.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
 pub struct ChecksumRow {
@@ -172,9 +174,10 @@
     pub sequence: U64,
     /// Name of the machine, padded with zeros.
     pub machine: [u8; ROW_NAME_BYTES],
-    /// The sender's number of the heartbeat, repeated in the answer.
+    /// The sender's number of the heartbeat within the batch, repeated in the answer.
     pub slot: U32,
-    /// Length of the heartbeat that follows; 0: it is the same as the last one, but for the sequence number.
+    /// Length of the heartbeat's text that follows; 0 if the heartbeat equals the machine's last one in all but the
+    /// sequence number.
     pub len: U32,
 }
 
@@ -198,7 +201,7 @@
     pub status: U16,
     /// Zero.
     pub unused: U16,
-    /// Length of the answer that follows; 0 with status 200: no commands.
+    /// Length of the answer that follows; 0 with status 200 means no commands.
     pub len: U32,
     /// Zero.
     pub unused2: U32,
--- a/src/wire/heartbeat_scan.rs
+++ b/src/wire/heartbeat_scan.rs
@@ -1,14 +1,15 @@
-//! What can be read of a heartbeat without parsing all of it: a controller that is not the leader forwards heartbeats,
-//! and the leader gets most of them unchanged.
+//! Extracts single fields of a heartbeat without parsing all of its JSON. This saves processor time on followers, which
+//! only forward heartbeats, and on the leader, since most heartbeats differ from the previous one only in their sequence
+//! number.
 //!
-//! The functions look for the first occurrence of a field's name. They return `None` for whatever they are not sure
-//! of; the heartbeat is then parsed.
+//! The functions search for the first occurrence of a field's name. They return `None` if the text has an unexpected
+//! form; the caller then parses the whole heartbeat.
 
 use super::frames::{HeartbeatRow, pad_name};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Who sent a heartbeat, and a digest that shows whether it differs from another one in more than its sequence number.
+/// The sender of a heartbeat, and a digest that shows whether two heartbeats differ in more than their sequence numbers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeartbeatSummary<'a> {
     /// Name of the machine.
@@ -17,12 +18,12 @@
     pub agent_epoch: u64,
     /// Its sequence number.
     pub sequence: u64,
-    /// Digest of all but the sequence number.
+    /// Digest of the heartbeat without its sequence number.
     pub digest: u128,
 }
 
 impl<'a> HeartbeatSummary<'a> {
-    /// The summary of a heartbeat's text; `None` if it has to be parsed.
+    /// Summarizes the text of a heartbeat; `None` if the text has to be parsed instead.
     pub fn of(body: &'a [u8]) -> Option<Self> {
         let (machine, agent_epoch) = heartbeat_machine_and_epoch(body)?;
         let field = find_field(body, b"\"tally\"")?;
@@ -38,7 +39,7 @@
         })
     }
 
-    /// The row of a batch; `None` if the machine's name is too long for it.
+    /// The heartbeat's row in a batch; `None` if the machine's name is too long for a row.
     pub fn row(&self) -> Option<HeartbeatRow> {
         Some(HeartbeatRow {
             digest: self.digest.into(),
@@ -51,7 +52,7 @@
     }
 }
 
-/// The machine that sent a heartbeat, and its agent epoch.
+/// The name of the machine that sent a heartbeat, and its agent epoch.
 pub fn heartbeat_machine_and_epoch(body: &[u8]) -> Option<(&str, u64)> {
     let text = find_field(body, b"\"host\"")?.value.strip_prefix(b"\"")?;
     let end = memchr::memchr2(b'"', b'\\', text)?;
@@ -70,16 +71,16 @@
     std::str::from_utf8(&text[..end]).ok()?.parse().ok()
 }
 
-/// Whether a heartbeat reports no task; false if that is not sure.
+/// Whether a heartbeat certainly reports no task; false also if the text has an unexpected form.
 pub fn reports_no_tasks(body: &[u8]) -> bool {
     find_field(body, b"\"parts\"").is_some_and(|field| field.value.starts_with(b"[]"))
 }
 
-/// What follows a field's name and colon.
+/// The position of a field's value.
 struct Field<'a> {
-    /// The text from the field's value on.
+    /// The text from the start of the value to the end of the heartbeat.
     value: &'a [u8],
-    /// Where that begins in the whole text.
+    /// Offset of the value in the heartbeat.
     start: usize,
 }
 
@@ -105,7 +106,7 @@
     digits: usize,
 }
 
-/// The whole number that a text begins with; `None` if it is not followed by the end of a JSON value.
+/// Parses the unsigned integer at the start of a text; `None` if no end of a JSON value follows it.
 fn leading_number(text: &[u8]) -> Option<LeadingNumber> {
     let digits = text.iter().take_while(|byte| byte.is_ascii_digit()).count();
     let is_complete = matches!(
--- a/src/wire/job_spec.rs
+++ b/src/wire/job_spec.rs
@@ -1,4 +1,4 @@
-//! A job as its user submits it, and the check of a submission.
+//! The description of a job as a user submits it, with its validation.
 
 use serde::{Deserialize, Deserializer, Serialize};
 use serde_json::Value;
@@ -6,22 +6,22 @@
 
 /// The most tasks of a job.
 const TASKS_PER_JOB_MAX: u64 = 100_000;
-/// The largest number that is taken for an amount or a time.
+/// The largest accepted value of an amount (cores, gigabytes) or a time (seconds).
 const AMOUNT_MAX: f64 = 1e9;
 /// The longest name of a class, a team or an image, in bytes.
 const NAME_BYTES_MAX: usize = 200;
-/// What the ids of jobs begin with.
+/// Prefix of every job id.
 const UID_PREFIX: &str = "wk-";
 /// The most characters of a job's id after its prefix.
 const UID_CHARS_MAX: usize = 60;
 
-/// Why a submission is not accepted. The text tells the user what to change, by the field's name on the wire.
+/// Why a submission is rejected. The text is sent to the user and refers to fields by their names on the wire.
 #[derive(Debug, thiserror::Error)]
 pub enum JobSpecError {
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("not JSON: {0}")]
     NotJson(serde_json::Error),
-    /// The body is JSON, but no object.
+    /// The body is JSON, but not an object.
     #[error("expected a JSON object")]
     NotAnObject,
     /// A field is missing, or has a value of another type.
@@ -48,23 +48,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs on what is left over.
+    /// Runs on capacity that no other job needs.
     Low,
-    /// The ordinary one.
+    /// Ordinary priority.
     Normal,
-    /// Goes before ordinary jobs.
+    /// Takes precedence over jobs of normal priority.
     High,
-    /// Goes before all others.
+    /// Takes precedence over all other jobs.
     Production,
 }
 
-/// How a job's tasks belong together.
+/// How a job's tasks depend on each other and when they end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum JobKind {
     /// Independent tasks, each of which runs to completion.
     Array,
-    /// Tasks that run to completion side by side, all or none.
+    /// Tasks that run to completion at the same time; either all of them are started or none (gang scheduling).
     #[serde(rename = "group")]
     Gang,
     /// Replicas that run until the job is cancelled.
@@ -72,31 +72,31 @@
     Service,
 }
 
-/// A job as its user submits it.
+/// The description of a job as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user; see [`is_valid_uid`].
+    /// The job's id, chosen by the user; [`is_valid_uid`] defines its form.
     pub uid: Arc<str>,
-    /// The class of jobs that it belongs to; the settings have objectives by class.
+    /// The class of jobs that it belongs to; the settings define objectives per class.
     #[serde(rename = "herd")]
     pub class: Arc<str>,
-    /// The team whose guarantee and limit apply.
+    /// The team whose guaranteed and maximum resources apply to it.
     #[serde(rename = "owner")]
     pub team: Arc<str>,
-    /// How its tasks belong together.
+    /// Kind of the job.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Its own priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// How many tasks it has, with indexes from 0.
+    /// Number of tasks; their indexes start at 0.
     #[serde(rename = "parts")]
     pub tasks: u64,
-    /// Cores that each task takes.
+    /// Cores per task.
     pub cores: f64,
-    /// Accelerators that each task takes.
+    /// Accelerators per task.
     pub accelerators: f64,
-    /// Memory that each task takes, in gigabytes.
+    /// Memory per task, in gigabytes.
     #[serde(rename = "memGb")]
     pub memory_gb: f64,
     /// The image that a machine must have before a task can start.
@@ -105,34 +105,35 @@
     /// Size of the image, in gigabytes.
     #[serde(rename = "sizeGb")]
     pub image_gb: f64,
-    /// The machine types that are allowed; `None`: any.
+    /// The allowed machine types; `None` allows all.
     #[serde(rename = "builds", default)]
     pub types: Option<Vec<String>>,
-    /// The only zone that is allowed; `None`: any.
+    /// The only allowed zone; `None` allows all.
     #[serde(rename = "paddock", default)]
     pub zone: Option<String>,
-    /// All tasks must be in the same zone.
+    /// Whether all tasks must be placed in the same zone.
     #[serde(rename = "together")]
     pub one_zone: bool,
-    /// At most half of the tasks, rounded up, may be in one zone.
+    /// Whether the tasks must be spread over zones: at most half of them, rounded up, may be in one zone.
     #[serde(rename = "apart")]
     pub spread: bool,
-    /// Its tasks may run on spot machines.
+    /// Whether its tasks may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// The user's estimate of a task's run time without the fetch of the image, in seconds; 0 for services.
+    /// The user's estimate of a task's run time, without fetching the image, in seconds; 0 for services.
     #[serde(rename = "guessS")]
     pub estimate_s: f64,
-    /// The interval of progress after which a task saves a checkpoint by itself, in seconds; 0: tasks never save.
+    /// The run time between two periodic checkpoints of a task, in seconds; 0 if its tasks never save checkpoints.
     #[serde(rename = "markS")]
     pub checkpoint_s: f64,
-    /// The time that a task takes to save when it is stopped, in seconds.
+    /// The time that a task takes to save a checkpoint when it is stopped, in seconds.
     #[serde(rename = "stashS")]
     pub save_s: f64,
-    /// When the job should be complete, in seconds from its submission; `None`: no deadline.
+    /// Deadline for the completion of the job, in seconds after its submission; `None` if it has none.
     #[serde(rename = "dueS", default)]
     pub deadline_s: Option<f64>,
-    /// Its dependencies: jobs that must be done before any task of this one starts, in order and each once.
+    /// Its dependencies: the ids of jobs that must be done before any task of this one starts. Sorted and without
+    /// duplicates.
     #[serde(
         rename = "waitsOn",
         default,
@@ -146,7 +147,7 @@
     Ok(Option::deserialize(deserializer)?.unwrap_or_default())
 }
 
-/// Whether a text has the form of a job's id: `wk-`, and then 1 to 60 letters or digits.
+/// Whether a text has the form of a job id: `wk-`, followed by 1 to 60 ASCII letters or digits.
 pub fn is_valid_uid(uid: &str) -> bool {
     uid.strip_prefix(UID_PREFIX).is_some_and(|rest| {
         (1..=UID_CHARS_MAX).contains(&rest.len())
@@ -155,11 +156,11 @@
 }
 
 impl JobSpec {
-    /// Reads and checks a submission.
+    /// Parses and validates a submission.
     ///
     /// # Errors
     ///
-    /// If it is no acceptable job. The text is the user's answer.
+    /// If the submission is not a valid job description. The error's text is sent to the user.
     pub fn parse(body: &[u8]) -> Result<Self, JobSpecError> {
         let value: Value = serde_json::from_slice(body).map_err(JobSpecError::NotJson)?;
         if !value.is_object() {
