--- a/benches/actors.rs
+++ b/benches/actors.rs
@@ -1,6 +1,7 @@
-//! What the leader's actors cost by the size of the fleet: a report that says nothing new, one that
-//! does, a placement, a pass that finds nothing to do, a takeover, the records of a save.
-//! `cargo bench --bench actors`; docs/results.md holds the figures and the growth read from them.
+//! Benchmarks of the leader's actors by number of machines or jobs: handling a repeated and a changed heartbeat, placement
+//! passes, a takeover, and encoding the stored job records.
+//!
+//! Run them with `cargo bench --bench actors`; docs/results.md holds the measured figures and how they grow.
 
 use dewramp::clock::{Micros, SECOND};
 use dewramp::job_record::JobRecord;
@@ -15,8 +16,10 @@
 use serde_json::json;
 use std::sync::Arc;
 
-const SIZES: [usize; 3] = [1_000, 4_000, 16_000];
-const JOBS: [usize; 2] = [1_000, 10_000];
+/// Numbers of machines.
+const MACHINE_COUNTS: [usize; 3] = [1_000, 4_000, 16_000];
+/// Numbers of live jobs.
+const JOB_COUNTS: [usize; 2] = [1_000, 10_000];
 
 fn main() {
     divan::main();
@@ -58,7 +61,7 @@
     .expect("the settings are valid")
 }
 
-fn types() -> Vec<MachineType> {
+fn machine_types() -> Vec<MachineType> {
     serde_json::from_value(json!([
         {"sku": "quad", "cores": 4, "memGb": 16, "cacheGb": 50, "fetchGbPerS": 0.25, "price": 0.27,
          "spotPrice": 0.07, "readyS": 35, "paddocks": ["a", "b"]},
@@ -67,7 +70,7 @@
     .expect("the types are valid")
 }
 
-fn spec(n: usize, tasks: usize) -> JobSpec {
+fn job_spec(n: usize, tasks: usize) -> JobSpec {
     let body = json!({"uid": format!("wk-{n}"), "herd": "episode", "owner": "red", "shape": "array",
         "urgency": "normal", "parts": tasks, "cores": 2.0, "accelerators": 0.0, "memGb": 4.0,
         "bundle": format!("img-{}", n % 16), "sizeGb": 1.2, "builds": null, "paddock": null,
@@ -76,27 +79,27 @@
     JobSpec::parse(body.to_string().as_bytes()).expect("the job is valid")
 }
 
-fn name(n: usize) -> Arc<str> {
+fn machine_name(n: usize) -> Arc<str> {
     format!("m-{n:06}").as_str().into()
 }
 
-fn body(n: usize, tally: u64, parts: &serde_json::Value) -> Vec<u8> {
-    json!({"host": name(n), "addr": format!("10.{}.{}.{}:9000", n >> 16, n >> 8 & 255, n & 255),
+fn heartbeat_body(n: usize, sequence: u64, tasks: &serde_json::Value) -> Vec<u8> {
+    json!({"host": machine_name(n), "addr": format!("10.{}.{}.{}:9000", n >> 16, n >> 8 & 255, n & 255),
            "build": if n % 4 == 0 { "furnace" } else { "quad" }, "paddock": if n % 2 == 0 { "a" } else { "b" },
-           "loaners": false, "stint": 1, "tally": tally, "baton": 1 << 24, "warningS": null,
-           "parts": parts})
+           "loaners": false, "stint": 1, "tally": sequence, "baton": 1 << 24, "warningS": null,
+           "parts": tasks})
     .to_string()
     .into_bytes()
 }
 
-fn row(body: &[u8]) -> HeartbeatRow {
+fn heartbeat_row(body: &[u8]) -> HeartbeatRow {
     HeartbeatSummary::of(body)
-        .and_then(|g| g.row())
-        .expect("a row")
+        .and_then(|summary| summary.row())
+        .expect("the heartbeat fits a row")
 }
 
-/// A leader's ledger in the middle of a day: two tasks run on each machine.
-struct World {
+/// The state of a leader: one task runs on each machine.
+struct LeaderFixture {
     now: Micros,
     settings: Settings,
     types: Vec<MachineType>,
@@ -105,8 +108,8 @@
     scheduler: Scheduler,
 }
 
-impl World {
-    /// Every machine runs a task of one of the jobs; so many tasks of each job wait.
+impl LeaderFixture {
+    /// Every machine runs a task of one of the jobs, and `waiting` tasks of each job are not placed.
     fn new(machines: usize, jobs: usize, waiting: usize) -> Self {
         let settings = settings();
         let layout = Schema {
@@ -114,9 +117,9 @@
             value_bytes: 16 * 1024,
             txn_ops: 24,
         };
-        let mut w = World {
+        let mut leader = LeaderFixture {
             now: SECOND,
-            types: types(),
+            types: machine_types(),
             table: JobTable::default(),
             workers: WorkerLedger::new(1, SECOND, 31 * SECOND, 5 * SECOND, Vec::new()),
             scheduler: Scheduler::new(&Properties::default(), &settings, layout, 1, SECOND),
@@ -124,26 +127,28 @@
         };
         let each = machines.div_ceil(jobs);
         for n in 0..jobs {
-            let record = JobRecord::new(spec(n, each + waiting), w.now, "n-1");
-            w.table.add(&record, n as u64 + 1);
+            let record = JobRecord::new(job_spec(n, each + waiting), leader.now, "n-1");
+            leader.table.add(&record, n as u64 + 1);
         }
         for n in 0..machines {
-            let parts = json!([{"part": format!("wk-{}/{}", n % jobs, n / jobs), "try": 1, "status": "running"}]);
-            let body = body(n, 1, &parts);
-            let report: Heartbeat = serde_json::from_slice(&body).expect("a report");
-            let digest = Some(row(&body).digest.get());
-            w.workers
-                .take_heartbeat(w.now, report, digest, None, &mut w.table);
-            if let Some(m) = w.workers.machines.get_mut(&name(n)) {
+            let tasks = json!([{"part": format!("wk-{}/{}", n % jobs, n / jobs), "try": 1, "status": "running"}]);
+            let body = heartbeat_body(n, 1, &tasks);
+            let heartbeat: Heartbeat =
+                serde_json::from_slice(&body).expect("the heartbeat is valid");
+            let digest = Some(heartbeat_row(&body).digest.get());
+            leader
+                .workers
+                .take_heartbeat(leader.now, heartbeat, digest, None, &mut leader.table);
+            if let Some(m) = leader.workers.machines.get_mut(&machine_name(n)) {
                 m.registered = true;
             }
         }
-        for e in std::mem::take(&mut w.workers.events) {
-            if let Some(job) = w.table.by_number.get_mut(&e.task.job) {
+        for e in std::mem::take(&mut leader.workers.events) {
+            if let Some(job) = leader.table.by_number.get_mut(&e.task.job) {
                 job.add_placement(e.task.index, &e.machine, e.attempt);
             }
         }
-        w
+        leader
     }
 
     fn place(&mut self) -> usize {
@@ -159,14 +164,14 @@
     }
 }
 
-/// A report that differs from the last one only in its count.
-#[divan::bench(args = SIZES)]
-fn report_at_rest(bencher: Bencher, machines: usize) {
-    let mut w = World::new(machines, 1_000, 0);
+/// Handles a heartbeat that differs from the previous one of its machine only in the sequence number.
+#[divan::bench(args = MACHINE_COUNTS)]
+fn repeated_heartbeat(bencher: Bencher, machines: usize) {
+    let mut leader = LeaderFixture::new(machines, 1_000, 0);
     let rows: Vec<HeartbeatRow> = (0..machines)
         .map(|n| {
-            let parts = json!([{"part": format!("wk-{}/{}", n % 1_000, n / 1_000), "try": 1, "status": "running"}]);
-            row(&body(n, 2, &parts))
+            let tasks = json!([{"part": format!("wk-{}/{}", n % 1_000, n / 1_000), "try": 1, "status": "running"}]);
+            heartbeat_row(&heartbeat_body(n, 2, &tasks))
         })
         .collect();
     let mut sequence = 2;
@@ -177,121 +182,123 @@
         at = (at + 7919) % rows.len();
         sequence += 1;
         black_box(
-            w.workers
-                .take_repeated_heartbeat(w.now, &row, None, &mut w.table),
+            leader
+                .workers
+                .take_repeated_heartbeat(leader.now, &row, None, &mut leader.table),
         )
     });
 }
 
-/// A report that brings something new, read from its text.
-#[divan::bench(args = SIZES)]
-fn report_with_news(bencher: Bencher, machines: usize) {
-    let mut w = World::new(machines, 1_000, 0);
+/// Parses and handles a heartbeat that reports a changed task.
+#[divan::bench(args = MACHINE_COUNTS)]
+fn changed_heartbeat(bencher: Bencher, machines: usize) {
+    let mut leader = LeaderFixture::new(machines, 1_000, 0);
     let mut sequence = 2;
     let mut at = 0;
     bencher.bench_local(move || {
         let status = if sequence % 2 == 0 { "saving" } else { "running" };
-        let parts = json!([{"part": format!("wk-{}/{}", at % 1_000, at / 1_000), "try": 1, "status": status}]);
-        let text = body(at, sequence, &parts);
+        let tasks = json!([{"part": format!("wk-{}/{}", at % 1_000, at / 1_000), "try": 1, "status": status}]);
+        let text = heartbeat_body(at, sequence, &tasks);
         at = (at + 7919) % machines;
         sequence += 1;
-        let report: Heartbeat = serde_json::from_slice(&text).expect("a report");
-        let answer = w.workers.take_heartbeat(w.now, report, None, None, &mut w.table);
-        w.workers.events.clear();
+        let heartbeat: Heartbeat = serde_json::from_slice(&text).expect("the heartbeat is valid");
+        let answer = leader.workers.take_heartbeat(leader.now, heartbeat, None, None, &mut leader.table);
+        leader.workers.events.clear();
         black_box(answer)
     });
 }
 
-/// A pass after one machine has changed, with work waiting that finds no room.
-#[divan::bench(args = SIZES)]
-fn pass_without_room(bencher: Bencher, machines: usize) {
-    let mut w = World::new(machines, 1_000, machines);
-    while w.place() > 0 {}
-    let id = name(machines / 2);
+/// A placement pass after a change of one machine, with waiting tasks for which there is no capacity.
+#[divan::bench(args = MACHINE_COUNTS)]
+fn placement_pass_without_capacity(bencher: Bencher, machines: usize) {
+    let mut leader = LeaderFixture::new(machines, 1_000, machines);
+    while leader.place() > 0 {}
+    let id = machine_name(machines / 2);
     bencher.bench_local(move || {
-        w.workers.mark_changed(&id);
-        black_box(w.place())
+        leader.workers.mark_changed(&id);
+        black_box(leader.place())
     });
 }
 
-/// Three hundred tasks of a job that has just come, on an idle part of the fleet.
-#[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
-fn burst_of_300(bencher: Bencher, machines: usize) {
+/// Places the 300 tasks of a new job on machines with free capacity.
+#[divan::bench(args = MACHINE_COUNTS, sample_count = 20, sample_size = 1)]
+fn placement_of_300_tasks(bencher: Bencher, machines: usize) {
     bencher
         .with_inputs(|| {
-            let mut w = World::new(machines, 1_000, 0);
-            w.place();
-            let record = JobRecord::new(spec(1_000_000, 300), w.now, "n-1");
-            w.table.add(&record, 1);
-            w
+            let mut leader = LeaderFixture::new(machines, 1_000, 0);
+            leader.place();
+            let record = JobRecord::new(job_spec(1_000_000, 300), leader.now, "n-1");
+            leader.table.add(&record, 1);
+            leader
         })
-        .bench_local_values(|mut w| {
-            assert!(black_box(w.place()) > 0);
-            w
+        .bench_local_values(|mut leader| {
+            assert!(black_box(leader.place()) > 0);
+            leader
         });
 }
 
-/// The order of the jobs alone: a pass over a fleet that is full.
-#[divan::bench(args = JOBS)]
-fn order_of_jobs(bencher: Bencher, jobs: usize) {
-    let mut w = World::new(1_000, jobs, 30);
-    while w.place() > 0 {}
-    bencher.bench_local(move || black_box(w.place()));
+/// A placement pass while all machines are full: the cost of ordering the jobs.
+#[divan::bench(args = JOB_COUNTS)]
+fn job_ordering(bencher: Bencher, jobs: usize) {
+    let mut leader = LeaderFixture::new(1_000, jobs, 30);
+    while leader.place() > 0 {}
+    bencher.bench_local(move || black_box(leader.place()));
 }
 
-/// A new leader's ledger: jobs and roll loaded, stored placements held, every machine heard once.
-#[divan::bench(args = SIZES, sample_count = 10, sample_size = 1)]
+/// Builds a new leader's state: loads the jobs and the machine registry, adds the stored placements as unconfirmed, and
+/// handles one heartbeat of every machine.
+#[divan::bench(args = MACHINE_COUNTS, sample_count = 10, sample_size = 1)]
 fn takeover(bencher: Bencher, machines: usize) {
-    let old = World::new(machines, 1_000, 0);
+    let old = LeaderFixture::new(machines, 1_000, 0);
     let records: Vec<JobRecord> = old.table.by_number.values().map(|j| j.record()).collect();
-    let reports: Vec<Heartbeat> = (0..machines)
+    let heartbeats: Vec<Heartbeat> = (0..machines)
         .map(|n| {
-            let parts = json!([{"part": format!("wk-{}/{}", n % 1_000, n / 1_000), "try": 1, "status": "running"}]);
-            serde_json::from_slice(&body(n, 9, &parts)).expect("a report")
+            let tasks = json!([{"part": format!("wk-{}/{}", n % 1_000, n / 1_000), "try": 1, "status": "running"}]);
+            serde_json::from_slice(&heartbeat_body(n, 9, &tasks)).expect("the heartbeat is valid")
         })
         .collect();
     bencher
-        .with_inputs(|| reports.clone())
-        .bench_local_values(|reports| {
+        .with_inputs(|| heartbeats.clone())
+        .bench_local_values(|heartbeats| {
             let mut table = JobTable::default();
             let mut workers = WorkerLedger::new(1, SECOND, 31 * SECOND, 5 * SECOND, Vec::new());
-            for r in &reports {
+            for heartbeat in &heartbeats {
                 workers.add_registered_machine(
-                    r.machine.clone(),
-                    &r.address,
-                    &r.machine_type,
-                    &r.zone,
+                    heartbeat.machine.clone(),
+                    &heartbeat.address,
+                    &heartbeat.machine_type,
+                    &heartbeat.zone,
                     false,
                     SECOND,
                 );
             }
             for record in &records {
                 let job = table.add(record, 1);
-                for (machine, parts) in &record.placed {
-                    for part in parts.iter().flat_map(|(a, b)| *a..*b) {
+                for (machine, ranges) in &record.placed {
+                    for index in ranges.iter().flat_map(|(start, end)| *start..*end) {
                         workers.add_unconfirmed(
                             machine,
-                            TaskId { job, index: part },
+                            TaskId { job, index },
                             &record.spec,
                             SECOND,
                         );
                     }
                 }
             }
-            for r in reports {
-                workers.take_heartbeat(2 * SECOND, r, None, None, &mut table);
+            for heartbeat in heartbeats {
+                workers.take_heartbeat(2 * SECOND, heartbeat, None, None, &mut table);
             }
             black_box(workers.events.len())
         });
 }
 
-/// What is written of all live jobs once.
-#[divan::bench(args = JOBS)]
-fn records_of_a_save(bencher: Bencher, jobs: usize) {
-    let w = World::new(4_000, jobs, 0);
-    let layout = w.scheduler.schema;
+/// Encodes the stored records of all live jobs once.
+#[divan::bench(args = JOB_COUNTS)]
+fn job_record_encoding(bencher: Bencher, jobs: usize) {
+    let leader = LeaderFixture::new(4_000, jobs, 0);
+    let layout = leader.scheduler.schema;
     bencher.bench_local(move || {
-        let jobs = w.table.by_number.values();
+        let jobs = leader.table.by_number.values();
         let values = jobs.filter_map(|j| layout.encode_job(&j.record()));
         black_box(values.map(|v| v.request_bytes()).sum::<usize>())
     });
