--- a/src/controller/persistence.rs
+++ b/src/controller/persistence.rs
@@ -1,9 +1,9 @@
-//! Saves what changed of jobs to the state service.
+//! Saves changed jobs to the state service.
 //!
-//! Every save is one transaction guarded by the leader key and the revision of each job in it. Two
-//! orders hold at this door: a start is sent to its machine only once its placement is stored, and
-//! a worker may drop the record of a finished attempt only once the completion is stored. After a
-//! save with an unknown outcome a job is read again before anything else is written of it.
+//! Every save is one transaction whose preconditions are the revisions of the leader key and of each
+//! job in it. Two rules hold: a start command is sent to its machine only after the placement is
+//! stored, and a worker may drop the record of a finished attempt only after the completion is
+//! stored. After a save with an unknown outcome, the job is read again before its next save.
 
 use super::leader::LeaderState;
 use super::state_replies::job_key;
@@ -25,47 +25,49 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// A change that only says how far a job is may be saved after this, if budget is left over.
-const LAZY_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
-/// Such a change waits at most this long for budget to be left over.
-const LAZY_SAVE_DELAY_MAX: Micros = 20 * SECOND;
-/// With this many writes of the leader queued, changes are collected instead.
+/// A change that only concerns a job's progress is saved after this time if request budget is left.
+const PROGRESS_SAVE_DELAY: Micros = 1_500 * MILLISECOND;
+/// Such a change is saved after this time at the latest.
+const PROGRESS_SAVE_DELAY_MAX: Micros = 20 * SECOND;
+/// No save is sent while this many of the leader's requests are queued.
 const QUEUED_SAVES_MAX: usize = 2;
 /// Size at which a transaction is full, in bytes.
 const TRANSACTION_BYTES_MAX: usize = 56 * 1024;
-/// The share of a second's changes that one transaction may have.
+/// The largest share of the changes allowed per second that one transaction may have.
 const CHANGE_RATE_SHARE: f64 = 0.25;
-/// The fewest changes a transaction may have: what a final state takes.
+/// Lower bound of that limit, in changes: storing a final state takes two.
 const TRANSACTION_CHANGES_MIN: usize = 2;
 
-/// What a save has written of one job.
+/// The part of a save in flight that concerns one job.
 #[derive(Clone, Debug)]
 pub(super) struct PendingSave {
     /// The job, by its number in the table.
     number: u32,
-    /// The job's final state is written.
+    /// Whether the job's final state is written.
     finished: bool,
     /// The tasks whose completion is written.
     done: RangeSet<u32>,
-    /// The starts that are written, by machine, task and attempt; they may be sent once stored.
+    /// The starts whose placements are written: machine, task and attempt. They may be sent once the
+    /// save is applied.
     starts: Vec<(Arc<str>, TaskId, u64)>,
-    /// How many chunks belong to the header written.
+    /// Number of chunks that belong to the written header.
     chunks: usize,
-    /// The time of day that a final state written gives, in microseconds.
+    /// The time of day that the written final state gives as the job's end, in microseconds.
     finished_at: Micros,
 }
 
-/// A job to be saved; the greatest is saved first.
+/// A job to be saved. The order of the fields is the order of precedence; the greatest is saved
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueSave {
-    /// It is over, and others wait for its end.
-    frees_dependents: bool,
-    /// It is over.
+    /// Whether the job has finished and other jobs wait for its end.
+    releases_dependents: bool,
+    /// Whether the job has finished.
     finishes: bool,
-    /// Starts or an end wait for the save.
+    /// Whether starts, or the end of the job, wait for the save.
     urgent: bool,
     priority: Priority,
-    /// Since when it has changed.
+    /// Since when the job differs from its stored record.
     since: Reverse<Micros>,
     number: u32,
 }
@@ -75,14 +77,14 @@
     schema: Schema,
     /// The most changes that a transaction of this round may have.
     changes_per_txn: usize,
-    /// Changes that are left over by everything more urgent.
+    /// The changes that the request budget allows beyond more urgent requests.
     spare_changes: f64,
 }
 
 /// A transaction that is being filled.
 struct SaveBatch {
     txn: Transaction,
-    items: Vec<PendingSave>,
+    saves: Vec<PendingSave>,
     bytes: usize,
 }
 
@@ -90,66 +92,67 @@
     fn new(leader_key_revision: u64) -> Self {
         Self {
             txn: Transaction::default().require_revision(LEADER_KEY, leader_key_revision),
-            items: Vec::new(),
+            saves: Vec::new(),
             bytes: 0,
         }
     }
 }
 
-/// What is to be written of one job.
+/// The values to be written for one job.
 struct JobValues {
-    over: bool,
-    values: StoredValues,
-    /// Chunks of an earlier, larger record that are deleted along.
-    surplus: Range<usize>,
+    /// Whether the job has finished: its final state is written and its live record deleted.
+    finished: bool,
+    stored_values: StoredValues,
+    /// Numbers of the chunks of an earlier, larger record that are deleted in the same transaction.
+    surplus_chunks: Range<usize>,
 }
 
 impl JobValues {
-    /// Encodes the job; none if it can't be stored under the limits.
+    /// Encodes the job; `None` if its record does not fit the limits.
     fn encode(job: &Job, schema: &Schema, now: Now) -> Option<Self> {
         let record = job.record();
-        let over = job.is_done();
-        let values = if over {
+        let finished = job.is_done();
+        let stored_values = if finished {
             let end = record.finish("done", now.wall).fit(schema.usable_bytes());
             StoredValues::single(raw(&end))
         } else {
             schema.encode_job(&record)?
         };
-        let chunks = values.chunks.len();
-        // Surplus chunks beyond the limit are swept up later.
-        let room = schema.txn_ops - if over { 2 } else { 1 + chunks };
-        let surplus = chunks..job.chunks.min(chunks + room);
+        let chunks = stored_values.chunks.len();
+        // Surplus chunks beyond the transaction's limit are deleted later as orphaned chunks.
+        let room = schema.txn_ops - if finished { 2 } else { 1 + chunks };
+        let surplus_chunks = chunks..job.chunks.min(chunks + room);
         Some(Self {
-            over,
-            values,
-            surplus,
+            finished,
+            stored_values,
+            surplus_chunks,
         })
     }
 
-    /// How many changes of a transaction it takes.
+    /// Number of changes that this adds to a transaction.
     fn changes(&self) -> usize {
-        let writes = if self.over {
+        let writes = if self.finished {
             2
         } else {
-            1 + self.values.chunks.len()
+            1 + self.stored_values.chunks.len()
         };
-        writes + self.surplus.len()
+        writes + self.surplus_chunks.len()
     }
 
-    /// Adds the changes to a transaction, guarded by the job's revision.
+    /// Adds the changes to a transaction, with the job's revision as a precondition.
     fn add_to(self, txn: Transaction, uid: &str, mod_revision: u64) -> Transaction {
         let mut txn = txn.require_revision(live_key(uid), mod_revision);
-        txn = if self.over {
+        txn = if self.finished {
             txn.require_revision(finished_key(uid), 0)
                 .delete(live_key(uid))
-                .set_raw(finished_key(uid), self.values.header)
+                .set_raw(finished_key(uid), self.stored_values.header)
         } else {
-            txn.set_raw(live_key(uid), self.values.header)
+            txn.set_raw(live_key(uid), self.stored_values.header)
         };
-        for (number, value) in self.values.chunks.into_iter().enumerate() {
+        for (number, value) in self.stored_values.chunks.into_iter().enumerate() {
             txn = txn.set_raw(chunk_key(uid, number), value);
         }
-        for number in self.surplus {
+        for number in self.surplus_chunks {
             txn = txn.delete(chunk_key(uid, number));
         }
         txn
@@ -157,8 +160,8 @@
 }
 
 impl Controller {
-    /// Saves what changed of jobs: ends first, then starts that wait for it, in the order of
-    /// priority, and what only says how far a job is when budget is left over.
+    /// Saves changed jobs: finished jobs first, then jobs whose starts wait for the save, in the order
+    /// of priority. Changes that only concern progress are saved when request budget is left.
     pub(super) fn save_jobs(&mut self) {
         let now = self.now;
         let spare_changes = self.state.spare_changes();
@@ -166,7 +169,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // While earlier writes wait, more comes together in each record.
+        // While earlier requests are queued, further changes are collected for the next save.
         if self.state.queued(RequestPriority::Leader) >= QUEUED_SAVES_MAX {
             leader_state.schedule.request_save();
             return;
@@ -183,7 +186,7 @@
             self.request_state(
                 StateRequest::SaveJobs {
                     term,
-                    items: batch.items,
+                    saves: batch.saves,
                 },
                 Op::Transaction(batch.txn),
                 LEADER_REQUEST_TIMEOUT,
@@ -192,7 +195,7 @@
         self.apply_ledger_events();
     }
 
-    /// The jobs that are to be saved, the most pressing first.
+    /// The jobs that are due to be saved, the most urgent first.
     fn due_saves(leader_state: &LeaderState, limits: &SaveLimits, now: Micros) -> Vec<DueSave> {
         let mut due = Vec::new();
         for job in leader_state.jobs.by_number.values() {
@@ -200,13 +203,14 @@
                 continue;
             }
             let changed_for = |delay| job.dirty_since.is_some_and(|since| now >= since + delay);
-            let lazy = changed_for(LAZY_SAVE_DELAY)
+            let lazy = changed_for(PROGRESS_SAVE_DELAY)
                 && limits.spare_changes > limits.changes_per_txn as f64;
-            if job.save_urgent || changed_for(LAZY_SAVE_DELAY_MAX) || lazy {
+            if job.save_urgent || changed_for(PROGRESS_SAVE_DELAY_MAX) || lazy {
                 let finishes = job.save_urgent && job.is_done();
                 let uid = &job.spec.uid;
                 due.push(DueSave {
-                    frees_dependents: finishes && leader_state.pipelines.has_dependents(uid),
+                    releases_dependents: finishes
+                        && leader_state.dependency_graph.has_dependents(uid),
                     finishes,
                     urgent: job.save_urgent,
                     priority: job.priority(),
@@ -219,7 +223,7 @@
         due
     }
 
-    /// Fills transactions with the jobs to be saved, as far as the budget goes.
+    /// Builds the transactions that save the due jobs, within the request budget.
     fn build_saves(
         leader_state: &mut LeaderState,
         limits: &SaveLimits,
@@ -237,14 +241,14 @@
                 leader_state.schedule.request_save();
                 break;
             }
-            let Some(values) = JobValues::encode(job, &limits.schema, now) else {
+            let Some(job_values) = JobValues::encode(job, &limits.schema, now) else {
                 if Self::withdraw_unsaved_starts(&mut leader_state.workers, job, now.steady) {
                     leader_state.schedule.request_save();
                 }
                 continue;
             };
-            let bytes = values.values.request_bytes();
-            let changes = values.changes();
+            let bytes = job_values.stored_values.request_bytes();
+            let changes = job_values.changes();
             changes_left -= changes as f64;
             if let Some(last) = &batch
                 && (last.txn.changes.len() + changes > limits.changes_per_txn
@@ -255,15 +259,15 @@
             let mut filled = batch
                 .take()
                 .unwrap_or_else(|| SaveBatch::new(leader_key_revision));
-            filled.items.push(PendingSave {
+            filled.saves.push(PendingSave {
                 number: job.number,
-                finished: values.over,
+                finished: job_values.finished,
                 done: job.done.clone(),
                 starts: std::mem::take(&mut job.unsaved_starts),
-                chunks: values.values.chunks.len(),
+                chunks: job_values.stored_values.chunks.len(),
                 finished_at: now.wall,
             });
-            filled.txn = values.add_to(filled.txn, &job.spec.uid, job.mod_revision);
+            filled.txn = job_values.add_to(filled.txn, &job.spec.uid, job.mod_revision);
             filled.bytes += bytes;
             batch = Some(filled);
             job.save_in_flight = true;
@@ -274,8 +278,9 @@
         full
     }
 
-    /// The limits have become lower than what the job takes: starts not stored yet are withdrawn,
-    /// and the rest shrinks as its tasks end. Returns whether there were such starts.
+    /// Withdraws the starts of a job that are not stored yet, since its record exceeds the limits of
+    /// the state service, which have become lower. The record shrinks as tasks of the job end.
+    /// Returns whether any start was withdrawn.
     fn withdraw_unsaved_starts(workers: &mut WorkerLedger, job: &mut Job, now: Micros) -> bool {
         job.dirty_since = Some(now);
         job.save_urgent = false;
@@ -287,26 +292,26 @@
     }
 
     /// Handles the reply to a save.
-    pub(super) fn jobs_saved(&mut self, items: Vec<PendingSave>, reply: Reply) {
+    pub(super) fn jobs_saved(&mut self, saves: Vec<PendingSave>, reply: Reply) {
         match reply {
-            Reply::Applied { revision } => self.save_applied(items, revision),
-            Reply::Conflict { failed } => self.save_conflicted(items, &failed),
-            Reply::Unavailable => self.save_not_sent(items),
+            Reply::Applied { revision } => self.save_applied(saves, revision),
+            Reply::Conflict { failed } => self.save_conflicted(saves, &failed),
+            Reply::Unavailable => self.save_not_sent(saves),
             other => {
                 if let Reply::Refused(reason) = &other {
                     log::error!("the state service refused a save reason={reason}");
                 }
-                self.save_outcome_unknown(items);
+                self.save_outcome_unknown(saves);
             }
         }
     }
 
-    fn save_applied(&mut self, items: Vec<PendingSave>, revision: u64) {
+    fn save_applied(&mut self, saves: Vec<PendingSave>, revision: u64) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for item in items {
+        for item in saves {
             let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) else {
                 continue;
             };
@@ -315,13 +320,13 @@
             job.chunks = item.chunks;
             job.stored_done = item.done;
             for (machine, task, attempt) in item.starts {
-                // Checked once more where starts are released: nothing runs before everything
-                // that its job depends on is done.
+                // A second check of the rule that no task starts before all dependencies of its job
+                // are done.
                 if !job.waits_for_dependencies() {
                     leader_state.workers.confirm_stored(&machine, task, attempt);
                 }
             }
-            Self::acknowledge_stored_ends(&mut leader_state.workers, job);
+            Self::acknowledge_stored_completions(&mut leader_state.workers, job);
             if item.finished {
                 let uid = job.spec.uid.clone();
                 let end = job.record().finish("done", item.finished_at);
@@ -330,21 +335,22 @@
                     .cache_final_state(&uid, final_body(&uid, &end));
                 if let Some(job) = leader_state.jobs.remove(&uid) {
                     Self::stop_all_tasks(&mut leader_state.workers, &job);
-                    Self::acknowledge_all_ends(&mut leader_state.workers, &job);
+                    Self::acknowledge_all_attempts(&mut leader_state.workers, &job);
                 }
                 Self::dependency_finished(leader_state, now, &uid, &end);
             }
         }
     }
 
-    /// A precondition failed: nothing was written. Jobs whose own keys have changed are read again.
-    fn save_conflicted(&mut self, items: Vec<PendingSave>, failed: &[String]) {
+    /// Handles a save of which a precondition failed, so that nothing was written. Jobs whose own keys
+    /// have changed are read again.
+    fn save_conflicted(&mut self, saves: Vec<PendingSave>, failed: &[String]) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let mut reread = Vec::new();
-        for item in items {
+        for item in saves {
             let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) else {
                 continue;
             };
@@ -362,19 +368,20 @@
             }
         }
         if failed.iter().any(|path| path == LEADER_KEY) {
-            // The watch of the leader key says the same; until then nothing is stored.
-            log::info!("a save found another leader key");
+            // The watch of the leader key reports the change as well; until then every save fails.
+            log::info!("save not applied: the leader key has changed");
         }
         for uid in reread {
             self.reread_job(uid, false);
         }
     }
 
-    fn save_not_sent(&mut self, items: Vec<PendingSave>) {
+    /// Makes the jobs of a save that was not sent due again.
+    fn save_not_sent(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for item in items {
+        for item in saves {
             if let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) {
                 job.save_in_flight = false;
                 job.save_urgent = true;
@@ -383,16 +390,17 @@
         }
     }
 
-    /// The save may have been applied, or be applied later: the jobs' revisions will show it.
-    fn save_outcome_unknown(&mut self, items: Vec<PendingSave>) {
+    /// Handles a save whose outcome is unknown: it may have been applied, or may be applied later. The
+    /// jobs are read again, since their revisions show whether it was.
+    fn save_outcome_unknown(&mut self, saves: Vec<PendingSave>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let mut reread = Vec::new();
-        for item in items {
+        for item in saves {
             if let Some(job) = leader_state.jobs.by_number.get_mut(&item.number) {
                 job.save_in_flight = false;
-                // As many as may be stored now: the next save removes those in excess.
+                // The largest number of chunks that may be stored; the next save deletes the surplus.
                 job.chunks = job.chunks.max(item.chunks);
                 job.unsaved_starts.extend(item.starts);
                 reread.push(job.spec.uid.clone());
@@ -403,8 +411,9 @@
         }
     }
 
-    /// Reads what is stored of a job; nothing is saved of it until that is known.
-    pub(super) fn reread_job(&mut self, uid: Arc<str>, over: bool) {
+    /// Reads the stored record of a job again; the job is not saved before the reply arrives. If
+    /// `finished` is set, reads its final state instead of its live record.
+    pub(super) fn reread_job(&mut self, uid: Arc<str>, finished: bool) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -412,19 +421,23 @@
         if let Some(job) = leader_state.jobs.get_mut(&uid) {
             job.reread_pending = true;
         }
-        let op = Op::Get(job_key(&uid, over));
-        let request = StateRequest::RereadJob { term, uid, over };
+        let op = Op::Get(job_key(&uid, finished));
+        let request = StateRequest::RereadJob {
+            term,
+            uid,
+            finished,
+        };
         self.request_state(request, op, LEADER_REQUEST_TIMEOUT);
     }
 
-    /// Handles what is stored of a job whose save had an unknown outcome.
-    pub(super) fn job_reread(&mut self, uid: &Arc<str>, over: bool, reply: Reply) {
+    /// Handles the reply to the read of a job after a save that failed or had an unknown outcome.
+    pub(super) fn job_reread(&mut self, uid: &Arc<str>, finished: bool, reply: Reply) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         match reply {
-            Reply::Item(item) if !over => {
+            Reply::Item(item) if !finished => {
                 if let Some(job) = leader_state.jobs.get_mut(uid) {
                     job.reread_pending = false;
                     job.mod_revision = item.mod_revision;
@@ -436,7 +449,7 @@
                 let end = match serde_json::from_str::<FinalState>(item.value.get()) {
                     Ok(end) => end,
                     Err(error) => {
-                        // It proves nothing; reading it again is all that can be done.
+                        // An unreadable final state does not show how the job ended; it is read again.
                         log::error!(
                             "stored final state unreadable key={} error={error}",
                             item.path
@@ -444,17 +457,18 @@
                         return self.reread_job(uid.clone(), false);
                     }
                 };
-                Self::stored_end_found(leader_state, now, uid, &end);
+                Self::stored_final_state_found(leader_state, now, uid, &end);
             }
-            Reply::Absent if !over => self.reread_job(uid.clone(), true),
-            // Neither live nor over can't be; it is read again.
+            Reply::Absent if !finished => self.reread_job(uid.clone(), true),
+            // The read failed, or found neither the live record nor the final state, although every
+            // job has one of the two. The job is read again.
             _ => self.reread_job(uid.clone(), false),
         }
         self.apply_ledger_events();
     }
 
-    /// A job that the leader holds as live turns out to be over.
-    fn stored_end_found(
+    /// Handles the stored final state of a job that the leader holds as live.
+    fn stored_final_state_found(
         leader_state: &mut LeaderState,
         now: Micros,
         uid: &Arc<str>,
@@ -464,7 +478,7 @@
         if end.is_done() {
             if let Some(job) = leader_state.jobs.remove(uid) {
                 Self::stop_all_tasks(&mut leader_state.workers, &job);
-                Self::acknowledge_all_ends(&mut leader_state.workers, &job);
+                Self::acknowledge_all_attempts(&mut leader_state.workers, &job);
             }
         } else {
             if let Some(job) = leader_state.jobs.get_mut(uid) {
@@ -474,8 +488,9 @@
         }
     }
 
-    /// Lets workers drop the records of attempts whose completion is stored.
-    pub(super) fn acknowledge_stored_ends(workers: &mut WorkerLedger, job: &mut Job) {
+    /// Allows the acknowledgement of attempts whose completion is stored, so that workers drop their
+    /// records of them.
+    pub(super) fn acknowledge_stored_completions(workers: &mut WorkerLedger, job: &mut Job) {
         let (number, stored) = (job.number, &job.stored_done);
         job.unacknowledged.retain(|(machine, index, attempt)| {
             let waits = !stored.contains(index);
@@ -490,9 +505,9 @@
         });
     }
 
-    /// Lets workers drop the records of all attempts of a job that is over: nothing depends on
-    /// them any more.
-    pub(super) fn acknowledge_all_ends(workers: &mut WorkerLedger, job: &Job) {
+    /// Allows the acknowledgement of all attempts of a finished job, so that workers drop their
+    /// records of them.
+    pub(super) fn acknowledge_all_attempts(workers: &mut WorkerLedger, job: &Job) {
         for (machine, index, attempt) in &job.unacknowledged {
             let task = TaskId {
                 job: job.number,
