--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -178,7 +178,8 @@
         if self.leader_state.is_some() {
             return;
         }
-        if !self.properties.follow || standby.rank.is_none() || standby.changes_unavailable {
+        if !self.properties.may_be_standby || standby.rank.is_none() || standby.changes_unavailable
+        {
             if standby.replica.key_count() > 0 {
                 self.reset_replica();
             }
@@ -579,7 +580,7 @@
         let standby = &self.standby;
         let cold_reason = if self.leader_state.is_some() {
             Some("leading")
-        } else if !self.properties.follow {
+        } else if !self.properties.may_be_standby {
             Some("standby.follow=0")
         } else if standby.rank.is_none() {
             Some("others follow")
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -113,7 +113,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Timing of worker agents.
-    pub workers: WorkerLimits,
+    pub workers: WorkerTiming,
     /// The limits of the key-value store.
     pub state: StateLimits,
     /// The limits of the cloud provider.
@@ -164,9 +164,10 @@
 
 /// Timing of worker agents.
 #[derive(Clone, Debug, Deserialize)]
-pub struct WorkerLimits {
+pub struct WorkerTiming {
     /// The time between two heartbeats of a worker, in seconds.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_period_s: f64,
     /// TTL of a worker's lease in seconds, counted from the sending of the last heartbeat that was answered. The worker
     /// ends its tasks when the lease expires.
     pub lease_s: f64,
@@ -322,7 +323,7 @@
 
     /// The time between two heartbeats of a worker.
     pub fn heartbeat_period(&self) -> Micros {
-        from_secs(self.deployment.workers.report_s)
+        from_secs(self.deployment.workers.heartbeat_period_s)
     }
 
     /// A warning about a guarantee that these settings make impossible, in one line that says what to change.
@@ -350,7 +351,7 @@
 
 impl Deployment {
     fn check_rates(&self) -> Result<(), SettingsError> {
-        check_positive("settings.workers.report_s", self.workers.report_s)?;
+        check_positive("settings.workers.report_s", self.workers.heartbeat_period_s)?;
         check_positive("settings.workers.lease_s", self.workers.lease_s)?;
         check_positive("settings.workers.cancel_s", self.workers.cancel_s)?;
         check_positive("settings.state.rps", self.state.rps)?;
@@ -441,7 +442,7 @@
     /// Exponent of the fairness weight in the order of jobs (β).
     pub fairness_exponent: f64,
     /// Length of a pheromone round, at whose end pheromone evaporates and is deposited.
-    pub round: Micros,
+    pub pheromone_round: Micros,
     /// The longest TTL of the leader's lease.
     pub leader_ttl: Micros,
     /// The shortest TTL of the leader's lease.
@@ -449,7 +450,7 @@
     /// A rented machine is released after it has been idle for this long.
     pub idle_release_timeout: Micros,
     /// Whether this controller may replicate the leader's state as a standby.
-    pub follow: bool,
+    pub may_be_standby: bool,
     /// Seed of the scheduler's random numbers; 0 takes the incarnation id of the process, which differs on each start.
     pub seed: u64,
 }
@@ -459,11 +460,11 @@
         Self {
             evaporation: 0.5,
             fairness_exponent: 0.2,
-            round: 10 * SECOND,
+            pheromone_round: 10 * SECOND,
             leader_ttl: 3 * SECOND,
             leader_ttl_min: 1_500 * MILLISECOND,
             idle_release_timeout: 600 * SECOND,
-            follow: true,
+            may_be_standby: true,
             seed: 0,
         }
     }
@@ -502,9 +503,9 @@
         match name {
             "scheduler.evaporation" => self.evaporation = number(0.0, 1.0)?,
             "scheduler.fairness-exponent" => self.fairness_exponent = number(0.0, 10.0)?,
-            "scheduler.round-seconds" => self.round = from_secs(number(0.1, 3600.0)?),
+            "scheduler.round-seconds" => self.pheromone_round = from_secs(number(0.1, 3600.0)?),
             "scheduler.seed" => self.seed = number(0.0, 9e15)? as u64,
-            "standby.follow" => self.follow = number(0.0, 1.0)? > 0.0,
+            "standby.follow" => self.may_be_standby = number(0.0, 1.0)? > 0.0,
             "leader.ttl-seconds" => self.leader_ttl = from_secs(number(1.0, 600.0)?),
             "leader.ttl-min-seconds" => self.leader_ttl_min = from_secs(number(1.0, 600.0)?),
             "cloud.idle-return-seconds" => self.idle_release_timeout = from_secs(number(1.0, 1e6)?),
--- a/tests/suite/previous_build.rs
+++ b/tests/suite/previous_build.rs
@@ -187,7 +187,11 @@
     );
     let workers = &deployment.workers;
     assert_eq!(
-        (workers.report_s, workers.lease_s, workers.cancel_s),
+        (
+            workers.heartbeat_period_s,
+            workers.lease_s,
+            workers.cancel_s
+        ),
         (3.0, 31.0, 51.0)
     );
     let state = &deployment.state;
@@ -220,14 +224,14 @@
     let seconds = |time: Micros| time / SECOND;
     assert_eq!(
         (
-            seconds(properties.round),
+            seconds(properties.pheromone_round),
             seconds(properties.idle_release_timeout)
         ),
         (20, 300)
     );
     assert_eq!(properties.leader_ttl, 4_000 * MILLISECOND);
     assert_eq!(properties.leader_ttl_min, 2_000 * MILLISECOND);
-    assert_eq!((properties.follow, properties.seed), (false, 11));
+    assert_eq!((properties.may_be_standby, properties.seed), (false, 11));
 }
 
 /// Rows and numbers of frames, as the previous build laid them out: both builds exchange them during an upgrade.
