--- a/benches/actors.rs
+++ b/benches/actors.rs
@@ -181,11 +181,12 @@
         row.sequence = sequence.into();
         at = (at + 7919) % rows.len();
         sequence += 1;
-        black_box(
-            leader
-                .workers
-                .handle_repeated_heartbeat(leader.now, &row, None, &mut leader.table),
-        )
+        black_box(leader.workers.handle_repeated_heartbeat(
+            leader.now,
+            &row,
+            None,
+            &mut leader.table,
+        ))
     });
 }
 
