--- a/src/net.rs
+++ b/src/net.rs
@@ -429,7 +429,7 @@
     fn evict_idle_incoming(&mut self) -> bool {
         let oldest = self.idle_incoming.first();
         let abandoned = oldest.filter(|(since, _)| self.now >= since + self.abandoned_after);
-        let found = abandoned.or(self.idle_incoming.last()).map(|(_, id)| *id);
+        let found = abandoned.or(self.idle_incoming.last()).map(|entry| entry.1);
         if let Some(id) = found {
             self.traffic.evicted += 1;
             self.close(id);
