--- a/crates/drill/src/generate.rs
+++ b/crates/drill/src/generate.rs
@@ -583,18 +583,18 @@
     if matches!(
         scenario.injected_fault(),
         Some(
-            InjectedFault::KnowledgeNeverAges
-                | InjectedFault::RegainedUnseen
-                | InjectedFault::HearingAssumed
-                | InjectedFault::CopyTaken
-                | InjectedFault::AbsenceTrusted
-                | InjectedFault::PlacementShownEarly
+            InjectedFault::CancellationsNeverStale
+                | InjectedFault::CatchUpSkippedAfterRegain
+                | InjectedFault::ReachabilityAssumed
+                | InjectedFault::DuplicateHeartbeatAccepted
+                | InjectedFault::AbsentKeyAssumedUnwritten
+                | InjectedFault::PlacementMatchedBeforeConfirmation
         )
     ) {
         scenario = draw_combinations_of(seed, COMBINABLE_FAULTS_FOR_INJECTED_FAULTS)?;
         scenario.planted = Some(bug.to_owned());
     }
-    if scenario.injected_fault() == Some(InjectedFault::RegainedUnseen) {
+    if scenario.injected_fault() == Some(InjectedFault::CatchUpSkippedAfterRegain) {
         // The watch hangs, and before that is noticed, a short outage comes that all leases survive.
         scenario = draw_combinations_of(seed & !1, COMBINABLE_FAULTS_FOR_INJECTED_FAULTS)?;
         (scenario.seed, scenario.planted) = (seed, Some(bug.to_owned()));
@@ -610,7 +610,7 @@
                 .push(Fault::new(at, FaultKind::StateOutage).with_duration(4.0));
         }
     }
-    if scenario.injected_fault() == Some(InjectedFault::PlacementShownEarly) {
+    if scenario.injected_fault() == Some(InjectedFault::PlacementMatchedBeforeConfirmation) {
         // Many tasks are stopped and started again on the same machines; then duplicates of old heartbeats reach
         // the new leader before current ones.
         for c in &mut scenario.classes {
@@ -629,13 +629,13 @@
             scenario.faults.extend([duplicates, cut, crash]);
         }
     }
-    if scenario.injected_fault() == Some(InjectedFault::AbsenceTrusted) {
+    if scenario.injected_fault() == Some(InjectedFault::AbsentKeyAssumedUnwritten) {
         // The write arrives late enough for the repeated submission to be accepted and done before.
         let mut loses = Fault::new(20.0, FaultKind::StateLoses).with_duration(40.0);
         (loses.share, loses.late_s) = (Some(0.4), Some(40.0));
         scenario.faults.insert(0, loses);
     }
-    if scenario.injected_fault() == Some(InjectedFault::MirrorUnchecked) {
+    if scenario.injected_fault() == Some(InjectedFault::ReplicaChecksumIgnored) {
         // Long enough before the failover for the leader's checksum to show the difference, if it were compared.
         let mut spoiled =
             Fault::new(16.0, FaultKind::MirrorSpoiled).with_target(FaultTarget::Standby);
@@ -644,7 +644,7 @@
         let crash = Fault::new(28.0, FaultKind::NodeCrash).with_target(FaultTarget::Leader);
         scenario.faults.insert(1, crash);
     }
-    if scenario.injected_fault() == Some(InjectedFault::FormerTermReused) {
+    if scenario.injected_fault() == Some(InjectedFault::PreviousTermReused) {
         // No other controller can become leader meanwhile.
         scenario.fleet.restart_s = 0.05;
         for at in [24.0, 48.0, 72.0] {
--- a/src/cancellation_freshness.rs
+++ b/src/cancellation_freshness.rs
@@ -127,20 +127,21 @@
     pub fn is_fresh(&self, now: Micros, valid_since: Micros) -> bool {
         let caught_up = self.proven_at >= valid_since;
         let unexpired = now < self.proven_at + self.valid_for
-            || fault_injected(InjectedFault::KnowledgeNeverAges);
-        (caught_up && unexpired) || (!caught_up && fault_injected(InjectedFault::RegainedUnseen))
+            || fault_injected(InjectedFault::CancellationsNeverStale);
+        (caught_up && unexpired)
+            || (!caught_up && fault_injected(InjectedFault::CatchUpSkippedAfterRegain))
     }
 
     /// Whether there has been no proof for so long that this leader should resign. Unless the validity is short, this
     /// is the case well before answers to workers must stop; it counts only the time since leadership became valid.
     pub fn is_refresh_stuck(&self, now: Micros, valid_since: Micros) -> bool {
         let since = self.proven_at.max(valid_since);
-        let regained_unseen =
-            self.proven_at < valid_since && fault_injected(InjectedFault::RegainedUnseen);
+        let regained_unseen = self.proven_at < valid_since
+            && fault_injected(InjectedFault::CatchUpSkippedAfterRegain);
         let timeout = (self.valid_for * 2 / REFRESH_FRACTION).max(STUCK_TIMEOUT_MIN);
         now >= since + timeout
             && !regained_unseen
-            && !fault_injected(InjectedFault::KnowledgeNeverAges)
+            && !fault_injected(InjectedFault::CancellationsNeverStale)
     }
 
     /// Whether the leader should read the changes now instead of waiting for the watch. After `true` the read counts as
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -120,7 +120,8 @@
         let Some(machine) = self.machines.get_mut(row.machine()) else {
             return RepeatedHeartbeatOutcome::FullHeartbeatNeeded;
         };
-        if fault_injected(InjectedFault::FormerDigestsTrusted) && machine.last_heartbeat.is_none() {
+        if fault_injected(InjectedFault::PreviousDigestsTrusted) && machine.last_heartbeat.is_none()
+        {
             let assumed = machine.idle_heartbeat(row, term_base);
             return RepeatedHeartbeatOutcome::from_answer(
                 self.handle_heartbeat(now, assumed, None, via, jobs),
@@ -173,7 +174,9 @@
             Machine::from_heartbeat(heartbeat, last_observed, now)
         });
         self.changed_machines.insert(id.clone());
-        if !machine.is_older_than(heartbeat) && !fault_injected(InjectedFault::CopyTaken) {
+        if !machine.is_older_than(heartbeat)
+            && !fault_injected(InjectedFault::DuplicateHeartbeatAccepted)
+        {
             return false;
         }
         let had_address = machine.address.is_some();
@@ -287,7 +290,7 @@
     /// Records the highest fencing token that the worker has seen; returns true if it reports a token
     /// of this term for the first time. `term_base` is the lowest token of this term.
     fn confirm_fencing_token(&mut self, token: u64, term_base: u64) -> bool {
-        let assumed = fault_injected(InjectedFault::HearingAssumed);
+        let assumed = fault_injected(InjectedFault::ReachabilityAssumed);
         let confirms_term = token >= term_base || assumed;
         let is_first = !self.term_confirmed && confirms_term;
         self.term_confirmed |= confirms_term;
