--- a/crates/drill/src/chart.rs
+++ b/crates/drill/src/chart.rs
@@ -1,11 +1,11 @@
-//! One picture of a day: where the cores were, what waited by class, who led.
+//! Chart of a run: what the cores were used for, how many tasks of each class waited, and which controller led.
 
 use crate::outcome::Outcome;
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
 
-/// Draws it as SVG into a file.
+/// Draws the chart of a run as SVG into a file.
 pub fn draw(outcome: &Outcome, path: &Path) -> Result<(), Box<dyn Error>> {
     let area = SVGBackend::new(path, (1100, 900)).into_drawing_area();
     area.fill(&WHITE)?;
@@ -19,25 +19,26 @@
     let samples = &outcome.samples;
     let end = samples.last().map_or(1.0, |s| s.at as f64 / 1e6);
 
-    type Part = (&'static str, RGBColor, fn(&crate::outcome::Sample) -> f64);
-    let parts: [Part; 4] = [
+    type Layer = (&'static str, RGBColor, fn(&crate::outcome::Sample) -> f64);
+    let layers: [Layer; 4] = [
         ("running", RGBColor(60, 120, 180), |s| s.running),
         ("fetching", RGBColor(120, 190, 220), |s| s.fetching),
         ("held", RGBColor(220, 120, 80), |s| s.held),
         ("idle", RGBColor(215, 215, 215), |s| s.idle),
     ];
-    let all = |s: &crate::outcome::Sample| s.running + s.fetching + s.held + s.idle;
-    let most = samples.iter().map(all).fold(1.0, f64::max);
+    let total_cores = |s: &crate::outcome::Sample| s.running + s.fetching + s.held + s.idle;
+    let maximum = samples.iter().map(total_cores).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&cores)
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..end, 0.0..most * 1.05)?;
+        .build_cartesian_2d(0.0..end, 0.0..maximum * 1.05)?;
     chart.configure_mesh().y_desc("cores").draw()?;
-    // The last part first, from the top of the stack: each one covers what lies below it.
-    for (n, (name, color, _)) in parts.iter().enumerate().rev() {
-        let below = |s: &crate::outcome::Sample| parts[..=n].iter().map(|p| (p.2)(s)).sum::<f64>();
-        let line = samples.iter().map(|s| (s.at as f64 / 1e6, below(s)));
+    // From the top of the stack downwards: each area is drawn over the one before, down to the axis.
+    for (n, (name, color, _)) in layers.iter().enumerate().rev() {
+        let stacked =
+            |s: &crate::outcome::Sample| layers[..=n].iter().map(|p| (p.2)(s)).sum::<f64>();
+        let line = samples.iter().map(|s| (s.at as f64 / 1e6, stacked(s)));
         let color = *color;
         chart
             .draw_series(AreaSeries::new(line, 0.0, color))?
@@ -49,13 +50,13 @@
         .background_style(WHITE)
         .draw()?;
 
-    let most = samples.iter().flat_map(|s| s.queue.iter()).max();
-    let most = most.copied().unwrap_or(0).max(1) as f64;
+    let maximum = samples.iter().flat_map(|s| s.queue.iter()).max();
+    let maximum = maximum.copied().unwrap_or(0).max(1) as f64;
     let mut chart = ChartBuilder::on(&queue)
         .margin(8)
         .x_label_area_size(24)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..end, 0.0..most * 1.05)?;
+        .build_cartesian_2d(0.0..end, 0.0..maximum * 1.05)?;
     chart.configure_mesh().y_desc("tasks waiting").draw()?;
     for (n, name) in outcome.class_names.iter().enumerate() {
         let color = Palette99::pick(n).to_rgba();
@@ -80,7 +81,7 @@
         .build_cartesian_2d(0.0..end, 0.0..nodes)?;
     chart
         .configure_mesh()
-        .y_desc("leads")
+        .y_desc("leader")
         .x_desc("s")
         .disable_mesh()
         .draw()?;
--- a/crates/drill/src/outcome.rs
+++ b/crates/drill/src/outcome.rs
@@ -365,7 +365,7 @@
             ]
         });
         section(
-            &["leader", "from s", "nobody before, s"],
+            &["leader", "from s", "no leader before, s"],
             leader_rows.collect(),
         );
         for (what, served) in [("class", &self.classes), ("team", &self.teams)] {
@@ -397,7 +397,7 @@
             let begun = format!("{} of {}", l.begun, l.jobs);
             vec![l.class.clone(), begun]
         });
-        section(&["largest jobs of", "begun in 240 s"], largest.collect());
+        section(&["largest jobs of", "started in 240 s"], largest.collect());
         let aims = self.aims.iter().map(|a| {
             vec![
                 a.aim.clone(),
@@ -416,7 +416,7 @@
         let rules = RULES.iter().map(|r| match self.violations.get(r) {
             Some(b) => vec![
                 (*r).to_owned(),
-                format!("BROKEN {} times", b.count),
+                format!("VIOLATED {} times", b.count),
                 b.first.clone(),
             ],
             None => vec![(*r).to_owned(), "kept".to_owned(), String::new()],
--- a/crates/drill/tests/drill.rs
+++ b/crates/drill/tests/drill.rs
@@ -87,7 +87,7 @@
         "hire_reused",
         "reaped_early",
         "mirror_differs",
-        // By `odd_submissions_that_are_accepted_fail_a_day`.
+        // By `a_run_that_accepts_invalid_submissions_fails`.
         "unfit_accepted",
     ];
     let shown: Vec<&str> = tampers.iter().map(|t| t.1).chain(by_bugs).collect();
--- a/crates/drill/tests/fault_combinations.rs
+++ b/crates/drill/tests/fault_combinations.rs
@@ -1,4 +1,4 @@
-//! Days on which two troubles meet, drawn from seeds: no rule may break on any of them.
+//! Scenarios drawn from seeds in which two faults come together: none of them may violate a rule.
 
 use drill::outcome::Outcome;
 use drill::tamper::Tamper;
@@ -7,10 +7,10 @@
 use rayon::prelude::*;
 
 #[test]
-fn drawn_meetings_break_no_rule_and_leave_nobody_out() {
+fn drawn_fault_combinations_violate_no_rule_and_all_work_is_served() {
     let outcomes: Vec<Outcome> = (1..=80u64)
         .into_par_iter()
-        .map(|seed| play(&generate::draw_fault_combinations(seed).expect("a day is drawn")))
+        .map(|seed| play(&generate::draw_fault_combinations(seed).expect("a scenario is drawn")))
         .collect();
     for o in &outcomes {
         assert!(
@@ -28,37 +28,37 @@
     assert!(cancelled > 1_000, "only {cancelled} tasks were stopped");
 }
 
-/// A checker that can't fail proves nothing.
+/// Shows that the check of a class's largest jobs can fail: start commands of wide jobs are dropped.
 #[test]
-fn largest_jobs_that_never_begin_fail_a_day() {
-    let told = (1..=40u64).into_par_iter().any(|seed| {
-        let day = generate::draw_fault_combinations(2 * seed).expect("a day is drawn");
-        let mut world = World::new(day);
+fn a_run_whose_largest_jobs_never_start_fails() {
+    let fails = (1..=40u64).into_par_iter().any(|seed| {
+        let scenario = generate::draw_fault_combinations(2 * seed).expect("a scenario is drawn");
+        let mut world = World::new(scenario);
         world.tamper = Some(Tamper::TooWide);
         let failed = world.play(|_| {}).failed;
         failed.iter().any(|f| f.starts_with("largest of "))
     });
-    assert!(told);
+    assert!(fails);
 }
 
-/// The same for submissions that ought to be refused.
+/// Shows that the check of invalid submissions can fail: all are answered as accepted.
 #[test]
-fn odd_submissions_that_are_accepted_fail_a_day() {
-    let told = (1..=40u64).into_par_iter().any(|seed| {
+fn a_run_that_accepts_invalid_submissions_fails() {
+    let fails = (1..=40u64).into_par_iter().any(|seed| {
         let mut world =
-            World::new(generate::draw_fault_combinations(seed).expect("a day is drawn"));
+            World::new(generate::draw_fault_combinations(seed).expect("a scenario is drawn"));
         world.tamper = Some(Tamper::TakesAnything);
         world.play(|_| {}).violations.contains_key("unfit_accepted")
     });
-    assert!(told);
+    assert!(fails);
 }
 
-/// Each trouble that is drawn there comes on some of those days.
+/// Each kind of fault that combinations are drawn from occurs in some of these scenarios.
 #[test]
-fn meetings_are_drawn_from_all_troubles() {
-    let days =
-        (1..=80u64).map(|seed| generate::draw_fault_combinations(seed).expect("a day is drawn"));
-    let text: String = days.map(|d| d.to_toml()).collect();
+fn fault_combinations_are_drawn_from_all_fault_kinds() {
+    let scenarios = (1..=80u64)
+        .map(|seed| generate::draw_fault_combinations(seed).expect("a scenario is drawn"));
+    let text: String = scenarios.map(|d| d.to_toml()).collect();
     for kind in [
         "state_refuses",
         "state_outage",
