--- a/src/election.rs
+++ b/src/election.rs
@@ -338,8 +338,7 @@
     pub fn has_valid_lease(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
-            now < held.valid_until()
-                || fault_injected(InjectedFault::HeartbeatAnsweredAfterLeaseExpiry)
+            now < held.valid_until() || fault_injected(InjectedFault::LeaderLeaseExpiryIgnored)
         })
     }
 
