--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,23 +1,23 @@
 //! Tests of the controllers on an in-memory cluster, of the scheduler and of the network layer.
 
-mod answers;
+mod client_responses;
 mod connection_overload;
-mod copies;
 mod dependencies;
 mod documentation;
-mod hands;
+mod duplicate_heartbeats;
+mod fault_combinations;
 mod heartbeats_and_load;
-mod holds;
-mod known;
+mod invariants;
+mod leadership_changes;
 mod limits;
-mod lost;
-mod meetings;
+mod lost_answers;
 mod network;
 mod previous_build;
 mod read_consistency;
 mod recovery;
-mod rules;
 mod scheduling;
 mod schema_upgrade;
+mod starvation;
 mod submission_checks;
 mod test_cluster;
+mod worker_faults;
