--- a/crates/regress/src/custom_runner.rs
+++ b/crates/regress/src/custom_runner.rs
@@ -1,5 +1,5 @@
-//! Plays days of our own: writes sites and days into a temporary folder, runs the bench on them,
-//! and tells what came of it.
+//! Runs custom scenarios: writes site and scenario files into a directory, runs the bench on them, and
+//! prints a table of the results.
 
 use crate::{Cli, FLEET_SITES, journal_entries_since, journal_files, read_file};
 use comfy_table::{Table, presets};
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// One day on one site, as files.
+/// One scenario on one site variant, with the paths of its input and output files.
 struct ScenarioRun {
     site: Site,
     site_file: PathBuf,
@@ -21,9 +21,11 @@
     log: PathBuf,
 }
 
+/// Reads the TOML files in `dir`, sorted by path, as pairs of file stem and content.
 fn read_toml_files(dir: &Path) -> Result<Vec<(String, String)>, String> {
     let shown = dir.display();
-    let entries = fs::read_dir(dir).map_err(|e| format!("{shown}: {e}; name it with --days"))?;
+    let entries = fs::read_dir(dir)
+        .map_err(|e| format!("{shown}: {e}; set the scenario directory with --days"))?;
     let mut files: Vec<PathBuf> = entries.filter_map(|e| e.ok().map(|e| e.path())).collect();
     files.retain(|p| p.extension().is_some_and(|x| x == "toml"));
     files.sort();
@@ -39,11 +41,11 @@
     fs::write(path, text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// All runs that the options ask for, their files written.
+/// Builds all runs that the options select, and writes their site and scenario files to `dir`.
 fn prepare_runs(cli: &Cli, dir: &Path) -> Result<Vec<ScenarioRun>, String> {
     let scenarios = read_toml_files(&cli.scenarios_dir)?;
-    let is_selected = |site: &str, day: &str| {
-        let matches = |p: &String| site.contains(p.as_str()) || day.contains(p.as_str());
+    let is_selected = |site: &str, scenario: &str| {
+        let matches = |p: &String| site.contains(p.as_str()) || scenario.contains(p.as_str());
         cli.only.is_empty() || cli.only.iter().any(matches)
     };
     let mut runs = Vec::new();
@@ -64,7 +66,7 @@
             let site = Site::with_variant(&text, &variant).map_err(|e| format!("{path}: {e}"))?;
             let site_file = dir.join(format!("{}.toml", site.name));
             write_file(&site_file, &site.text)?;
-            // What the site names beside itself.
+            // The site file refers to `wire.json` in its own directory.
             let wire_source = file.with_file_name("wire.json");
             let wire_copy = dir.join("wire.json");
             fs::copy(&wire_source, wire_copy)
@@ -94,6 +96,7 @@
     Ok(runs)
 }
 
+/// Runs the bench on one scenario, with its output in the log file of the run.
 fn run_scenario(cli: &Cli, bench: &Path, run: &ScenarioRun) -> Result<(), String> {
     let log = fs::File::create(&run.log).map_err(|e| format!("{}: {e}", run.log.display()))?;
     let mut command = Command::new(bench);
@@ -108,11 +111,11 @@
     }
     let log_for_stderr = log.try_clone().map_err(|e| e.to_string())?;
     let status = command.stdout(log).stderr(log_for_stderr).status();
-    status.map_err(|e| format!("the bench can't be started: {e}"))?;
+    status.map_err(|e| format!("cannot start the bench: {e}"))?;
     Ok(())
 }
 
-/// Plays them all; false if one failed.
+/// Runs all selected scenarios and prints the results; returns false if one failed.
 pub fn run_custom_scenarios(cli: &Cli, bench: &Path) -> Result<bool, String> {
     let temporary;
     let dir: &Path = match &cli.output_dir {
@@ -121,16 +124,17 @@
             dir
         }
         None => {
-            temporary = tempfile::tempdir().map_err(|e| format!("a temporary folder: {e}"))?;
+            temporary = tempfile::tempdir()
+                .map_err(|e| format!("cannot create a temporary directory: {e}"))?;
             temporary.path()
         }
     };
     let runs = prepare_runs(cli, dir)?;
     if runs.is_empty() {
-        return Err("no day has a name like that; see --only and --days".to_owned());
+        return Err("no scenario matches the options; check --only, --sites and --days".to_owned());
     }
     let files_before = journal_files()?;
-    // Once, so that no day is played beside a build.
+    // Builds once in advance, so that no scenario runs while another one's build uses the processor.
     crate::run_bench(Command::new(bench).arg("build").stdout(Stdio::null()))?;
     let pool = rayon::ThreadPoolBuilder::new()
         .num_threads(cli.parallel_runs.into())
@@ -139,7 +143,7 @@
     pool.install(|| {
         runs.par_iter().try_for_each(|run| {
             run_scenario(cli, bench, run)?;
-            eprintln!("{}: {} played", run.site.name, run.scenario.name);
+            eprintln!("{}: {} finished", run.site.name, run.scenario.name);
             Ok::<(), String>(())
         })
     })?;
@@ -148,17 +152,17 @@
     table.load_preset(presets::NOTHING);
     table.set_header([
         "site",
-        "day",
-        "mark",
-        "least class",
-        "least team",
-        "within 1 s",
+        "scenario",
+        "score",
+        "least served class",
+        "least served team",
+        "accepted within 1 s",
         "p95 ms",
-        "lost",
-        "by lease",
-        "MB",
-        "conns",
-        "users met",
+        "tasks lost",
+        "killed by lease",
+        "peak MB",
+        "peak connections",
+        "client errors",
         "",
     ]);
     let mut all_passed = true;
@@ -176,7 +180,7 @@
             all_passed = false;
             let log = fs::read_to_string(&run.log).unwrap_or_default();
             let last_line = log.lines().rfind(|l| !l.trim().is_empty()).unwrap_or("");
-            let failure = format!("FAILED: not played: {last_line}");
+            let failure = format!("FAILED: no result or report: {last_line}");
             table.add_row([run.site.name.as_str(), &run.scenario.name, &failure]);
             continue;
         };
@@ -193,6 +197,7 @@
     Ok(all_passed)
 }
 
+/// Builds the row of the results table for one run.
 fn result_row(run: &ScenarioRun, completed: &CompletedRun, failures: &[String]) -> Vec<String> {
     let least_served = |teams| {
         completed
@@ -206,7 +211,7 @@
     let errors: Vec<String> = users
         .errors
         .iter()
-        .map(|(k, n)| format!("{n} {k}"))
+        .map(|(kind, count)| format!("{count} {kind}"))
         .collect();
     let p95 = users.submit_ms.get("p95").copied().unwrap_or(0.0);
     vec![
--- a/crates/regress/src/custom_scenarios.rs
+++ b/crates/regress/src/custom_scenarios.rs
@@ -1,35 +1,37 @@
-//! Days of our own on the operators' sites in another size: what a site becomes, what a day becomes
-//! on it, and what a run told. No I/O here.
+//! Custom scenarios (those of this repository) on scaled variants of the operators' sites: builds the
+//! variant of a site, adapts a scenario to it, and assesses the report of a run. Does no I/O.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use toml::{Table, Value};
 
-/// How a site differs from the operators' file.
+/// How a variant of a site differs from the operators' site file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SiteVariant {
-    /// Machines, capacity, limits of teams and arrivals, as a multiple.
+    /// Factor for machine counts, cloud capacity, team limits, initial jobs and arrival rates.
     pub size: f64,
-    /// Until a process that ended is started again, in seconds.
+    /// Delay until a controller process that exited is restarted, in seconds.
     pub restart_s: f64,
-    /// So many zones, by names of our own; as in the file if there is no number.
+    /// Number of zones, named `area-1` and up; `None` keeps the zones of the site file.
     pub zones: Option<usize>,
 }
 
 impl SiteVariant {
-    /// The name under which runs on it are told.
+    /// Name of the variant of `site`, used in journal entries, file names and the results table.
     pub fn name(&self, site: &str) -> String {
         let zones = self.zones.map_or(String::new(), |z| format!("-z{z}"));
         format!("{site}-x{}-r{}{zones}", self.size, self.restart_s)
     }
 }
 
-/// A site, as far as days need to know it.
+/// Variant of a site: its file, and the values that scenarios refer to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Site {
     pub name: String,
+    /// Content of the site file, as TOML.
     pub text: String,
     controllers: usize,
+    /// Number of machines at the start.
     machines: f64,
     zones: Vec<String>,
     classes: Vec<String>,
@@ -41,8 +43,9 @@
     v.as_float().or_else(|| v.as_integer().map(|n| n as f64))
 }
 
-/// Seconds: a number, or `{ s = 2.0, cancel = 1.2, lease = 1.0 }`, a sum of seconds and multiples of the
-/// site's `cancel_s` and lease.
+/// Parses a duration in seconds: a number, or a table such as `{ s = 2.0, cancel = 1.2, lease = 1.0 }`,
+/// which adds seconds and multiples of the site's `cancel_s` and `lease_s`. The sum of a table is rounded
+/// to 0.1 s.
 fn seconds(v: &Value, site: &Site) -> Option<f64> {
     let Value::Table(parts) = v else {
         return as_number(v);
@@ -60,7 +63,7 @@
     Some((sum * 10.0).round() / 10.0)
 }
 
-/// Multiplies a number where it stands; counts stay counts.
+/// Multiplies the number under `key` in place. Integers are rounded and stay integers.
 fn scale(table: &mut Table, key: &str, factor: f64) {
     let Some(v) = table.get_mut(key) else { return };
     *v = match v {
@@ -70,12 +73,15 @@
     };
 }
 
+/// Iterates over the tables in the array under `key`.
 fn tables<'a>(site: &'a mut Table, key: &str) -> impl Iterator<Item = &'a mut Table> {
     let rows = site.get_mut(key).and_then(Value::as_array_mut);
     rows.into_iter().flatten().filter_map(Value::as_table_mut)
 }
 
-/// All rows of `key` spread evenly over other zones; what they count is kept.
+/// Replaces the rows under `key` with rows that are spread evenly over `zones`.
+///
+/// Rows that differ only in their zone are added up first. The totals of the `count_keys` stay the same.
 fn redistribute_over_zones(site: &mut Table, key: &str, zones: &[String], count_keys: &[&str]) {
     let Some(Value::Array(rows)) = site.remove(key) else {
         return;
@@ -97,7 +103,7 @@
             let mut row = template.clone();
             row.insert("zone".to_owned(), Value::String(zone.clone()));
             for (key, whole) in count_keys.iter().zip(&total) {
-                // The parts of a whole add up to it.
+                // Differences of the rounded cumulative counts add up to the total.
                 let cumulative = |n: usize| (whole * n as f64 / zones.len() as f64).round();
                 let part = cumulative(n + 1) - cumulative(n);
                 row.insert((*key).to_owned(), Value::Integer(part as i64));
@@ -109,14 +115,17 @@
 }
 
 impl Site {
-    /// The operators' file in another size. The error says what in it is not as expected.
+    /// Parses the operators' site file and applies the variant.
+    ///
+    /// The error names the part of the file that is missing or malformed.
     pub fn with_variant(text: &str, variant: &SiteVariant) -> Result<Site, String> {
-        let mut site: Table = text.parse().map_err(|e| format!("the site: {e}"))?;
-        let missing = |what: &str| format!("the site has no {what}");
+        let mut site: Table = text.parse().map_err(|e| format!("site file: {e}"))?;
+        let missing = |what: &str| format!("site file has no {what}");
         let name = site.get("name").and_then(Value::as_str);
         let name = variant.name(name.ok_or_else(|| missing("name"))?);
         site.insert("name".to_owned(), Value::String(name.clone()));
-        // Its standard days are not played on it, and name zones and classes of their own.
+        // The standard scenarios of the site do not run on a variant, and they name zones that the
+        // variant may not have.
         site.remove("day");
         for key in ["capacity", "machines"] {
             for row in tables(&mut site, key) {
@@ -183,33 +192,38 @@
     }
 }
 
-/// What our days say beside what the bench reads.
+/// Content of a custom scenario file. [`scenario_for_site`] translates it to the format of the bench.
 #[derive(Deserialize)]
 struct ScenarioFile {
     seed: u64,
-    /// The share of each class and team that has to be served.
+    /// Share of the work of each class and team that must be served.
+    ///
+    /// 0 stands for a scenario in which nobody can be served for most of the time, so that it is
+    /// assessed by its rules only.
     #[serde(rename = "served")]
     required_served_share: f64,
     #[serde(default)]
     faults: Vec<Table>,
     vary: Option<Table>,
-    /// What of a class is other on that day: `class` by its place, the rest in the bench's words.
+    /// Changes to job classes: `class` is the index of the class, the other keys are those of the bench.
     #[serde(default)]
     jobs: Vec<Table>,
     duration_s: Option<Value>,
 }
 
-/// A day on a site, in the bench's own words.
+/// Scenario for a particular site, in the format of the bench.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
     pub name: String,
     pub seed: u64,
+    /// Share of the work of each class and team that must be served; see [`CompletedRun::failures`].
     pub required_served_share: f64,
+    /// Content of the scenario file, as TOML.
     pub text: String,
 }
 
 impl Scenario {
-    /// The same day with other luck, under a name that says so; 0: as it is.
+    /// Adds `offset` to the seed and appends it to the name. An offset of 0 changes nothing.
     pub fn with_seed_offset(mut self, offset: u64) -> Result<Scenario, String> {
         if offset == 0 {
             return Ok(self);
@@ -227,10 +241,14 @@
     }
 }
 
-/// Puts the names and counts of a site into a day: `count = "all"` or `"half"` of the controllers,
-/// `machines = 0.33` of those up at the start, `zone` and `class` by their place in the site (-1: the
-/// last), `times` and `every_s` for a failure that comes again; times also as multiples of the site's lease
-/// and `cancel_s`, see `seconds`.
+/// Translates a custom scenario file to the format of the bench, with the names and counts of a site.
+///
+/// - `count = "all"` or `"half"` stands for that many controllers.
+/// - `machines = 0.33` is a share of the machines at the start, and becomes a `count`.
+/// - `zone` and `class` are indexes into those of the site; -1 is the last.
+/// - `times` and `every_s` repeat a fault. Without `times`, `every_s` is passed on to the bench.
+/// - Times and durations may contain multiples of the site's `lease_s` and `cancel_s`, as in
+///   `{ s = 2.0, lease = 1.0 }`.
 pub fn scenario_for_site(site: &Site, name: &str, text: &str) -> Result<Scenario, String> {
     let file: ScenarioFile = toml::from_str(text).map_err(|e| format!("{name}: {e}"))?;
     let mut faults = Vec::new();
@@ -240,7 +258,9 @@
             Some("all") => Some(site.controllers),
             Some("half") => Some(site.controllers.div_ceil(2)),
             Some(other) => {
-                return Err(fault_error(&format!("`{other}`; take \"all\" or \"half\"")));
+                return Err(fault_error(&format!(
+                    "unknown count `{other}`; expected \"all\" or \"half\""
+                )));
             }
             None => None,
         };
@@ -264,15 +284,15 @@
         };
         for key in ["at_s", "for_s", "hang_s"] {
             if let Some(v) = fault.get_mut(key) {
-                let s =
-                    seconds(v, site).ok_or_else(|| fault_error(&format!("{key} is no time")))?;
+                let s = seconds(v, site)
+                    .ok_or_else(|| fault_error(&format!("{key} is not a valid time")))?;
                 *v = Value::Float(s);
             }
         }
         let first_s = fault.get("at_s").and_then(as_number);
-        let first_s = first_s.ok_or_else(|| fault_error("it has no at_s"))?;
+        let first_s = first_s.ok_or_else(|| fault_error("missing at_s"))?;
         if times.is_some() && interval_s.is_none() {
-            return Err(fault_error("`times` needs `every_s`"));
+            return Err(fault_error("`times` requires `every_s`"));
         }
         for n in 0..times.unwrap_or(1) {
             let mut fault = fault.clone();
@@ -292,13 +312,14 @@
     let mut jobs = Vec::new();
     for mut job in file.jobs {
         let class = job.remove("class").and_then(|c| c.as_integer());
-        let class = class.ok_or_else(|| format!("{name}: jobs: no `class`"))?;
+        let class = class.ok_or_else(|| format!("{name}: jobs: missing `class`"))?;
         let class = class.rem_euclid(site.classes.len() as i64) as usize;
         let class_name = Value::String(site.classes[class].clone());
         job.insert("name".to_owned(), class_name);
         let runs = job.get_mut("run_s").and_then(Value::as_table_mut);
         for v in runs.into_iter().flat_map(|r| r.iter_mut()).map(|r| r.1) {
-            let s = seconds(v, site).ok_or_else(|| format!("{name}: jobs: run_s is no time"))?;
+            let s = seconds(v, site)
+                .ok_or_else(|| format!("{name}: jobs: run_s is not a valid time"))?;
             *v = Value::Float(s);
         }
         jobs.push(Value::Table(job));
@@ -307,7 +328,8 @@
         scenario.insert("jobs".to_owned(), Value::Array(jobs));
     }
     if let Some(v) = file.duration_s {
-        let s = seconds(&v, site).ok_or_else(|| format!("{name}: duration_s is no time"))?;
+        let s =
+            seconds(&v, site).ok_or_else(|| format!("{name}: duration_s is not a valid time"))?;
         scenario.insert("duration_s".to_owned(), Value::Float(s));
     }
     if let Some(vary) = file.vary {
@@ -321,7 +343,7 @@
     })
 }
 
-/// What the bench reports of a run, as far as it is of use here.
+/// The fields of a bench report that the assessment and the results table use.
 #[derive(Debug, Default, Deserialize)]
 pub struct Report {
     #[serde(default)]
@@ -332,6 +354,7 @@
     pub fleet: Fleet,
 }
 
+/// Resource use and restarts of one controller.
 #[derive(Debug, Default, Deserialize)]
 pub struct NodeStats {
     #[serde(default)]
@@ -346,24 +369,30 @@
     pub restarts: Vec<Restart>,
 }
 
+/// Restart of a controller process.
 #[derive(Debug, Default, Deserialize)]
 pub struct Restart {
+    /// Why the process exited; `fault` if an injected fault ended it.
     #[serde(rename = "why", default)]
     pub reason: String,
 }
 
+/// Job submissions of the simulated clients.
 #[derive(Debug, Default, Deserialize)]
 pub struct Users {
     #[serde(default)]
     pub submitted: u64,
     #[serde(default)]
     pub accepted: u64,
+    /// Submission latency by statistic, such as `p95`.
     #[serde(default)]
     pub submit_ms: BTreeMap<String, f64>,
+    /// Number of errors that the clients received, by kind.
     #[serde(default)]
     pub errors: BTreeMap<String, u64>,
 }
 
+/// Task counts over all machines.
 #[derive(Debug, Default, Deserialize)]
 pub struct Fleet {
     #[serde(default)]
@@ -374,20 +403,20 @@
     pub tasks_killed_by_lease: u64,
 }
 
-/// A share below that fails a day, whatever the day says of itself.
+/// A run fails if a class or team is served less than this share, even if the scenario requires less.
 pub const MIN_SERVED_SHARE: f64 = 0.5;
 
-/// What a run came to.
+/// Result and report of a run that the bench completed.
 #[derive(Debug)]
 pub struct CompletedRun {
     pub result: crate::ScenarioResult,
     pub report: Report,
-    /// What the day asks for each class and team.
+    /// Share of the work of each class and team that the scenario requires to be served.
     pub required_served_share: f64,
 }
 
 impl CompletedRun {
-    /// The class or the team of which the least was served.
+    /// Name and served share of the team (`teams` is true) or job class with the lowest served share.
     pub fn least_served(&self, teams: bool) -> Option<(&str, f64)> {
         let shares = self.result.served.iter().map(|(name, _, share)| {
             let team = name.strip_prefix("team ");
@@ -398,14 +427,14 @@
         Some((least.1, least.2))
     }
 
-    /// Processes that ended without being made to.
+    /// Number of controller process exits that no injected fault caused.
     pub fn unexpected_exits(&self) -> usize {
         let nodes = self.report.node_stats.iter();
         let unexpected = nodes.map(|n| n.restarts.iter().filter(|r| r.reason != "fault").count());
         unexpected.sum()
     }
 
-    /// Why the day failed or fell short; empty if it did not.
+    /// Reasons why the run failed; empty if it passed.
     pub fn failures(&self) -> Vec<String> {
         let mut failures: Vec<String> = self
             .result
@@ -417,19 +446,19 @@
             self.result
                 .failure
                 .as_ref()
-                .map(|f| format!("not played: {f}")),
+                .map(|f| format!("not run to its end: {f}")),
         );
         if self.result.score.is_none_or(|m| m <= 0.0) {
-            failures.push("mark 0".to_owned());
+            failures.push("no score, or a score of 0".to_owned());
         }
         match self.unexpected_exits() {
             0 => {}
-            n => failures.push(format!("{n} processes ended by themselves")),
+            n => failures.push(format!("{n} unexpected process exits")),
         }
         if self.result.served.is_empty() {
-            failures.push("what was served is not told".to_owned());
+            failures.push("no served shares in the result".to_owned());
         }
-        // 0: a day on which nobody can be served for most of the time, and which is judged by its rules.
+        // A required share of 0 means that nobody can be served for most of the time: only the rules count.
         let requires_service = self.required_served_share > 0.0;
         let required = if requires_service {
             self.required_served_share.max(MIN_SERVED_SHARE)
@@ -437,7 +466,9 @@
             0.0
         };
         for (name, _, share) in self.result.served.iter().filter(|s| s.2 < required) {
-            failures.push(format!("{name} served {share:.2} of {required}"));
+            failures.push(format!(
+                "{name}: served share {share:.2}, required {required}"
+            ));
         }
         failures
     }
@@ -498,7 +529,7 @@
             restart_s: 0.2,
             zones,
         };
-        Site::with_variant(SITE, &variant).expect("a site")
+        Site::with_variant(SITE, &variant).expect("a valid site file")
     }
 
     fn sum(site: &Site, key: &str, count: &str) -> i64 {
@@ -515,7 +546,7 @@
         assert_eq!(
             parsed["nodes"]["count"].as_integer(),
             Some(3),
-            "controllers stay"
+            "the number of controllers does not scale"
         );
         assert_eq!(parsed["nodes"]["restart_delay_s"].as_float(), Some(0.2));
         assert_eq!(parsed["capacity"][0]["count"].as_integer(), Some(17));
@@ -523,7 +554,7 @@
         assert_eq!(
             parsed["teams"][0]["cpus_max"].as_float(),
             Some(0.0),
-            "no limit"
+            "0 stands for no limit"
         );
         assert_eq!(parsed["jobs"][0]["arrivals"]["rate"].as_float(), Some(0.75));
         assert!(!parsed.contains_key("day"));
@@ -538,16 +569,17 @@
             jobs = [{ class = -1, cancelled = 0.8, run_s = { median = { cancel = 2.4 }, max = 9.0 } }]
             faults = [{ at_s = { s = 10.0, lease = 1.0 }, kind = "state_outage", for_s = { cancel = 1.5 } }]
         "#;
-        let scenario = scenario_for_site(&test_site(None), "gap", text).expect("a day");
+        let scenario = scenario_for_site(&test_site(None), "gap", text).expect("a valid scenario");
         let parsed: Table = scenario.text.parse().expect("TOML");
         assert_eq!(parsed["duration_s"].as_float(), Some(252.0));
         assert_eq!(parsed["jobs"][0]["name"].as_str(), Some("last"));
         assert_eq!(parsed["jobs"][0]["run_s"]["median"].as_float(), Some(122.4));
         assert_eq!(parsed["faults"][0]["at_s"].as_float(), Some(41.0));
         assert_eq!(parsed["faults"][0]["for_s"].as_float(), Some(76.5));
-        let wrong = text.replace("lease = 1.0", "leases = 1.0");
-        let error = scenario_for_site(&test_site(None), "gap", &wrong).expect_err("no such unit");
-        assert!(error.contains("at_s is no time"), "{error}");
+        let invalid = text.replace("lease = 1.0", "leases = 1.0");
+        let error =
+            scenario_for_site(&test_site(None), "gap", &invalid).expect_err("unknown time unit");
+        assert!(error.contains("at_s is not a valid time"), "{error}");
     }
 
     #[test]
@@ -580,7 +612,8 @@
   { at_s = 40.0, kind = "zone_cut", zone = 1, for_s = 5.0 },
   { at_s = 50.0, kind = "node_roll", every_s = 1.0 },
 ]"#;
-        let scenario = scenario_for_site(&test_site(None), "mixed", text).expect("a day");
+        let scenario =
+            scenario_for_site(&test_site(None), "mixed", text).expect("a valid scenario");
         let parsed: Table = scenario.text.parse().expect("TOML");
         let faults = parsed["faults"].as_array().expect("faults");
         let at: Vec<f64> = faults.iter().filter_map(|f| f["at_s"].as_float()).collect();
@@ -589,11 +622,15 @@
         assert_eq!(faults[3]["count"].as_integer(), Some(16), "of 32 machines");
         assert_eq!(faults[4]["class"].as_str(), Some("last"));
         assert_eq!(faults[5]["zone"].as_str(), Some("south"));
-        assert_eq!(faults[6]["every_s"].as_float(), Some(1.0), "its own pace");
+        assert_eq!(
+            faults[6]["every_s"].as_float(),
+            Some(1.0),
+            "without `times`, every_s stays"
+        );
         let reseeded = scenario
             .clone()
             .with_seed_offset(2)
-            .expect("the same with other luck");
+            .expect("a scenario with another seed");
         let parsed: Table = reseeded.text.parse().expect("TOML");
         assert_eq!(
             (reseeded.name.as_str(), reseeded.seed),
@@ -601,12 +638,15 @@
         );
         assert_eq!(parsed["seed"].as_integer(), Some(scenario.seed as i64 + 2));
         assert_eq!(
-            scenario.clone().with_seed_offset(0).expect("as it is"),
+            scenario
+                .clone()
+                .with_seed_offset(0)
+                .expect("an unchanged scenario"),
             scenario
         );
-        let wrong = text.replace("\"half\"", "\"some\"");
+        let invalid = text.replace("\"half\"", "\"some\"");
         let error =
-            scenario_for_site(&test_site(None), "mixed", &wrong).expect_err("no such count");
+            scenario_for_site(&test_site(None), "mixed", &invalid).expect_err("unknown count");
         assert!(
             error.contains("fault 1") && error.contains("some"),
             "{error}"
@@ -623,21 +663,21 @@
         let result =
             r#"{"name": "d", "G": 0.8, "served": [["a", 0.5, 0.7], ["team t", 1.0, 0.95]]}"#;
         let restarted = r#"{"node_stats": [{"restarts": [{"why": "fault"}]}]}"#;
-        let good = run(result, restarted, 0.6);
-        assert!(good.failures().is_empty(), "{:?}", good.failures());
-        assert_eq!(good.least_served(false), Some(("a", 0.7)));
-        assert_eq!(good.least_served(true), Some(("t", 0.95)));
+        let passed = run(result, restarted, 0.6);
+        assert!(passed.failures().is_empty(), "{:?}", passed.failures());
+        assert_eq!(passed.least_served(false), Some(("a", 0.7)));
+        assert_eq!(passed.least_served(true), Some(("t", 0.95)));
         assert_eq!(run(result, restarted, 0.9).failures().len(), 1);
-        let memory = restarted.replace("fault", "memory");
-        assert_eq!(run(result, &memory, 0.6).failures().len(), 1);
-        let low = result.replace("0.7", "0.49");
+        let out_of_memory = restarted.replace("fault", "memory");
+        assert_eq!(run(result, &out_of_memory, 0.6).failures().len(), 1);
+        let low_share = result.replace("0.7", "0.49");
         assert_eq!(
-            run(&low, restarted, 0.1).failures().len(),
+            run(&low_share, restarted, 0.1).failures().len(),
             1,
-            "half is the least"
+            "MIN_SERVED_SHARE applies"
         );
-        let broken = result.replace("\"G\"", "\"rules\": {\"quota\": 1}, \"G\"");
-        assert_eq!(run(&broken, restarted, 0.6).failures(), ["rule quota"]);
+        let violating = result.replace("\"G\"", "\"rules\": {\"quota\": 1}, \"G\"");
+        assert_eq!(run(&violating, restarted, 0.6).failures(), ["rule quota"]);
         assert_eq!(run(r#"{"name": "d"}"#, restarted, 0.6).failures().len(), 2);
     }
 }
--- a/crates/regress/src/lib.rs
+++ b/crates/regress/src/lib.rs
@@ -1,16 +1,17 @@
-//! What a run of the bench left in the journal, against the baseline. No I/O here.
+//! Compares the journal entries that a bench run wrote with a baseline of scores. Does no I/O.
 
 pub mod custom_scenarios;
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A fall by more than this is no noise.
+/// Score losses up to this size count as noise, not as a regression.
 pub const SCORE_NOISE: f64 = 0.03;
 
-/// One entry of the journal, as far as it is of use here.
+/// The fields of a bench journal entry that the comparison uses.
 #[derive(Debug, Default, Deserialize)]
 pub struct JournalEntry {
+    /// Bench subcommand that wrote the entry, such as `score` or `hunt`.
     #[serde(rename = "cmd", default)]
     pub command: String,
     #[serde(rename = "why", default)]
@@ -25,44 +26,46 @@
     pub scenarios: Vec<ScenarioResult>,
 }
 
+/// Result of one scenario, as recorded in a journal entry.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub struct ScenarioResult {
     pub name: String,
-    /// The day's mark, 0 to 1.
+    /// Score of the scenario, from 0 to 1.
     #[serde(rename = "G", default)]
     pub score: Option<f64>,
-    /// How often each rule was broken.
+    /// Number of violations per rule; rules without a violation are absent.
     #[serde(rename = "rules", default)]
     pub violations: BTreeMap<String, serde_json::Value>,
-    /// Why it could not be played to its end.
+    /// Why the scenario did not run to its end.
     #[serde(rename = "fault", default)]
     pub failure: Option<serde_json::Value>,
-    /// Each class and each team, its share of the work, and how much of that was served.
+    /// Per job class or team: its name (with the prefix `team ` for a team), its share of all work, and
+    /// the share of that work that was served.
     #[serde(default)]
     pub served: Vec<(String, f64, f64)>,
-    /// Each aim in words, and what it was worth.
+    /// Each objective as text, with its contribution to the score.
     #[serde(rename = "aims", default)]
     objectives: Vec<(String, f64)>,
 }
 
 impl ScenarioResult {
-    /// The share of submissions that were accepted in time, by the words of that aim.
+    /// Share of submissions that were accepted in time, parsed from the text of the `submit` objective.
     pub fn accepted_in_time_share(&self) -> Option<f64> {
-        let mut aims = self.objectives.iter();
-        let (text, _) = aims.find(|a| a.0.starts_with("submit"))?;
+        let mut objectives = self.objectives.iter();
+        let (text, _) = objectives.find(|o| o.0.starts_with("submit"))?;
         let share = text.split_once(": ")?.1;
         share.split_whitespace().next()?.parse().ok()
     }
 }
 
-/// Marks by site and day.
+/// Expected scores by site and scenario.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Baseline {
     #[serde(flatten)]
     pub sites: BTreeMap<String, BTreeMap<String, f64>>,
 }
 
-/// One row of the table.
+/// Comparison of one scenario, shown as one row of the results table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     pub site: String,
@@ -72,12 +75,18 @@
     pub verdict: Verdict,
 }
 
+/// Outcome of one scenario in comparison with the baseline.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
+    /// No rule was violated, and the score did not fall by more than [`SCORE_NOISE`].
     Passed,
+    /// The baseline has no score for this scenario.
     New,
+    /// The score fell by this amount.
     Regressed(f64),
+    /// Names of the violated rules, separated by commas.
     RulesViolated(String),
+    /// Why the scenario or the whole site has no usable result.
     Failed(String),
 }
 
@@ -87,7 +96,9 @@
     }
 }
 
-/// Compares the entries of one run. A site that was to be played and left no entry has failed.
+/// Compares the journal entries of one bench run with the baseline, for the sites that the run covered.
+///
+/// A site without any result gets one row with [`Verdict::Failed`].
 pub fn compare_with_baseline(
     baseline: &Baseline,
     entries: &[JournalEntry],
@@ -96,40 +107,45 @@
     let mut rows = Vec::new();
     for site in sites {
         let belongs_to_site = |e: &&JournalEntry| e.site.as_deref() == Some(site);
-        let mut compared = 0;
+        let mut result_count = 0;
         for entry in entries.iter().filter(belongs_to_site) {
             let results = entry
                 .scenarios
                 .iter()
                 .filter(|s| is_compared(&entry.command, s));
             for result in results {
-                compared += 1;
+                result_count += 1;
                 let previous = baseline.sites.get(*site).and_then(|s| s.get(&result.name));
                 rows.push(Row {
                     site: (*site).to_owned(),
                     scenario: result.name.clone(),
-                    // The days of a hunt have other luck each time.
+                    // `hunt` generates other scenarios on each run, so their scores cannot be compared.
                     baseline: previous.copied().filter(|_| entry.command == "score"),
                     score: result.score,
                     verdict: assess(entry, result, previous.copied()),
                 });
             }
         }
-        if compared == 0 {
+        if result_count == 0 {
             let error = entries.iter().find_map(|e| e.error.clone());
             rows.push(Row {
                 site: (*site).to_owned(),
                 scenario: "-".to_owned(),
                 baseline: None,
                 score: None,
-                verdict: Verdict::Failed(error.unwrap_or_else(|| "nothing was played".to_owned())),
+                verdict: Verdict::Failed(error.unwrap_or_else(|| {
+                    "the journal has no scenario results for this site".to_owned()
+                })),
             });
         }
     }
     rows
 }
 
-/// The day that a score draws by itself is another one each time; it counts for rules alone.
+/// Whether a result takes part in the comparison.
+///
+/// `score` adds generated scenarios, named `fresh…`, that differ on each run. They count only if they
+/// violated a rule or did not run to their end.
 fn is_compared(command: &str, result: &ScenarioResult) -> bool {
     command == "hunt"
         || !result.name.starts_with("fresh")
@@ -146,9 +162,9 @@
         return Verdict::Failed(failure.to_string());
     }
     match (result.score, baseline) {
-        (None, _) => Verdict::Failed("no mark".to_owned()),
+        (None, _) => Verdict::Failed("no score".to_owned()),
         (Some(score), _) if score <= 0.0 && entry.command == "score" => {
-            Verdict::Failed("mark 0".to_owned())
+            Verdict::Failed("score is 0".to_owned())
         }
         (Some(_), None) => Verdict::New,
         (Some(_), _) if entry.command != "score" => Verdict::Passed,
@@ -159,7 +175,7 @@
     }
 }
 
-/// The baseline with the marks of this run in place of its own.
+/// Replaces the baseline scores of the scenarios that ran, and adds scores of new scenarios.
 pub fn update_baseline(mut baseline: Baseline, rows: &[Row]) -> Baseline {
     for row in rows
         .iter()
@@ -202,7 +218,10 @@
         assert!(matches!(verdicts[1], Verdict::Regressed(f) if (f - 0.04).abs() < 1e-9));
         assert_eq!(verdicts[2], &Verdict::New);
         assert_eq!(verdicts[3], &Verdict::RulesViolated("ran_twice".to_owned()));
-        assert!(matches!(verdicts[4], Verdict::Failed(_)), "b left nothing");
+        assert!(
+            matches!(verdicts[4], Verdict::Failed(_)),
+            "site b has no journal entry"
+        );
         assert_eq!(rows.len(), 5);
     }
 
