--- a/crates/drill/src/check.rs
+++ b/crates/drill/src/check.rs
@@ -160,8 +160,8 @@
     /// Registers a job that a user is about to submit.
     pub fn register_job(&mut self, job: &Job, scenario: &Scenario) {
         let n = self.histories.len();
-        for need in &job.waits_on {
-            self.histories[*need].needed_by.push(n);
+        for dependency in &job.waits_on {
+            self.histories[*dependency].needed_by.push(n);
         }
         let cancellation_reported_at = job
             .waits_on
@@ -176,6 +176,7 @@
         });
     }
 
+    /// A user sends a cancellation of the job.
     pub fn cancel_requested(&mut self, job: usize) {
         self.histories[job].cancel_asked = true;
     }
@@ -216,12 +217,12 @@
         let j = &users.jobs[job];
         let name = format!("{}/{part}", j.uid);
         self.tasks_started += 1;
-        let here = self.locations.entry((job, part)).or_default();
+        let on_machines = self.locations.entry((job, part)).or_default();
         let other = here
             .iter()
             .find(|o| o.machine != machine)
             .map(|o| o.machine);
-        here.push(TaskLocation { machine, zone });
+        on_machines.push(TaskLocation { machine, zone });
         if let Some(other) = other {
             let description =
                 format!("{name} starts on m-{machine:06} while it is on m-{other:06}");
@@ -267,7 +268,7 @@
         } else if j.together && others.iter().any(|z| *z != zone) {
             Some("in another zone than its job's other tasks")
         } else if j.apart && in_zone > j.parts.div_ceil(2) {
-            Some("in a zone that already holds half of its job")
+            Some("in a zone that then holds more than half of its job")
         } else {
             None
         };
@@ -287,14 +288,14 @@
 
     /// The task is no longer on that machine.
     pub fn task_left(&mut self, now: Micros, machine: usize, job: usize, part: u32) {
-        let Some(here) = self.locations.get_mut(&(job, part)) else {
+        let Some(on_machines) = self.locations.get_mut(&(job, part)) else {
             return;
         };
-        let Some(at) = here.iter().position(|o| o.machine == machine) else {
+        let Some(at) = on_machines.iter().position(|o| o.machine == machine) else {
             return;
         };
-        here.remove(at);
-        if here.is_empty() {
+        on_machines.remove(at);
+        if on_machines.is_empty() {
             self.locations.remove(&(job, part));
         }
         let history = &mut self.histories[job];
@@ -317,17 +318,23 @@
         }
     }
 
-    /// A new leader has loaded its state. `adds_up` says that the state equals what is stored at that revision,
+    /// A new leader has loaded its state. `matches_store` says that the state equals what is stored at that revision,
     /// `fresh` that the revision is not older than the leader's election.
-    pub fn leader_loaded(&mut self, now: Micros, built: LoadSource, adds_up: bool, fresh: bool) {
+    pub fn leader_loaded(
+        &mut self,
+        now: Micros,
+        source: LoadSource,
+        matches_store: bool,
+        fresh: bool,
+    ) {
         let LoadSource {
             term,
             warm,
             revision,
             ..
-        } = built;
+        } = source;
         self.takeovers.push(warm);
-        if !adds_up || !fresh {
+        if !matches_store || !fresh {
             let why = if fresh {
                 "differs from what is stored"
             } else {
@@ -543,13 +550,13 @@
     pub fn find_late_stops(&mut self, now: Micros, users: &Users) {
         let cancel = self.cancel_limit;
         let mut late = Vec::new();
-        for ((job, part), here) in &self.locations {
+        for ((job, part), on_machines) in &self.locations {
             let history = &self.histories[*job];
             let over = history
                 .cancelled_reported_at
                 .is_some_and(|t| now > t + cancel);
             if over && !history.late_stop_recorded {
-                late.push((*job, *part, here[0].machine));
+                late.push((*job, *part, on_machines[0].machine));
             }
         }
         for (job, part, machine) in late {
--- a/crates/drill/src/generate.rs
+++ b/crates/drill/src/generate.rs
@@ -13,16 +13,20 @@
 const COMBINABLE_FAULTS: u32 = 20;
 const COMBINABLE_FAULTS_FOR_INJECTED_FAULTS: u32 = 11;
 
+/// Draws the faults of a scenario.
 struct FaultGenerator {
     rng: SmallRng,
+    /// How many of the cases in `combinable_fault` are drawn from.
     combinable_faults: u32,
     zones: Vec<String>,
     classes: Vec<String>,
+    /// The worker lease and the restart time of a controller, in seconds.
     lease: f64,
     restart: f64,
 }
 
 impl FaultGenerator {
+    /// Draws a number from the range, rounded to 0.01.
     fn draw_between(&mut self, low: f64, high: f64) -> f64 {
         (self.rng.random_range(low..high) * 100.0).round() / 100.0
     }
@@ -47,7 +51,7 @@
     /// The given failure, and further crashes of the controllers that it hits, each soon after they are back.
     fn repeated_ends(&mut self, first: Fault) -> Vec<Fault> {
         let mut at = first.at_s;
-        let mut ends = vec![first];
+        let mut faults = vec![first];
         for _ in 0..self.rng.random_range(1..=6) {
             // The wait is short or long by powers of two: the crash comes while the controller starts, loads its state,
             // becomes leader, or serves.
@@ -59,11 +63,11 @@
                 FaultKind::NodeEndsAsking,
             ];
             let kind = kind[self.rng.random_range(0..3)];
-            ends.push(
+            faults.push(
                 Fault::new((at * 1000.0).round() / 1000.0, kind).with_target(FaultTarget::Again),
             );
         }
-        ends
+        faults
     }
 
     /// One of the faults that broke rules when two of them came together.
@@ -74,27 +78,28 @@
         match self.rng.random_range(0..self.combinable_faults) {
             // The state service refuses the leader alone, then has an outage for all.
             0 | 1 => {
-                let alone = self.draw_between(0.2, 3.0);
-                let long = [
+                let outage_delay = self.draw_between(0.2, 3.0);
+                let durations = [
                     self.draw_between(2.0, 16.0),
                     self.draw_between(1.0, 1.3) * cancel_s,
                 ];
-                let out = Fault::new(t + alone, StateOutage)
-                    .with_duration(long[self.rng.random_range(0..2)]);
+                let outage = Fault::new(t + outage_delay, StateOutage)
+                    .with_duration(durations[self.rng.random_range(0..2)]);
                 let refuses = Fault::new(t, StateRefuses)
                     .with_target(FaultTarget::Leader)
                     .with_duration(self.draw_between(3.0, 16.0));
-                vec![refuses, out]
+                vec![refuses, outage]
             }
             // The leader's watches hang: it learns of no change, or late.
             2 | 3 => {
                 let hang = Fault::new(t, WatchesHang)
                     .with_target(FaultTarget::Leader)
                     .with_duration(self.draw_between(0.3, 2.0) * cancel_s);
-                let mut unheard = Fault::new(t + self.draw_between(0.0, 5.0), MachineCut)
+                let mut machine_cut = Fault::new(t + self.draw_between(0.0, 5.0), MachineCut)
                     .with_duration(self.draw_between(0.5, 1.5) * lease);
-                (unheard.count, unheard.mode) = (self.draw_count(2, 8), Some(self.draw_mode()));
-                vec![hang, unheard]
+                (machine_cut.count, machine_cut.mode) =
+                    (self.draw_count(2, 8), Some(self.draw_mode()));
+                vec![hang, machine_cut]
             }
             // The leader reaches neither state service nor peers; workers and users still reach it.
             4 => {
@@ -109,10 +114,10 @@
                 vec![cut(PartitionedFrom::State), cut(PartitionedFrom::Peers)]
             }
             5 => {
-                let mut deaf =
+                let mut inbound_partition =
                     Fault::new(t, MachineDeaf).with_duration(self.draw_between(0.2, 2.0) * lease);
-                deaf.count = self.draw_count(2, 10);
-                vec![deaf, crash(t + self.draw_between(0.0, 5.0))]
+                inbound_partition.count = self.draw_count(2, 10);
+                vec![inbound_partition, crash(t + self.draw_between(0.0, 5.0))]
             }
             6 => {
                 let mut duplicates =
@@ -121,13 +126,13 @@
                 vec![duplicates, crash(t + self.draw_between(0.0, 2.0) * lease)]
             }
             7 => {
-                let mut loses =
+                let mut lost_answers =
                     Fault::new(t, StateLoses).with_duration(self.draw_between(5.0, 15.0));
-                (loses.share, loses.late_s) = (
+                (lost_answers.share, lost_answers.late_s) = (
                     Some(self.draw_between(0.1, 0.5)),
                     Some(self.draw_between(2.0, 12.0)),
                 );
-                vec![loses]
+                vec![lost_answers]
             }
             8 => {
                 let mut held = Fault::new(t, NodeCut)
@@ -157,10 +162,10 @@
                 vec![freeze]
             }
             11 => {
-                let mut mute =
+                let mut outbound_partition =
                     Fault::new(t, MachineMute).with_duration(self.draw_between(0.3, 2.0) * lease);
-                mute.count = self.draw_count(2, 10);
-                vec![mute, crash(t + self.draw_between(0.0, 8.0))]
+                outbound_partition.count = self.draw_count(2, 10);
+                vec![outbound_partition, crash(t + self.draw_between(0.0, 8.0))]
             }
             12 => {
                 let mut cancel = Fault::new(t, CancelNow);
@@ -184,8 +189,8 @@
                 vec![duplicates, cut, crash(t + lasts)]
             }
             16 => {
-                let looks = Fault::new(t, CloseLooks).with_duration(self.draw_between(15.0, 40.0));
-                vec![looks, crash(t + self.draw_between(2.0, 12.0))]
+                let polls = Fault::new(t, CloseLooks).with_duration(self.draw_between(15.0, 40.0));
+                vec![polls, crash(t + self.draw_between(2.0, 12.0))]
             }
             17 => vec![Fault::new(t, OddRequests).with_duration(self.draw_between(15.0, 60.0))],
             18 => {
@@ -198,10 +203,11 @@
                 vec![early, die, slow, crash(t + self.draw_between(2.0, 12.0))]
             }
             _ => {
-                let mut loses =
+                let mut lost_answers =
                     Fault::new(t, StateLoses).with_duration(self.draw_between(5.0, 20.0));
-                (loses.share, loses.at_once) = (Some(self.draw_between(0.1, 0.5)), true);
-                vec![loses, crash(t + self.draw_between(0.0, 10.0))]
+                (lost_answers.share, lost_answers.at_once) =
+                    (Some(self.draw_between(0.1, 0.5)), true);
+                vec![lost_answers, crash(t + self.draw_between(0.0, 10.0))]
             }
         }
     }
@@ -252,12 +258,12 @@
                 all
             }
             26 => {
-                let mut loses =
+                let mut lost_answers =
                     Fault::new(t, StateLoses).with_duration(self.draw_between(3.0, 10.0));
-                loses.share = Some(self.draw_between(0.1, 0.4));
-                loses.late_s = Some(self.draw_between(0.2, 8.0));
+                lost_answers.share = Some(self.draw_between(0.1, 0.4));
+                lost_answers.late_s = Some(self.draw_between(0.2, 8.0));
                 let end = Fault::new(t + near, NodeEndsAsking).with_target(FaultTarget::Leader);
-                let mut all = vec![loses];
+                let mut all = vec![lost_answers];
                 all.extend(self.repeated_ends(end));
                 all
             }
@@ -354,11 +360,11 @@
                 vec![slow, cut, crash(t + near + 0.1)]
             }
             11 => {
-                let mut loses =
+                let mut lost_answers =
                     Fault::new(t, StateLoses).with_duration(self.draw_between(3.0, 12.0));
-                loses.share = Some(self.draw_between(0.1, 0.5));
-                loses.late_s = Some(self.draw_between(1.0, 15.0));
-                vec![loses, crash(t + near)]
+                lost_answers.share = Some(self.draw_between(0.1, 0.5));
+                lost_answers.late_s = Some(self.draw_between(1.0, 15.0));
+                vec![lost_answers, crash(t + near)]
             }
             // A failover during a failover.
             12 => {
@@ -369,20 +375,20 @@
                 vec![hang, crash(t + near), crash(second)]
             }
             13 => {
-                let out = Fault::new(t, StateOutage).with_duration(self.draw_between(3.0, 14.0));
+                let outage = Fault::new(t, StateOutage).with_duration(self.draw_between(3.0, 14.0));
                 vec![
-                    out,
+                    outage,
                     Fault::new(t + near, NodeCrash).with_target(FaultTarget::All),
                 ]
             }
             14 => {
                 let refuse = Fault::new(t, PeersRefuse).with_duration(self.draw_between(3.0, 20.0));
-                let out = Fault::new(t, StateRefuses)
+                let state_refuses = Fault::new(t, StateRefuses)
                     .with_target(
                         [FaultTarget::Standby, FaultTarget::Leader][self.rng.random_range(0..2)],
                     )
                     .with_duration(self.draw_between(3.0, 20.0));
-                vec![refuse, out]
+                vec![refuse, state_refuses]
             }
             15 => {
                 let kind = [CloudLate, CloudOutage, CloudFull][self.rng.random_range(0..3)];
@@ -472,8 +478,8 @@
         }
     }
     let cores = |p: &Pool| {
-        let kind = scenario.types.iter().find(|t| t.name == p.r#type);
-        kind.map_or(0.0, |t| t.cores) * p.up as f64
+        let machine_type = scenario.types.iter().find(|t| t.name == p.r#type);
+        machine_type.map_or(0.0, |t| t.cores) * p.up as f64
     };
     let cores_up: f64 = scenario.pools.iter().map(cores).sum();
     let teams = rng.random_range(2..=5);
@@ -631,9 +637,9 @@
     }
     if scenario.injected_fault() == Some(InjectedFault::AbsentKeyAssumedUnwritten) {
         // The write arrives late enough for the repeated submission to be accepted and done before.
-        let mut loses = Fault::new(20.0, FaultKind::StateLoses).with_duration(40.0);
-        (loses.share, loses.late_s) = (Some(0.4), Some(40.0));
-        scenario.faults.insert(0, loses);
+        let mut lost_answers = Fault::new(20.0, FaultKind::StateLoses).with_duration(40.0);
+        (lost_answers.share, lost_answers.late_s) = (Some(0.4), Some(40.0));
+        scenario.faults.insert(0, lost_answers);
     }
     if scenario.injected_fault() == Some(InjectedFault::ReplicaChecksumIgnored) {
         // Long enough before the failover for the leader's checksum to show the difference, if it were compared.
--- a/crates/drill/tests/restarts.rs
+++ b/crates/drill/tests/restarts.rs
@@ -7,13 +7,13 @@
 use rayon::prelude::*;
 
 /// A scenario of 150 s with three controllers and 25 machines; a crashed process is back after 50 ms.
-fn scenario_with(failures: Vec<Fault>) -> Scenario {
+fn scenario_with(faults: Vec<Fault>) -> Scenario {
     let mut scenario = Scenario::example().expect("the example is a scenario");
     scenario.fleet.restart_s = 0.05;
     scenario.duration_s = 150.0;
     scenario.settle_s = 40.0;
     scenario.objectives.clear();
-    scenario.faults = failures;
+    scenario.faults = faults;
     scenario
 }
 
@@ -56,9 +56,9 @@
 fn answers_to_a_previous_incarnation_are_ignored_by_the_next() {
     let mut slow = Fault::new(40.0, FaultKind::StateSlow).with_duration(8.0);
     slow.factor = Some(40.0);
-    let mut failures = vec![slow];
-    failures.extend(crash_again(crash_of(42.0, FaultTarget::All), 8, 0.35));
-    let strays: u64 = play_without_violations(&scenario_with(failures))
+    let mut faults = vec![slow];
+    faults.extend(crash_again(crash_of(42.0, FaultTarget::All), 8, 0.35));
+    let strays: u64 = play_without_violations(&scenario_with(faults))
         .iter()
         .map(|o| o.strays)
         .sum();
@@ -90,31 +90,31 @@
         .with_target(FaultTarget::Leader)
         .with_duration(4.0);
     (cut.from, cut.mode) = (Some(PartitionedFrom::Peers), Some(PartitionMode::Hold));
-    let mut failures = vec![cut];
-    failures.extend([
+    let mut faults = vec![cut];
+    faults.extend([
         crash_of(41.0, FaultTarget::Again),
         crash_of(41.5, FaultTarget::Again),
     ]);
-    failures.push(crash_of(60.0, FaultTarget::Standby));
-    play_without_violations(&scenario_with(failures));
+    faults.push(crash_of(60.0, FaultTarget::Standby));
+    play_without_violations(&scenario_with(faults));
 }
 
 /// Commands to workers are held by a partition and executed after the next incarnation has started.
 #[test]
 fn commands_of_a_previous_incarnation_executed_late_violate_no_rule() {
-    let mut failures = Vec::new();
+    let mut faults = Vec::new();
     for at in [30.0, 70.0] {
         let mut cut = Fault::new(at, FaultKind::NodeCut)
             .with_target(FaultTarget::Leader)
             .with_duration(9.0);
         (cut.from, cut.mode) = (Some(PartitionedFrom::Workers), Some(PartitionMode::Hold));
-        failures.extend([
+        faults.extend([
             cut,
             crash_of(at + 3.0, FaultTarget::Again),
             crash_of(at + 6.0, FaultTarget::Again),
         ]);
     }
-    play_without_violations(&scenario_with(failures));
+    play_without_violations(&scenario_with(faults));
 }
 
 /// Rentals are executed long after the incarnation that named them has ended. If the next one used a name again, the
@@ -125,9 +125,9 @@
     late.factor = Some(1.0);
     let mut lost = Fault::new(22.0, FaultKind::MachineDie);
     lost.count = Some(6);
-    let mut failures = vec![late, lost];
-    failures.extend(crash_again(crash_of(26.0, FaultTarget::Leader), 4, 2.5));
-    play_without_violations(&scenario_with(failures));
+    let mut faults = vec![late, lost];
+    faults.extend(crash_again(crash_of(26.0, FaultTarget::Leader), 4, 2.5));
+    play_without_violations(&scenario_with(faults));
 }
 
 /// The controller crashes after it has sent the write of a submission, about when the answer arrives: the job is
@@ -135,8 +135,8 @@
 #[test]
 fn a_crash_between_the_stored_write_and_the_answer_to_the_user_loses_no_job() {
     let asking = |at: f64| Fault::new(at, FaultKind::NodeEndsAsking).with_target(FaultTarget::Any);
-    let failures = (0..30).map(|n| asking(20.0 + 2.0 * f64::from(n)));
-    for outcome in play_without_violations(&scenario_with(failures.collect())) {
+    let faults = (0..30).map(|n| asking(20.0 + 2.0 * f64::from(n)));
+    for outcome in play_without_violations(&scenario_with(faults.collect())) {
         assert_eq!(outcome.given_up, 0, "every submission is accepted in time");
     }
 }
@@ -160,9 +160,9 @@
 /// All controllers crash repeatedly, at every stage of their start.
 #[test]
 fn all_controllers_crash_again_while_they_load() {
-    let mut failures = crash_again(crash_of(40.0, FaultTarget::All), 12, 0.4);
-    failures.extend(crash_again(crash_of(70.0, FaultTarget::All), 12, 0.13));
-    play_without_violations(&scenario_with(failures));
+    let mut faults = crash_again(crash_of(40.0, FaultTarget::All), 12, 0.4);
+    faults.extend(crash_again(crash_of(70.0, FaultTarget::All), 12, 0.13));
+    play_without_violations(&scenario_with(faults));
 }
 
 /// Connections between controllers are refused for longer than a lease, while each controller is up: workers are
--- a/crates/drill/tests/standby.rs
+++ b/crates/drill/tests/standby.rs
@@ -5,12 +5,12 @@
 use drill::scenario::{Fault, FaultKind, FaultTarget, PartitionedFrom, Scenario};
 
 /// A scenario of 130 s with three controllers and 25 machines, and only the given faults.
-fn scenario_with(failures: Vec<Fault>) -> Scenario {
+fn scenario_with(faults: Vec<Fault>) -> Scenario {
     let mut scenario = Scenario::example().expect("the example is a scenario");
     scenario.duration_s = 130.0;
     scenario.settle_s = 30.0;
     scenario.objectives.clear();
-    scenario.faults = failures;
+    scenario.faults = faults;
     scenario
 }
 
@@ -26,8 +26,8 @@
 }
 
 /// The number of takeovers after the first election, and how many of them were warm.
-fn takeovers(failures: Vec<Fault>) -> (usize, usize) {
-    let outcome = play_without_violations(&scenario_with(failures));
+fn takeovers(faults: Vec<Fault>) -> (usize, usize) {
+    let outcome = play_without_violations(&scenario_with(faults));
     (outcome.takeovers - 1, outcome.warm_takeovers)
 }
 
@@ -160,7 +160,7 @@
     assert!(outcome.warm_takeovers + 1 >= outcome.takeovers - 1);
 }
 
-/// A leader that is told to shut down revokes its lease; after a crash the others wait until the lease expires.
+/// A leader that is told to shut down steps down first; after a crash the others wait until its lease expires.
 #[test]
 fn a_leader_that_shuts_down_in_order_is_replaced_at_once() {
     let silent = |kind: FaultKind| {
