--- a/tests/suite/main.rs
+++ b/tests/suite/main.rs
@@ -1,23 +1,23 @@
-//! One test program: the scripted world, the rules, and the scheduler.
+//! Tests of the controllers on an in-memory cluster, of the scheduler and of the network layer.
 
-mod answers;
-mod copies;
-mod hands;
-mod holds;
-mod known;
+mod client_responses;
+mod connection_overload;
+mod dependencies;
+mod documentation;
+mod duplicate_heartbeats;
+mod fault_combinations;
+mod heartbeats_and_load;
+mod invariants;
+mod leadership_changes;
 mod limits;
-mod load;
-mod looks;
-mod lost;
-mod meetings;
-mod overload;
-mod pages;
-mod pipelines;
+mod lost_answers;
+mod network;
 mod previous_build;
+mod read_consistency;
 mod recovery;
-mod rules;
 mod scheduling;
-mod sockets;
-mod strange;
+mod schema_upgrade;
+mod starvation;
+mod submission_checks;
 mod test_cluster;
-mod upgrade;
+mod worker_faults;
