--- a/crates/drill/src/check.rs
+++ b/crates/drill/src/check.rs
@@ -218,7 +218,7 @@
         let name = format!("{}/{part}", j.uid);
         self.tasks_started += 1;
         let on_machines = self.locations.entry((job, part)).or_default();
-        let other = here
+        let other = on_machines
             .iter()
             .find(|o| o.machine != machine)
             .map(|o| o.machine);
