--- a/crates/drill/src/cloud.rs
+++ b/crates/drill/src/cloud.rs
@@ -1,5 +1,7 @@
-//! The cloud as published: capacity that shows only when it refuses, lists that lag, rentals by
-//! name, machines that boot late or never, are taken with a notice or without, and die.
+//! A model of the cloud provider, after its published description.
+//!
+//! The capacity of a pool only shows when a rental is refused, lists of machines lag behind, and rentals are
+//! idempotent by rental id. Machines may boot late or never; spot machines are reclaimed with or without notice.
 
 use crate::day::{Day, Kind};
 use crate::machine::{Machine, Phase};
@@ -11,19 +13,20 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// How long a machine that died is still listed as running.
+/// How long a machine that failed is still listed as running.
 const FAILURE_DETECTION_DELAY: Micros = 30 * SECOND;
 
+/// State and counters of the cloud provider.
 pub struct Cloud {
-    /// How many machines of each pool there are now.
+    /// Number of existing machines, by pool.
     used: Vec<usize>,
-    /// What each rental by name was answered, with what it asked for.
+    /// By rental id: pool and number that were requested, and the names of the granted machines.
     rentals: HashMap<String, ((usize, usize), Vec<String>)>,
     request_budget: TokenBucket,
     pub machines_requested: u64,
     pub machines_rented: u64,
     pub machines_released: u64,
-    /// Machines that ran tasks when they were returned.
+    /// Machines that had tasks when they were released.
     pub busy_machines_released: u64,
 }
 
@@ -47,11 +50,11 @@
 }
 
 impl Cloud {
-    pub fn new(day: &Day) -> Self {
+    pub fn new(scenario: &Day) -> Self {
         Self {
-            used: vec![0; day.pools.len()],
+            used: vec![0; scenario.pools.len()],
             rentals: HashMap::default(),
-            request_budget: TokenBucket::new(day.cloud.rps, 2.0),
+            request_budget: TokenBucket::new(scenario.cloud.rps, 2.0),
             machines_requested: 0,
             machines_rented: 0,
             machines_released: 0,
@@ -61,7 +64,7 @@
 }
 
 impl World {
-    /// The machines that are up when the day begins.
+    /// Creates the machines that are up from the start; they start within two seconds.
     pub fn create_initial_machines(&mut self) {
         for pool in 0..self.scenario.pools.len() {
             for _ in 0..self.scenario.pools[pool].up {
@@ -83,15 +86,15 @@
         m
     }
 
-    /// When the cloud takes a spot machine by itself.
+    /// Draws when the cloud reclaims a spot machine, at the scenario's rate per hour.
     fn draw_reclaim(&mut self, m: usize) {
         let per_hour = self.scenario.fleet.taken_per_hour;
         if per_hour > 0.0 {
-            let luck: f64 = self.rng.random_range(1e-9..1.0);
-            let at = self.now + micros(-luck.ln() * 3600.0 / per_hour);
+            let draw: f64 = self.rng.random_range(1e-9..1.0);
+            let at = self.now + micros(-draw.ln() * 3600.0 / per_hour);
             if at < self.end {
-                let silent = self.rng.random::<f64>() < self.scenario.fleet.silent;
-                let notice = if silent {
+                let without_notice = self.rng.random::<f64>() < self.scenario.fleet.silent;
+                let notice = if without_notice {
                     0.0
                 } else {
                     self.scenario.fleet.notice_s * self.rng.random_range(0.5..1.5)
@@ -101,7 +104,7 @@
         }
     }
 
-    /// The machine goes at that time, told of it so long before.
+    /// Reclaims a machine at this time, with notice to its worker `notice_s` earlier.
     pub fn schedule_reclaim(&mut self, m: usize, at: Micros, notice_s: f64) {
         self.machines[m].reclaim = Some((at.saturating_sub(micros(notice_s)), at));
         if notice_s > 0.0 {
@@ -110,9 +113,11 @@
         self.schedule_at(at, Event::SpotReclaim(m));
     }
 
+    /// Handles a request of a controller to the cloud.
     pub fn handle_cloud_request(&mut self, request: Request) {
         let id = request.call;
-        let error = |status, why: &str| Response::new(status, json!({"error": why}).to_string());
+        let error =
+            |status, message: &str| Response::new(status, json!({"error": message}).to_string());
         let now = self.now;
         if !self.cloud.request_budget.try_take(now, 1.0) {
             return self.cloud_responds(id, error(429, "too many requests"));
@@ -120,12 +125,12 @@
         if self.active_fault(Kind::CloudOutage).is_some() {
             return self.cloud_responds(id, error(503, "trouble"));
         }
-        let late = self
+        let delayed_until_s = self
             .active_fault(Kind::CloudLate)
             .map(|f| f.at_s + f.for_s.unwrap_or(0.0));
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/machine_types") => {
-                let builds: Vec<_> = self.scenario.types.iter().map(|t| {
+                let machine_types: Vec<_> = self.scenario.types.iter().map(|t| {
                     let zones = self.scenario.pools.iter().filter(|p| p.r#type == t.name);
                     let mut zones: Vec<&String> = zones.map(|p| &p.zone).collect();
                     zones.sort_unstable();
@@ -136,7 +141,7 @@
                 }).collect();
                 self.cloud_responds(
                     id,
-                    Response::new(200, json!({"builds": builds}).to_string()),
+                    Response::new(200, json!({"builds": machine_types}).to_string()),
                 );
             }
             ("GET", path) => {
@@ -149,28 +154,28 @@
                 let Ok(body) = serde_json::from_slice::<RentRequest>(&request.body) else {
                     return self.cloud_responds(id, error(400, "malformed"));
                 };
-                let offer = self.scenario.pools.iter().position(|p| {
+                let matching_pool = self.scenario.pools.iter().position(|p| {
                     p.r#type == body.machine_type && p.zone == body.zone && p.spot == body.spot
                 });
-                let Some(pool) = offer else {
+                let Some(pool) = matching_pool else {
                     return self.cloud_responds(id, error(503, "no capacity"));
                 };
-                if let Some(until) = late {
+                if let Some(until_s) = delayed_until_s {
                     let event = Event::DelayedRental(body.rental_id, pool, body.number);
-                    return self.schedule_at(micros(until), event);
+                    return self.schedule_at(micros(until_s), event);
                 }
-                let answer = match self.rent(&body.rental_id, pool, body.number) {
+                let response = match self.rent(&body.rental_id, pool, body.number) {
                     Some(machines) => Response::new(200, json!({"hosts": machines}).to_string()),
                     None => error(503, "no capacity"),
                 };
-                self.cloud_responds(id, answer);
+                self.cloud_responds(id, response);
             }
             ("POST", "/hosts/return") => {
                 let Ok(body) = serde_json::from_slice::<ReleaseRequest>(&request.body) else {
                     return self.cloud_responds(id, error(400, "malformed"));
                 };
-                if let Some(until) = late {
-                    return self.schedule_at(micros(until), Event::DelayedRelease(body.machines));
+                if let Some(until_s) = delayed_until_s {
+                    return self.schedule_at(micros(until_s), Event::DelayedRelease(body.machines));
                 }
                 self.release_machines(&body.machines);
                 self.cloud_responds(id, Response::new(200, "{}"));
@@ -179,21 +184,21 @@
         }
     }
 
-    fn cloud_responds(&mut self, id: u64, answer: Response) {
+    fn cloud_responds(&mut self, id: u64, response: Response) {
         let ms = self.scenario.cloud.latency_ms * self.rng.random_range(0.6..1.4);
         self.schedule_after(
             micros(ms / 1000.0),
-            Event::ServiceResponds(id, Box::new(answer)),
+            Event::ServiceResponds(id, Box::new(response)),
         );
     }
 
-    /// Rents by a name that is good for one answer; None: no capacity.
+    /// Rents machines, or repeats the first response for a known rental id; `None` if there is no capacity.
     pub fn rent(&mut self, rental_id: &str, pool: usize, number: usize) -> Option<Vec<String>> {
         self.cloud.machines_requested += number as u64;
-        if let Some((asked, machines)) = self.cloud.rentals.get(rental_id) {
-            let (asked, machines) = (*asked, machines.clone());
+        if let Some((requested, machines)) = self.cloud.rentals.get(rental_id) {
+            let (requested, machines) = (*requested, machines.clone());
             self.checker
-                .hired_again(self.now, rental_id, asked == (pool, number));
+                .hired_again(self.now, rental_id, requested == (pool, number));
             return Some(machines);
         }
         let p = &self.scenario.pools[pool];
@@ -215,30 +220,33 @@
             .iter()
             .map(|m| self.machines[*m].name.clone())
             .collect();
-        let told = ((pool, number), names.clone());
-        self.cloud.rentals.insert(rental_id.to_owned(), told);
+        let first_response = ((pool, number), names.clone());
+        self.cloud
+            .rentals
+            .insert(rental_id.to_owned(), first_response);
         Some(names)
     }
 
-    /// When a machine rented now is up, if ever.
+    /// Draws when a machine that is rented now has booted; `None` if it never does.
     fn draw_boot_end(&mut self, m: usize) -> Option<Micros> {
         let t = &self.scenario.types[self.machines[m].machine_type];
-        let slow = self.active_fault(Kind::BootsSlow).and_then(|f| f.factor);
-        let luck: f64 = self.rng.random();
+        let slowdown = self.active_fault(Kind::BootsSlow).and_then(|f| f.factor);
+        let draw: f64 = self.rng.random();
         if self.rng.random::<f64>() < t.boot_fail {
             return None;
         }
         if self.active_fault(Kind::BootsEarly).is_some() {
             return Some(self.now + self.rng.random_range(100_000..2_000_000));
         }
-        let times = match luck {
-            l if l < 0.03 => 0.05,
-            l if l > 0.97 => 3.0,
-            l => 0.6 + 0.9 * l,
+        let factor = match draw {
+            d if d < 0.03 => 0.05,
+            d if d > 0.97 => 3.0,
+            d => 0.6 + 0.9 * d,
         };
-        Some(self.now + micros(t.boot_s * times * slow.unwrap_or(1.0)))
+        Some(self.now + micros(t.boot_s * factor * slowdown.unwrap_or(1.0)))
     }
 
+    /// Releases machines by name; unknown and removed ones are ignored.
     pub fn release_machines(&mut self, machines: &[String]) {
         for name in machines {
             let found = name
@@ -257,7 +265,7 @@
         }
     }
 
-    /// The machine and all that is on it are gone; `deleted`: from the list too.
+    /// Stops a machine with all its tasks; `deleted` also removes it from the cloud's list.
     pub fn stop_machine(&mut self, m: usize, deleted: bool) {
         if self.machines[m].phase == Phase::Removed {
             return;
@@ -279,20 +287,20 @@
             self.cloud.used[pool] -= 1;
             machine.removed_at = Some(now);
         }
-        // Nobody answers for it any more: its connections just fall silent.
+        // No host resets the connections of a machine that is gone: they become silent.
         self.network.drop_connections(Host::Machine(m));
     }
 
-    /// The list as it was some time ago.
+    /// Returns a page of the list of machines as it was some time ago.
     fn list_machines(&mut self, from: &str) -> String {
         let lag = self.scenario.cloud.list_lag_s * self.rng.random_range(0.5..2.0);
         let then = self.now.saturating_sub(micros(lag));
         let mut machines = Vec::new();
         let mut truncated = false;
         for m in &mut self.machines {
-            let here =
+            let listed =
                 (m.created_at <= then || m.seen_in_list) && m.removed_at.is_none_or(|g| g > then);
-            if !here || m.name.as_str() <= from {
+            if !listed || m.name.as_str() <= from {
                 continue;
             }
             if machines.len() == 500 {
@@ -319,7 +327,7 @@
         json!({"hosts": machines, "truncated": truncated}).to_string()
     }
 
-    /// What was spent, by the second at nominal prices.
+    /// Returns the cost of all machines so far, charged by the second at list prices.
     pub fn cost(&self) -> f64 {
         let each = self.machines.iter().map(|m| {
             let until = match m.phase {
--- a/crates/drill/src/controller.rs
+++ b/crates/drill/src/controller.rs
@@ -1,5 +1,7 @@
-//! A controller process: the program's own node and lanes, a loop like the program's, clocks that
-//! drift, processor time charged for each event, ends and stops.
+//! A controller process: runs the production controller and input queue in a simulated event loop.
+//!
+//! The loop follows the one of the program. Each process has drifting clocks, is charged processor time for
+//! each input and output, and can exit, restart and freeze.
 
 use crate::day::Day;
 use crate::network::Host;
@@ -18,10 +20,11 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// What work takes of one whole core, in microseconds. The proportions are those of the lines that
-/// the leader and the followers log on where their time goes on `cscc-render-fleet`, day calm, of the
-/// operators' bench; the level is set so that the same day at full size takes what it took there, 21.9 s
-/// of processor over all seven processes (simulated machines).
+/// Processor time of each kind of work, in microseconds of one whole core.
+///
+/// The proportions follow the time breakdown that leader and followers log in the operators' benchmark
+/// (scenario `cscc-render-fleet`, day `calm`). The values are scaled so that the same scenario at full size takes
+/// as much as there: 21.9 s of processor time over all seven processes.
 mod cost {
     pub const LOOP_ITERATION: f64 = 9.5;
     pub const READ_INPUT: f64 = 7.5;
@@ -31,49 +34,55 @@
     pub const CALL_OUTCOME: f64 = 12.5;
     pub const BYTE: f64 = 0.005;
     pub const SEND_OUTPUT: f64 = 9.5;
-    /// For each machine that the ledger or the scheduler looked at.
+    /// For each machine that the worker ledger or the scheduler examines.
     pub const MACHINE_EXAMINED: f64 = 0.3;
-    /// Until a process that was started does anything.
+    /// From the start of a process to its first loop iteration.
     pub const PROCESS_START: f64 = 4_000.0;
 }
 
-/// So many reports are taken in a turn, as in the program.
-const HEARTBEATS_PER_ITERATION: usize = 32;
+/// Non-urgent inputs handled per loop iteration, most of them heartbeats; the same as in the program.
+const NON_URGENT_INPUTS_PER_ITERATION: usize = 32;
 
+/// One controller process, running or between two incarnations.
 pub struct ControllerProcess {
     pub zone: usize,
     settings_text: String,
     properties: Properties,
+    /// `None` while the process is down.
     pub controller: Option<Controller>,
-    /// Counts the runs of the process.
+    /// Goes up with each start and each exit of the process.
     pub incarnation: u64,
-    /// What the sockets hold.
+    /// Inputs that have arrived at the sockets and are not read yet.
     socket_inputs: Vec<Input>,
     queue: InputQueue,
-    /// Requests whose callers have given up, but whose connections look alive.
+    /// Requests whose callers have given up while their connections still look open to the controller.
     abandoned_calls: HashSet<u64>,
     load: LoadMonitor,
     busy_until: Micros,
     pub frozen_until: Micros,
-    /// It ends when it has sent its next transaction.
+    /// The process exits right after it has sent its next transaction.
     pub stops_after_transaction: bool,
-    /// The next turn stops that long between reading the clock and sending.
+    /// The next loop iteration pauses for this long between reading the clock and sending.
     pub pause_in_loop: Option<Micros>,
     next_loop_at: Option<Micros>,
     started_at: Micros,
+    /// Local seconds per simulated second.
     clock_rate: f64,
+    /// In microseconds.
     wall_clock_offset: f64,
+    /// Requests in a row to each other controller that got no response.
     pub missed_peer_responses: Vec<u32>,
-    /// Of one core, in microseconds.
+    /// Processor time in microseconds of one core.
     pub cpu_spent: f64,
     pub requests_shed: u64,
     leading: bool,
-    /// The last term that it was seen to lead.
+    /// The last term for which it loaded the leader state.
     last_led_term: u64,
 }
 
-fn settings_text(n: usize, day: &Day) -> String {
-    let f = &day.fleet;
+/// Writes the settings file of one controller.
+fn settings_text(n: usize, scenario: &Day) -> String {
+    let f = &scenario.fleet;
     let zone = |n: usize| &f.zones[n % f.zones.len()];
     let mut s = format!(
         "label = \"node-{n}\"\ndomain = \"{}\"\nlisten = \"10.0.0.{}:8080\"\ncluster_listen = \"10.0.0.{}:8081\"\n",
@@ -94,14 +103,14 @@
         "[endpoints]\ncloud = \"10.2.0.2:8443\"\nstate = \"10.2.0.1:2379\"\n[settings]\nnodes = {}\nzones = {:?}\ntime_bound_ms = {:?}\n",
         f.controllers, f.zones, f.clock_off_ms
     );
-    for t in &day.teams {
+    for t in &scenario.teams {
         let _ = write!(
             s,
             "[[settings.teams]]\nname = {:?}\ncpus = {:?}\ncpus_max = {:?}\n",
             t.name, t.cpus, t.cpus_max
         );
     }
-    for a in &day.aims {
+    for a in &scenario.aims {
         let _ = write!(
             s,
             "[[settings.objectives]]\nkind = \"{}\"\nshare = {:?}\nwithin_s = {:?}\ntimes = {:?}\n",
@@ -114,7 +123,7 @@
             let _ = writeln!(s, "class = {c:?}");
         }
     }
-    let (st, cl) = (&day.state, &day.cloud);
+    let (st, cl) = (&scenario.state, &scenario.cloud);
     let _ = write!(
         s,
         "[settings.workers]\nreport_s = {:?}\nlease_s = {:?}\ncancel_s = {:?}\n[settings.state]\nrps = {:?}\nwrite_rps = {:?}\nvalue_kb = {:?}\ntxn_ops = {}\n[settings.cloud]\nrps = {:?}\nlist_lag_s = {:?}\n[settings.machine_limits]\nmax_connections = 3000\n",
@@ -132,11 +141,11 @@
 }
 
 impl ControllerProcess {
-    pub fn new(n: usize, day: &Day, rng: &mut SmallRng) -> Self {
+    pub fn new(n: usize, scenario: &Day, rng: &mut SmallRng) -> Self {
         Self {
-            zone: n % day.fleet.zones.len(),
-            settings_text: settings_text(n, day),
-            properties: Properties::from_pairs(&day.properties).unwrap_or_default(),
+            zone: n % scenario.fleet.zones.len(),
+            settings_text: settings_text(n, scenario),
+            properties: Properties::from_pairs(&scenario.properties).unwrap_or_default(),
             controller: None,
             incarnation: 0,
             socket_inputs: Vec::new(),
@@ -149,9 +158,9 @@
             pause_in_loop: None,
             next_loop_at: None,
             started_at: 0,
-            clock_rate: 1.0 + rng.random_range(0.0..=day.fleet.drift.max(0.0)),
-            wall_clock_offset: rng.random_range(-1.0..=1.0) * day.fleet.clock_off_ms * 1_000.0,
-            missed_peer_responses: vec![0; day.fleet.controllers],
+            clock_rate: 1.0 + rng.random_range(0.0..=scenario.fleet.drift.max(0.0)),
+            wall_clock_offset: rng.random_range(-1.0..=1.0) * scenario.fleet.clock_off_ms * 1_000.0,
+            missed_peer_responses: vec![0; scenario.fleet.controllers],
             cpu_spent: 0.0,
             requests_shed: 0,
             leading: false,
@@ -163,12 +172,12 @@
         self.controller.is_some()
     }
 
-    /// Whether it acted as leader in its last turn, and has not ended or stopped since.
+    /// Whether it led in its last loop iteration and has neither exited nor frozen since.
     pub fn is_leading(&self) -> bool {
         self.leading
     }
 
-    /// It was told to end.
+    /// Starts an orderly shutdown.
     pub fn shut_down(&mut self, now: Micros) {
         let local = self.local_clock(now);
         if let Some(controller) = &mut self.controller {
@@ -176,16 +185,16 @@
         }
     }
 
-    /// What its clocks say at a true time.
+    /// Returns what its clocks show at a simulated time.
     fn local_clock(&self, now: Micros) -> Now {
-        let run = now.saturating_sub(self.started_at) as f64 * self.clock_rate;
+        let elapsed = now.saturating_sub(self.started_at) as f64 * self.clock_rate;
         Now {
-            steady: run as Micros + SECOND,
+            steady: elapsed as Micros + SECOND,
             wall: (1_000_000.0 * SECOND as f64 + now as f64 + self.wall_clock_offset) as Micros,
         }
     }
 
-    /// The true time at which its steady clock says that.
+    /// Returns the simulated time at which its monotonic clock shows `steady`.
     fn true_time(&self, steady: Micros) -> Micros {
         self.started_at + (steady.saturating_sub(SECOND) as f64 / self.clock_rate).ceil() as Micros
     }
@@ -193,7 +202,7 @@
 
 impl World {
     pub fn start_controller(&mut self, n: usize) {
-        let run = self.rng.random::<u64>() >> 12;
+        let incarnation_id = self.rng.random::<u64>() >> 12;
         let now = self.now;
         let share = self.scenario.fleet.cpu_share;
         let c = &mut self.controllers[n];
@@ -203,21 +212,21 @@
         let Ok(settings) = Settings::parse(&c.settings_text) else {
             return;
         };
-        let mut props = c.properties.clone();
-        if props.seed == 0 {
-            props.seed = run | 1;
+        let mut properties = c.properties.clone();
+        if properties.seed == 0 {
+            properties.seed = incarnation_id | 1;
         }
         c.incarnation += 1;
         c.started_at = now;
-        c.controller = Some(Controller::new(settings, props, run));
+        c.controller = Some(Controller::new(settings, properties, incarnation_id));
         c.socket_inputs.clear();
         c.queue = InputQueue::default();
         c.load = LoadMonitor::default();
         c.abandoned_calls.clear();
         c.cpu_spent += cost::PROCESS_START;
-        c.busy_until = now + wall_time(cost::PROCESS_START, share);
+        c.busy_until = now + elapsed_time(cost::PROCESS_START, share);
         (c.frozen_until, c.pause_in_loop) = (0, None);
-        self.record_in_digest("start", n as u64, run);
+        self.record_in_digest("start", n as u64, incarnation_id);
         let at = self.controllers[n].busy_until;
         self.schedule_loop(n, at);
     }
@@ -249,7 +258,7 @@
         }
     }
 
-    /// What was kept for a new leader arrives at every controller.
+    /// Delivers the held copies of heartbeats to every controller, within two seconds.
     fn deliver_held_duplicates(&mut self) {
         for copy in std::mem::take(&mut self.held_duplicates) {
             for controller in 0..self.controllers.len() {
@@ -261,7 +270,7 @@
         }
     }
 
-    /// The loop turns at that time, or before.
+    /// Makes sure that the next loop iteration runs at this time or before, as soon as the process is free.
     fn schedule_loop(&mut self, n: usize, at: Micros) {
         let c = &mut self.controllers[n];
         let at = at.max(c.busy_until).max(c.frozen_until).max(self.now);
@@ -280,7 +289,8 @@
 
     pub fn queue_request(&mut self, n: usize, request: Request) {
         if !self.calls.contains_key(&request.call) && self.rng.random() {
-            // Held back on its way: its end is not seen before it is taken, half of the time.
+            // The caller has given up while the request was in transit. Half of the time the closed connection is
+            // not noticed before the request is handled.
             self.controllers[n].abandoned_calls.insert(request.call);
         }
         let conn = request.call;
@@ -303,7 +313,8 @@
         self.queue_input(n, input);
     }
 
-    /// One turn of the program's loop.
+    /// Runs one iteration of the controller's loop: reads the inputs, handles them, ticks and schedules the
+    /// outputs for when the processor time is over.
     pub fn run_loop(&mut self, n: usize) {
         let now = self.now;
         let share = self.scenario.fleet.cpu_share;
@@ -321,7 +332,7 @@
         };
         crate::set_log_context(now, n);
         let mut spent = cost::LOOP_ITERATION;
-        let mut refused = Vec::new();
+        let mut shed = Vec::new();
         c.queue.set_now(local.steady);
         for input in std::mem::take(&mut c.socket_inputs) {
             spent += cost::READ_INPUT;
@@ -330,21 +341,21 @@
                 && path != HEALTH_PATH
                 && c.load.shed_level().refuses(path)
             {
-                refused.push(*conn);
+                shed.push(*conn);
                 continue;
             }
             c.queue.push(input);
         }
-        let (calls, late) = (&self.calls, &c.abandoned_calls);
+        let (calls, abandoned) = (&self.calls, &c.abandoned_calls);
         let awaited = |input: &Input| match input {
-            Input::Request { conn, .. } => calls.contains_key(conn) || late.contains(conn),
+            Input::Request { conn, .. } => calls.contains_key(conn) || abandoned.contains(conn),
             _ => true,
         };
         while let Some(input) = c.queue.next_urgent(awaited) {
             spent += input_cost(&input);
             controller.handle(local, input);
         }
-        for _ in 0..HEARTBEATS_PER_ITERATION {
+        for _ in 0..NON_URGENT_INPUTS_PER_ITERATION {
             let Some(input) = c.queue.next(awaited) else {
                 break;
             };
@@ -353,18 +364,20 @@
         }
         c.load.note_wait(
             local.steady,
-            c.queue.longest_wait().max(wall_time(spent, share)),
+            c.queue.longest_wait().max(elapsed_time(spent, share)),
         );
         controller.update_load(c.load);
-        let effort = controller.machines_examined();
+        let examined_before = controller.machines_examined();
         let mut outputs = controller.tick(local);
-        let own =
-            (controller.machines_examined().saturating_sub(effort)) as f64 * cost::MACHINE_EXAMINED;
-        controller.record_tick_duration(wall_time(own, share));
-        spent += own + outputs.len() as f64 * cost::SEND_OUTPUT;
+        let tick_time = (controller
+            .machines_examined()
+            .saturating_sub(examined_before)) as f64
+            * cost::MACHINE_EXAMINED;
+        controller.record_tick_duration(elapsed_time(tick_time, share));
+        spent += tick_time + outputs.len() as f64 * cost::SEND_OUTPUT;
         let retry = c.load.retry_after(0);
-        c.requests_shed += refused.len() as u64;
-        for conn in refused {
+        c.requests_shed += shed.len() as u64;
+        for conn in shed {
             spent += cost::SEND_OUTPUT;
             outputs.push(Output::Respond {
                 conn,
@@ -376,28 +389,32 @@
         let fatal = controller.fatal_error().is_some();
         let wake = controller.wake_at();
         let leads = controller.is_leader();
-        let built = controller
+        let loaded = controller
             .load_source()
             .filter(|b| b.term > c.last_led_term);
-        c.last_led_term = built.map_or(c.last_led_term, |b| b.term);
+        c.last_led_term = loaded.map_or(c.last_led_term, |b| b.term);
         if c.queue.is_empty() {
             c.abandoned_calls.clear();
         }
         c.cpu_spent += spent;
-        c.busy_until = now + wall_time(spent, share);
+        c.busy_until = now + elapsed_time(spent, share);
         if let Some(stop) = c.pause_in_loop.take() {
-            // It stands still after it has read its clock and before it sends.
+            // The process freezes after it has read its clock and before it sends.
             c.frozen_until = c.frozen_until.max(now + stop);
             c.busy_until = c.busy_until.max(c.frozen_until);
         }
-        if let Some(built) = built {
-            let adds_up = self
+        if let Some(loaded) = loaded {
+            let checksum_matches = self
                 .state_service
-                .checksum_matches(built.revision, built.checksum);
-            // Stored by each take, and by nothing else.
-            let take = self.state_service.mod_revision("term").unwrap_or(0);
-            self.checker
-                .built(now, built, adds_up, built.revision >= take);
+                .checksum_matches(loaded.revision, loaded.checksum);
+            // The key is only written when a leader takes over.
+            let takeover_revision = self.state_service.mod_revision("term").unwrap_or(0);
+            self.checker.built(
+                now,
+                loaded,
+                checksum_matches,
+                loaded.revision >= takeover_revision,
+            );
         }
         let c = &self.controllers[n];
         let (sent, incarnation) = (c.busy_until, c.incarnation);
@@ -424,7 +441,7 @@
         self.schedule_loop(n, next);
     }
 
-    /// What a turn decided leaves the process, if that still exists and runs.
+    /// Sends the outputs of a loop iteration: drops them if the process has exited, delays them while it is frozen.
     pub fn send_outputs(&mut self, n: usize, incarnation: u64, outputs: Vec<Output>) {
         let c = &self.controllers[n];
         if c.incarnation != incarnation {
@@ -455,19 +472,19 @@
                 body,
                 retry_after,
             } => {
-                let mut answer = Response::new(status, body);
-                answer.retry_after = retry_after;
-                self.respond(conn, answer);
+                let mut response = Response::new(status, body);
+                response.retry_after = retry_after;
+                self.respond(conn, response);
             }
             Output::PeerRespond { conn, outcome, .. } => {
-                let answer = match outcome {
+                let response = match outcome {
                     Outcome::Reply { status, body } => Response::new(status, body),
                     other => Response {
                         peer_outcome: Some(other),
                         ..Response::new(0, Vec::new())
                     },
                 };
-                self.respond(conn, answer);
+                self.respond(conn, response);
             }
             Output::Call {
                 ticket,
@@ -481,10 +498,10 @@
                 if path == "/txn"
                     && std::mem::take(&mut self.controllers[controller].stops_after_transaction)
                 {
-                    // Before the answer can be there, or at about that moment.
-                    let within = micros(self.scenario.state.latency_ms / 500.0);
-                    let soon = self.rng.random_range(0..=within);
-                    self.schedule_after(soon, Event::StopController(controller));
+                    // The exit comes before the response can arrive, or at about that moment.
+                    let latest = micros(self.scenario.state.latency_ms / 500.0);
+                    let delay = self.rng.random_range(0..=latest);
+                    self.schedule_after(delay, Event::StopController(controller));
                 }
                 let from = Caller::Controller {
                     controller,
@@ -518,6 +535,7 @@
         }
     }
 
+    /// Returns the host that has this address.
     fn host_at(&self, addr: SocketAddr) -> Option<Host> {
         let SocketAddr::V4(addr) = addr else {
             return None;
@@ -532,7 +550,8 @@
     }
 }
 
-fn wall_time(spent: f64, share: f64) -> Micros {
+/// Returns the time that work takes on a share of a core; a share of 0 means that work takes no time.
+fn elapsed_time(spent: f64, share: f64) -> Micros {
     if share > 0.0 {
         (spent / share) as Micros
     } else {
@@ -540,6 +559,7 @@
     }
 }
 
+/// Returns the processor time for handling an input, in microseconds of one core.
 fn input_cost(input: &Input) -> f64 {
     let (base, bytes) = match input {
         Input::Request { path, body, .. } if path == HEARTBEAT_PATH => {
--- a/crates/drill/src/faults.rs
+++ b/crates/drill/src/faults.rs
@@ -1,4 +1,4 @@
-//! What fails, when its time has come.
+//! Starts the faults of a scenario and chooses the controllers and machines that they hit.
 
 use crate::day::{Failure, Kind, Mode, Side, Whom};
 use crate::machine::Phase;
@@ -7,52 +7,53 @@
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// How long a controller that was told to end has.
+/// Time in microseconds from the shutdown request to a controller until its process exits.
 const SHUTDOWN_TIME: u64 = 300_000;
 
 impl World {
+    /// Starts the `n`-th fault of the scenario.
     pub fn start_fault(&mut self, n: usize) {
-        let f = self.scenario.failures[n].clone();
+        let fault = self.scenario.failures[n].clone();
         self.record_in_digest("fails", n as u64, 0);
-        let lasts = micros(f.for_s.unwrap_or(0.0));
-        let until = self.now + lasts;
-        if lasts > 0 {
+        let duration = micros(fault.for_s.unwrap_or(0.0));
+        let until = self.now + duration;
+        if duration > 0 {
             self.active_faults.push(n);
             self.schedule_at(until, Event::FaultEnds(n));
         }
-        let mode = f.mode.unwrap_or(Mode::Hold);
-        match f.kind {
+        let mode = fault.mode.unwrap_or(Mode::Hold);
+        match fault.kind {
             Kind::NodeCrash => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     self.stop_controller(n);
                 }
             }
             Kind::NodeEndsAsking => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     self.controllers[n].stops_after_transaction = true;
                 }
             }
             Kind::NodeLeaves => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     self.controllers[n].shut_down(self.now);
                     self.schedule_after(SHUTDOWN_TIME, Event::StopController(n));
                 }
             }
-            Kind::NodeRoll => self.rolling_restart(&f),
+            Kind::NodeRoll => self.rolling_restart(&fault),
             Kind::NodeFreeze => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     let c = &mut self.controllers[n];
-                    if f.inside {
-                        c.pause_in_loop = Some(lasts);
+                    if fault.inside {
+                        c.pause_in_loop = Some(duration);
                     } else {
                         c.frozen_until = c.frozen_until.max(until);
-                        // Whatever it believes, it does nothing.
+                        // A frozen process does nothing, also if it still believes that it leads.
                         self.set_leading(n, false);
                     }
                 }
             }
             Kind::NodeCut => {
-                let side = match f.from.unwrap_or(Side::All) {
+                let side = match fault.from.unwrap_or(Side::All) {
                     Side::All => PartitionSide::All,
                     Side::State => PartitionSide::Host(Host::State),
                     Side::Workers => PartitionSide::Machines,
@@ -60,7 +61,7 @@
                     Side::Users => PartitionSide::Host(Host::Users),
                     Side::Cloud => PartitionSide::Host(Host::Cloud),
                 };
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     let controller = PartitionSide::Host(Host::Controller(n));
                     self.network
                         .partition(self.now, until, controller, side, mode);
@@ -68,100 +69,102 @@
             }
             Kind::PeersRefuse => self.network.refuse_peer_connections(until),
             Kind::ZoneCut => {
-                let leaders = self
-                    .target_controllers(&f)
+                let target_zone = self
+                    .target_controllers(&fault)
                     .first()
                     .map(|n| self.controllers[*n].zone);
-                let zone = match (&f.zone, leaders) {
+                let zone = match (&fault.zone, target_zone) {
                     (None, Some(zone)) => zone,
-                    _ => self.zone_index(f.zone.as_deref()),
+                    _ => self.zone_index(fault.zone.as_deref()),
                 };
                 let zone = PartitionSide::Zone(zone);
                 self.network
                     .partition(self.now, until, zone, PartitionSide::All, mode);
             }
             Kind::ZonesApart => {
-                let a = PartitionSide::Zone(self.zone_index(f.zone.as_deref()));
-                let b = PartitionSide::Zone(self.zone_index(f.other_zone.as_deref()));
+                let a = PartitionSide::Zone(self.zone_index(fault.zone.as_deref()));
+                let b = PartitionSide::Zone(self.zone_index(fault.other_zone.as_deref()));
                 self.network.partition(self.now, until, a, b, mode);
             }
             Kind::StateOutage => self.state_service.start_outage(self.now, until),
             Kind::StateRefuses => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     self.state_service.refused_until.insert(n, until);
                 }
             }
             Kind::StateForgets => self.state_service.compact_change_log(),
             Kind::WatchesHang => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     self.state_service.watches_hang_until.insert(n, until);
                 }
             }
             Kind::MachineDeaf => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     self.machines[m].inbound_partitioned_until = until;
                 }
             }
             Kind::MachineMute => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     self.machines[m].outbound_partitioned_until = until;
                 }
             }
-            Kind::CancelNow => self.cancel_now(&f),
+            Kind::CancelNow => self.cancel_now(&fault),
             Kind::OddRequests => self.odd_request(until),
             Kind::MirrorSpoiled => {
-                for n in self.target_controllers(&f) {
+                for n in self.target_controllers(&fault) {
                     if let Some(controller) = &mut self.controllers[n].controller {
                         controller.corrupt_replica();
                     }
                 }
             }
             Kind::MachineCut => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     let machine = PartitionSide::Host(Host::Machine(m));
                     self.network
                         .partition(self.now, until, machine, PartitionSide::All, mode);
                 }
             }
             Kind::MachineHang => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     self.hang_machine(m, until);
                 }
             }
             Kind::MachineDie => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     self.stop_machine(m, false);
                 }
             }
             Kind::MachineSick => {
-                for m in self.target_machines(&f) {
+                for m in self.target_machines(&fault) {
                     self.machines[m].tasks_fail_until = until;
                 }
             }
             Kind::MachineSlow => {
-                for m in self.target_machines(&f) {
-                    self.machines[m].slowdown = (f.factor.unwrap_or(1.0).max(0.01), until);
+                for m in self.target_machines(&fault) {
+                    self.machines[m].slowdown = (fault.factor.unwrap_or(1.0).max(0.01), until);
                 }
             }
             Kind::SpotTaken => {
-                let share = f.share.unwrap_or(0.0);
+                let share = fault.share.unwrap_or(0.0);
                 for m in 0..self.machines.len() {
                     let machine = &self.machines[m];
                     let pool = &self.scenario.pools[machine.pool];
-                    let here = f.zone.as_ref().is_none_or(|z| *z == pool.zone);
-                    let there = matches!(machine.phase, Phase::Up | Phase::Booting);
-                    if pool.spot && here && there && self.rng.random::<f64>() < share {
-                        let notice = f.notice_s.unwrap_or(0.0) * self.rng.random_range(0.5..1.5);
+                    let in_zone = fault.zone.as_ref().is_none_or(|z| *z == pool.zone);
+                    let exists = matches!(machine.phase, Phase::Up | Phase::Booting);
+                    if pool.spot && in_zone && exists && self.rng.random::<f64>() < share {
+                        let notice =
+                            fault.notice_s.unwrap_or(0.0) * self.rng.random_range(0.5..1.5);
                         let at = self.now + micros(notice) + 1;
                         self.schedule_reclaim(m, at, notice);
                     }
                 }
             }
-            // The others are looked up where they matter while they last.
+            // The other kinds are looked up with `active_fault` where they take effect.
             _ => {}
         }
     }
 
+    /// Returns the index of a zone; 0 if there is no zone of this name.
     fn zone_index(&self, name: Option<&str>) -> usize {
         let zones = &self.scenario.fleet.zones;
         zones
@@ -170,48 +173,55 @@
             .unwrap_or(0)
     }
 
-    /// The controllers that a failure hits, by what they do now.
-    fn target_controllers(&mut self, f: &Failure) -> Vec<usize> {
-        let mut nodes: Vec<usize> = (0..self.controllers.len()).collect();
-        nodes.shuffle(&mut self.rng);
+    /// Returns the controllers that a fault hits, by their present roles.
+    fn target_controllers(&mut self, fault: &Failure) -> Vec<usize> {
+        let mut controllers: Vec<usize> = (0..self.controllers.len()).collect();
+        controllers.shuffle(&mut self.rng);
         let leads = |n: &usize| self.controllers[*n].is_leading();
-        let leader = nodes.iter().copied().find(leads);
-        let count = f.count.unwrap_or(1);
-        let chosen: Vec<usize> = match f.whom.unwrap_or(Whom::Any) {
+        let leader = controllers.iter().copied().find(leads);
+        let count = fault.count.unwrap_or(1);
+        let chosen: Vec<usize> = match fault.whom.unwrap_or(Whom::Any) {
             Whom::Again => self.last_fault_targets.clone(),
-            Whom::All => nodes,
-            Whom::Leader | Whom::Holder => leader.or(nodes.first().copied()).into_iter().collect(),
-            Whom::Standby => nodes
+            Whom::All => controllers,
+            Whom::Leader | Whom::Holder => leader
+                .or(controllers.first().copied())
+                .into_iter()
+                .collect(),
+            Whom::Standby => controllers
                 .into_iter()
                 .filter(|n| Some(*n) != leader)
                 .take(count)
                 .collect(),
-            Whom::Any => nodes.into_iter().take(count).collect(),
+            Whom::Any => controllers.into_iter().take(count).collect(),
         };
         self.last_fault_targets.clone_from(&chosen);
         chosen
     }
 
-    /// All controllers end and come back, one after the other, each as a failure of its own.
-    fn rolling_restart(&mut self, f: &Failure) {
-        let every = micros(f.every_s.unwrap_or(15.0));
+    /// Restarts all controllers, one after the other.
+    fn rolling_restart(&mut self, fault: &Failure) {
+        let every = micros(fault.every_s.unwrap_or(15.0));
         for n in 0..self.controllers.len() {
             let at = self.now + every * n as u64;
             self.schedule_at(at, Event::StopController(n));
         }
     }
 
-    fn target_machines(&mut self, f: &Failure) -> Vec<usize> {
-        let zone = f.zone.as_ref().map(|z| self.zone_index(Some(z.as_str())));
+    /// Returns the running machines that a fault hits.
+    fn target_machines(&mut self, fault: &Failure) -> Vec<usize> {
+        let zone = fault
+            .zone
+            .as_ref()
+            .map(|z| self.zone_index(Some(z.as_str())));
         let mut up: Vec<usize> = (0..self.machines.len())
             .filter(|m| self.machines[*m].phase == Phase::Up)
             .filter(|m| zone.is_none_or(|z| self.machines[*m].zone == z))
             .filter(|m| self.now >= self.machines[*m].hung_until)
             .collect();
-        // Those with work first: a failure of an idle machine shows little.
+        // Machines with tasks come first, since the fault of an idle machine has little effect.
         up.shuffle(&mut self.rng);
         up.sort_by_key(|m| u8::from(self.machines[*m].tasks.is_empty()));
-        up.truncate(f.count.unwrap_or(1));
+        up.truncate(fault.count.unwrap_or(1));
         up
     }
 }
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,10 +1,15 @@
-//! Days of several controllers and hundreds of machines failing, played on one fake clock.
+//! A deterministic simulator: runs scenarios with several controllers, hundreds of machines and injected faults on a
+//! simulated clock.
 //!
-//! `day` holds a day as data, `generate` draws days, `world` plays one with the program's own
-//! nodes against models of what the operators publish (`state`, `cloud`, `machine` and its `tasks`, `users`,
-//! `balancer`, `network`), `failures` breaks things, `check` judges what was seen from outside,
-//! `outcome` and `picture` tell, `shrink` cuts a failing day down. `docs/drill.md` says what is
-//! modelled and what is not. All figures are of simulated machines.
+//! - `day` describes a scenario, `generate` draws scenarios at random.
+//! - `world` runs a scenario. Its controllers (`controller`) are the production code; everything around them is a
+//!   model after the operators' published descriptions: `state_service`, `cloud`, `machine` and its `tasks`, `users`,
+//!   `balancer` and `network`.
+//! - `faults` injects the scenario's faults. `check` judges, from outside the controllers, whether they break a rule;
+//!   `tamper` alters messages so that tests can show that the checks find violations.
+//! - `outcome` and `picture` report the results, `shrink` reduces a failing scenario.
+//!
+//! `docs/drill.md` says what is modelled and what is not. All figures are of simulated machines.
 
 mod balancer;
 pub mod check;
@@ -33,16 +38,16 @@
     static LOG_CONTEXT: Cell<(Micros, usize)> = const { Cell::new((0, 0)) };
 }
 
-/// Whoever logs now: the time of the day, and the controller.
+/// Returns the simulated time and the index of the controller whose code runs now, for log lines.
 pub fn log_context() -> (Micros, usize) {
     LOG_CONTEXT.get()
 }
 
-pub(crate) fn set_log_context(now: Micros, node: usize) {
-    LOG_CONTEXT.set((now, node));
+pub(crate) fn set_log_context(now: Micros, controller: usize) {
+    LOG_CONTEXT.set((now, controller));
 }
 
-/// Plays a day.
-pub fn play(day: &Day) -> Outcome {
-    World::new(day.clone()).play(|_| {})
+/// Runs a scenario and returns its results.
+pub fn play(scenario: &Day) -> Outcome {
+    World::new(scenario.clone()).play(|_| {})
 }
--- a/crates/drill/src/machine.rs
+++ b/crates/drill/src/machine.rs
@@ -1,5 +1,8 @@
-//! A machine and its worker as published: reports, sessions, leases, tokens, tally, images, saving,
-//! direct commands, hanging. Owns what is on the machine; asks nobody what ought to be there.
+//! A model of a machine and its worker, after their published description.
+//!
+//! The worker sends heartbeats, checks its own lease and the fencing token, and executes commands, which come in
+//! heartbeat responses or as direct requests. This module decides what runs on the machine from the commands alone;
+//! it never looks at the state of the controllers.
 
 use crate::day::{Day, Kind};
 use crate::network::Host;
@@ -9,16 +12,18 @@
 use serde::Deserialize;
 use std::fmt::Write;
 
+/// Life cycle of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     Booting,
     Up,
-    /// Stopped by itself, with all that was on it.
+    /// Failed, with all tasks on it.
     Failed,
-    /// Returned or taken.
+    /// Released by the controllers or reclaimed by the cloud.
     Removed,
 }
 
+/// Status of an attempt, as heartbeats report it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
     Fetching,
@@ -27,15 +32,19 @@
     Ended,
 }
 
+/// An attempt of a task on a machine. Ended attempts stay until the leader acknowledges them.
 pub struct Task {
     pub job: usize,
     pub task_index: u32,
     pub attempt: u64,
     pub status: Status,
+    /// Why it ended, or, while it runs, how it will end.
     pub cause: &'static str,
+    /// Whether it saved its progress when it was stopped.
     pub saved: bool,
-    /// When its status changes by itself, and which change that is.
+    /// When its status changes by itself.
     pub transition_at: Micros,
+    /// Number of the scheduled change; events with another number are outdated.
     pub transition: u64,
     pub running_since: Micros,
     pub cores: f64,
@@ -43,28 +52,33 @@
 }
 
 impl Task {
-    /// Whether it takes room.
+    /// Whether it takes cores and memory of its machine.
     pub fn holds_resources(&self) -> bool {
         self.status != Status::Ended
     }
 
-    /// Whether it is on the machine, by the rules: it has its image and has not ended.
+    /// Whether it counts as running for the rules: it has its image and has not ended.
     pub fn is_executing(&self) -> bool {
         matches!(self.status, Status::Running | Status::Saving)
     }
 }
 
+/// A container image in the cache of a machine.
 pub struct Image {
     pub name: String,
-    pub gb: f64,
+    pub size_gb: f64,
+    /// When the fetch is complete.
     pub ready_at: Micros,
     pub last_used: Micros,
 }
 
+/// A machine with its worker.
 pub struct Machine {
     pub name: String,
     pub addr: String,
+    /// Index into the scenario's machine types.
     pub machine_type: usize,
+    /// Index into the scenario's pools.
     pub pool: usize,
     pub zone: usize,
     pub phase: Phase,
@@ -72,34 +86,44 @@
     pub up_at: Option<Micros>,
     pub stopped_at: Micros,
     pub removed_at: Option<Micros>,
+    /// Whether the cloud has listed it; then it stays in the list until it is removed.
     pub seen_in_list: bool,
-    /// When its notice begins, and when it is taken.
+    /// When the notice of its reclaim begins, and when the cloud reclaims it.
     pub reclaim: Option<(Micros, Micros)>,
     pub tasks: Vec<Task>,
+    /// Requests that arrived while the machine hung.
     pub inbox: Vec<Request>,
     pub hung_until: Micros,
-    /// Until when nothing reaches it.
+    /// Until when it receives no requests and no responses.
     pub inbound_partitioned_until: Micros,
-    /// Until when its reports reach nobody.
+    /// Until when its heartbeats are lost.
     pub outbound_partitioned_until: Micros,
+    /// Tasks that begin to run before this time fail.
     pub tasks_fail_until: Micros,
+    /// Factor on the run time of tasks, and until when it applies.
     pub slowdown: (f64, Micros),
     pub images: Vec<Image>,
     agent_epoch: u64,
     sequence: u64,
     fencing_token: u64,
+    /// The controller that it sends its heartbeats to.
     controller: usize,
     heartbeat_in_flight: bool,
     last_heartbeat_at: Micros,
     next_heartbeat_at: Micros,
-    /// From when its lease counts.
+    /// When the last heartbeat was sent that the leader accepted.
     lease_renewed_at: Micros,
+    /// When a new fencing token last made it send an early heartbeat.
     token_reported_at: Micros,
+    /// Number of the last scheduled change of a task.
     pub transitions: u64,
+    /// Run time of tasks compared with a machine of usual speed.
     pub run_time_factor: f64,
+    /// Local seconds per simulated second.
     clock_rate: f64,
 }
 
+/// A response to a heartbeat, or a direct request, which names the agent epoch.
 #[derive(Deserialize)]
 struct ControllerMessage {
     #[serde(rename = "baton")]
@@ -110,39 +134,43 @@
     commands: Vec<Command>,
 }
 
+/// A command to the worker: `start`, `halt` (stop) or `reap` (acknowledge the end).
 #[derive(Deserialize)]
 struct Command {
     #[serde(rename = "verb")]
     kind: String,
+    /// Task name: job id and task index, as in `wk-000412/7`.
     #[serde(rename = "part")]
     task: String,
     #[serde(rename = "try")]
     attempt: u64,
+    /// Time to save before the task is killed.
     #[serde(rename = "windDownS", default)]
-    save_time_s: f64,
+    grace_s: f64,
 }
 
+/// A response with status 421.
 #[derive(Deserialize)]
 struct NotLeaderReply {
     #[serde(rename = "boss", default)]
     leader: Option<String>,
 }
 
-/// So many copies are kept for the next leader, the first of them.
+/// Copies of heartbeats that are held for the next leader; further ones are dropped.
 const HELD_DUPLICATES_MAX: usize = 400;
 
-/// Job, task and attempt.
+/// Job, task index and attempt.
 pub type TaskKey = (usize, u32, u64);
 
 impl Machine {
-    pub fn new(m: usize, pool: usize, day: &Day, now: Micros, rng: &mut SmallRng) -> Self {
-        let p = &day.pools[pool];
-        let zone = day.fleet.zones.iter().position(|z| *z == p.zone);
-        let kind = day.types.iter().position(|t| t.name == p.r#type);
+    pub fn new(m: usize, pool: usize, scenario: &Day, now: Micros, rng: &mut SmallRng) -> Self {
+        let p = &scenario.pools[pool];
+        let zone = scenario.fleet.zones.iter().position(|z| *z == p.zone);
+        let machine_type = scenario.types.iter().position(|t| t.name == p.r#type);
         Self {
             name: format!("m-{m:06}"),
             addr: format!("10.1.{}.{}:9000", m / 200, m % 200 + 1),
-            machine_type: kind.unwrap_or(0),
+            machine_type: machine_type.unwrap_or(0),
             pool,
             zone: zone.unwrap_or(0),
             phase: Phase::Booting,
@@ -163,7 +191,7 @@
             agent_epoch: 1,
             sequence: 0,
             fencing_token: 0,
-            controller: rng.random_range(0..day.fleet.controllers),
+            controller: rng.random_range(0..scenario.fleet.controllers),
             heartbeat_in_flight: false,
             last_heartbeat_at: 0,
             next_heartbeat_at: 0,
@@ -171,20 +199,21 @@
             token_reported_at: 0,
             transitions: 0,
             run_time_factor: rng.random_range(0.95..1.05),
-            clock_rate: 1.0 + rng.random_range(0.0..=day.fleet.drift.max(0.0)),
+            clock_rate: 1.0 + rng.random_range(0.0..=scenario.fleet.drift.max(0.0)),
         }
     }
 
-    /// Whether a connection to it comes about; None: it is silent.
+    /// Returns `Some(true)` if it accepts connections, `None` if it does not respond at all.
     pub fn reachable(&self) -> Option<bool> {
         (self.phase == Phase::Up).then_some(true)
     }
 
-    /// When the last report that was answered left.
+    /// Returns when the last heartbeat was sent that the leader accepted.
     pub fn lease_renewed_at(&self) -> Micros {
         self.lease_renewed_at
     }
 
+    /// Returns the position of an attempt in `tasks`.
     pub fn find(&self, key: TaskKey) -> Option<usize> {
         let same = |t: &Task| (t.job, t.task_index, t.attempt) == key;
         self.tasks.iter().position(same)
@@ -192,6 +221,7 @@
 }
 
 impl World {
+    /// Starts the worker of a machine that has booted.
     pub fn machine_up(&mut self, m: usize) {
         if self.machines[m].phase != Phase::Booting {
             return;
@@ -213,7 +243,7 @@
         self.schedule_at(at, Event::LeaseCheck(m));
     }
 
-    /// A worker whose reports were not answered for a lease ends all it has.
+    /// Kills all tasks of a worker whose lease has expired, and raises its agent epoch.
     pub fn check_lease(&mut self, m: usize) {
         let machine = &self.machines[m];
         if machine.phase != Phase::Up {
@@ -239,7 +269,7 @@
         self.schedule_at(at, Event::Heartbeat(m));
     }
 
-    /// Something changed: a report soon, but not more than one each half second.
+    /// Sends the next heartbeat at once, but not within half a second of the last one.
     pub fn schedule_early_heartbeat(&mut self, m: usize) {
         let machine = &self.machines[m];
         let at = self.now.max(machine.last_heartbeat_at + 500 * MILLISECOND);
@@ -248,6 +278,7 @@
         }
     }
 
+    /// Sends a heartbeat if one is due and no other is in flight.
     pub fn heartbeat_due(&mut self, m: usize) {
         let now = self.now;
         let machine = &self.machines[m];
@@ -268,20 +299,20 @@
             agent_epoch,
             sent: now,
         };
-        let copied = self.active_fault(Kind::LateReports);
-        let copied = copied.map(|f| (f.share.unwrap_or(0.0), f.for_next));
-        if copied.is_some_and(|(share, _)| self.rng.random::<f64>() < share) {
-            // Nobody waits for what it is answered.
-            let late = self
+        let duplicates = self.active_fault(Kind::LateReports);
+        let duplicates = duplicates.map(|f| (f.share.unwrap_or(0.0), f.for_next));
+        if duplicates.is_some_and(|(share, _)| self.rng.random::<f64>() < share) {
+            // No caller waits for the response to a copy.
+            let delay_s = self
                 .rng
                 .random_range(2.0..3.0 * self.scenario.fleet.lease_s);
             let mut copy = World::http_request("POST", "/checkin", body.clone());
             (copy.from, copy.to) = (Host::Machine(m), Host::Controller(controller));
-            if copied.is_some_and(|c| c.1) {
+            if duplicates.is_some_and(|d| d.1) {
                 self.held_duplicates.push_back(copy);
                 self.held_duplicates.truncate(HELD_DUPLICATES_MAX);
             } else {
-                self.schedule_after(micros(late), Event::DuplicateArrives(Box::new(copy)));
+                self.schedule_after(micros(delay_s), Event::DuplicateArrives(Box::new(copy)));
             }
         }
         let request = World::http_request("POST", "/checkin", body);
@@ -295,6 +326,7 @@
         self.machines[m].next_heartbeat_at = now + micros(period);
     }
 
+    /// Writes the body of a heartbeat, which is also the response to direct requests; raises the sequence number.
     fn heartbeat_body(&mut self, m: usize) -> String {
         let now = self.now;
         let machine = &mut self.machines[m];
@@ -340,26 +372,28 @@
         body
     }
 
+    /// Handles the outcome of a heartbeat: accepts the leader's response, or chooses the controller for the next
+    /// attempt.
     pub fn heartbeat_answered(
         &mut self,
         m: usize,
         agent_epoch: u64,
         sent: Micros,
-        answer: Option<Response>,
+        response: Option<Response>,
     ) {
         let now = self.now;
-        let nodes = self.controllers.len();
+        let controllers = self.controllers.len();
         let machine = &mut self.machines[m];
         machine.heartbeat_in_flight = false;
         if machine.phase != Phase::Up {
             return;
         }
         if now < machine.hung_until {
-            // It was not looked at, and is too old when the machine goes on.
+            // A machine that hangs does not read the response, which is too old when it resumes.
             return;
         }
         let next = machine.next_heartbeat_at.max(now);
-        match answer {
+        match response {
             Some(a) if a.status == 200 => {
                 self.schedule_heartbeat(m, next);
                 let Ok(message) = serde_json::from_slice::<ControllerMessage>(&a.body) else {
@@ -379,7 +413,7 @@
                 let message: Option<NotLeaderReply> = serde_json::from_slice(&a.body).ok();
                 let leader = message.and_then(|t| t.leader);
                 let leader = leader.and_then(|b| b.strip_prefix("node-")?.parse::<usize>().ok());
-                match leader.filter(|b| *b != machine.controller && *b < nodes) {
+                match leader.filter(|b| *b != machine.controller && *b < controllers) {
                     Some(leader) => {
                         machine.controller = leader;
                         let wait = self.rng.random_range(0..500 * MILLISECOND);
@@ -392,15 +426,17 @@
         }
     }
 
+    /// Sends the next heartbeat to the next controller, in a second.
     fn try_next_controller(&mut self, m: usize) {
-        let nodes = self.controllers.len();
+        let controllers = self.controllers.len();
         let machine = &mut self.machines[m];
         self.network
             .close_connection(Host::Machine(m), Host::Controller(machine.controller));
-        machine.controller = (machine.controller + 1) % nodes;
+        machine.controller = (machine.controller + 1) % controllers;
         self.schedule_heartbeat(m, self.now + SECOND);
     }
 
+    /// Accepts a fencing token; a higher one is reported early, at most once per half lease.
     fn accept_token(&mut self, m: usize, token: u64) {
         let half = micros(self.scenario.fleet.lease_s / 2.0);
         let now = self.now;
@@ -414,7 +450,7 @@
         }
     }
 
-    /// A direct command or a question.
+    /// Handles direct commands and status requests.
     pub fn handle_machine_request(&mut self, m: usize, request: Request) {
         let machine = &mut self.machines[m];
         if machine.phase != Phase::Up || self.now < machine.inbound_partitioned_until {
@@ -452,23 +488,23 @@
     }
 
     fn execute_commands(&mut self, m: usize, commands: Vec<Command>) {
-        for o in commands {
-            let Some((uid, task_index)) = o.task.rsplit_once('/') else {
+        for command in commands {
+            let Some((uid, task_index)) = command.task.rsplit_once('/') else {
                 continue;
             };
             let task_index: u32 = task_index.parse().unwrap_or(0);
             let Some(job) = self.users.find(uid) else {
                 continue;
             };
-            let key = (job, task_index, o.attempt);
+            let key = (job, task_index, command.attempt);
             let found = self.machines[m].find(key);
-            match (o.kind.as_str(), found) {
+            match (command.kind.as_str(), found) {
                 ("start", _)
                     if self
                         .tamper
                         .is_some_and(|t| t.drops_start(job, self.users.jobs[job].parts)) => {}
                 ("start", None) => self.start_task(m, key),
-                ("halt", Some(at)) => self.stop_task(m, at, o.save_time_s),
+                ("halt", Some(at)) => self.stop_task(m, at, command.grace_s),
                 ("reap", Some(at)) if !self.machines[m].tasks[at].holds_resources() => {
                     let t = self.machines[m].tasks.remove(at);
                     self.checker.reaped(t.job, t.task_index, t.cause == "done");
@@ -478,7 +514,7 @@
         }
     }
 
-    /// A machine that hung goes on: what came in meanwhile is done now.
+    /// Resumes a machine that hung: it handles the requests that came in meanwhile.
     pub fn resume_machine(&mut self, m: usize) {
         if self.machines[m].phase != Phase::Up || self.now < self.machines[m].hung_until {
             return;
@@ -489,27 +525,27 @@
         self.schedule_heartbeat(m, self.now);
     }
 
-    /// It stands still; its tasks take as much longer.
+    /// Freezes a machine; the next status changes of its tasks are delayed by as much.
     pub fn hang_machine(&mut self, m: usize, until: Micros) {
         let now = self.now;
         let machine = &mut self.machines[m];
-        let longer = until.saturating_sub(now);
+        let pause = until.saturating_sub(now);
         machine.hung_until = until;
-        let mut due = Vec::new();
+        let mut delayed = Vec::new();
         for t in machine.tasks.iter_mut().filter(|t| t.holds_resources()) {
             machine.transitions += 1;
             t.transition = machine.transitions;
-            t.transition_at += longer;
+            t.transition_at += pause;
             if t.running_since > 0 {
-                t.running_since += longer;
+                t.running_since += pause;
             }
-            due.push((
+            delayed.push((
                 (t.job, t.task_index, t.attempt),
                 t.transition_at,
                 t.transition,
             ));
         }
-        for (key, at, transition) in due {
+        for (key, at, transition) in delayed {
             self.schedule_task_transition(m, key, at, transition);
         }
         self.schedule_at(until, Event::ResumeMachine(m));
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -1,5 +1,7 @@
-//! Between any two hosts: delay, loss, cuts that hold, lose or reset, and refusal. Owns the cuts and
-//! which connections stand; knows nothing of what is sent.
+//! The network between hosts: delays, packet loss, network partitions and refused connections.
+//!
+//! It tracks the partitions and the open connections, and decides when a packet arrives or how it fails; it does not
+//! know what a packet contains. Below, a host with its zone is a pair `(Host, zone index)`.
 
 use crate::day::{Mode, Network as NetworkSettings};
 use crate::world::Micros;
@@ -8,6 +10,7 @@
 use rand::rngs::SmallRng;
 use rand_distr::{Distribution, Exp1};
 
+/// A host of the simulated network; `Users` stands for all users and their load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Host {
     Controller(usize),
@@ -17,7 +20,7 @@
     Users,
 }
 
-/// One end of a cut.
+/// The hosts on one side of a network partition.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PartitionSide {
     All,
@@ -34,33 +37,34 @@
     mode: Mode,
 }
 
-/// What becomes of a packet.
+/// What happens to a request in transit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Transit {
     Arrives(Micros),
-    /// It never gets there, and nobody says so.
+    /// It is lost without notice.
     Lost,
-    /// No connection comes about; the sender knows at that time.
+    /// The connection attempt times out at this time.
     NotSent(Micros),
-    /// The same, since somebody says so.
+    /// The host refuses the connection; the sender learns of it at this time.
     Refused(Micros),
-    /// The connection ends; the sender knows at that time.
+    /// The connection is reset; the sender learns of it at this time.
     Reset(Micros),
 }
 
-/// How long a connection attempt to a silent host lasts, at a controller.
+/// When a connection attempt to an unresponsive host gives up, in microseconds; the same as in the controllers.
 const CONNECT_TIMEOUT: Micros = 1_000_000;
-/// When a lost packet is sent again.
+/// Delay of a packet that is lost once and sent again, in microseconds.
 const RETRANSMIT_DELAY: Micros = 200_000;
 
+/// The network, with its partitions and open connections.
 pub struct Network {
     settings: NetworkSettings,
     partitions: Vec<Partition>,
-    /// Until when connections between controllers are refused.
+    /// Until when new connections between controllers are refused.
     pub peers_refused_until: Micros,
-    /// Connections that stand, from the side that opened them.
+    /// Open connections: the host that opened the connection, and the other one.
     connections: HashSet<(Host, Host)>,
-    /// Frames of one connection arrive in order.
+    /// The last arrival on each connection between controllers, whose frames arrive in order.
     last_arrival: HashMap<(Host, Host), Micros>,
     rng: SmallRng,
 }
@@ -77,6 +81,7 @@
         }
     }
 
+    /// Starts a partition between two groups of hosts; `mode` says what happens to packets on open connections.
     pub fn partition(
         &mut self,
         now: Micros,
@@ -93,7 +98,7 @@
         });
     }
 
-    /// The longest cut between two hosts at this time.
+    /// Returns the end and the mode of the longest-lasting partition between two hosts.
     fn longest_partition(
         &self,
         now: Micros,
@@ -107,23 +112,25 @@
             PartitionSide::Controllers => matches!(h.0, Host::Controller(_)),
             PartitionSide::Machines => matches!(h.0, Host::Machine(_)),
         };
-        let hits = |c: &&Partition| {
+        let separates = |c: &&Partition| {
             let (x, y) = c.sides;
-            // A zone that is cut off keeps working inside, and a host reaches itself.
+            // Hosts within a partitioned zone still reach each other.
             let inside =
                 matches!((x, y), (PartitionSide::Zone(_), PartitionSide::All)) && a.1 == b.1;
             c.until > now
                 && !inside
                 && ((matches(x, a) && matches(y, b)) || (matches(x, b) && matches(y, a)))
         };
-        let found = self.partitions.iter().filter(hits);
+        let found = self.partitions.iter().filter(separates);
         found.max_by_key(|c| c.until).map(|c| (c.until, c.mode))
     }
 
+    /// Whether a partition separates two hosts.
     pub fn is_partitioned(&self, now: Micros, a: (Host, usize), b: (Host, usize)) -> bool {
         self.longest_partition(now, a, b).is_some()
     }
 
+    /// Draws the delay of one packet.
     fn draw_delay(&mut self, a: (Host, usize), b: (Host, usize)) -> Micros {
         let ms = if a.1 == b.1 {
             self.settings.same_zone_ms
@@ -136,8 +143,8 @@
         base as Micros + if lost { RETRANSMIT_DELAY } else { 0 }
     }
 
-    /// A request on its way; `reachable` says whether something listens at the other end, None
-    /// that the host is silent.
+    /// Sends a request. `reachable` says whether a process listens at the destination; `None` means that the host does
+    /// not respond at all.
     pub fn send_request(
         &mut self,
         now: Micros,
@@ -178,7 +185,7 @@
         Transit::Arrives(self.in_order(link, now + delay))
     }
 
-    /// An answer on its way back over the connection that its request came by.
+    /// Sends a response over the connection of its request; returns when it arrives, `None` if it is lost.
     pub fn send_response(
         &mut self,
         now: Micros,
@@ -196,6 +203,7 @@
         }
     }
 
+    /// Delays an arrival so that frames between controllers arrive in the order in which they were sent.
     fn in_order(&mut self, link: (Host, Host), at: Micros) -> Micros {
         if !matches!(link, (Host::Controller(_), Host::Controller(_))) {
             return at;
@@ -205,19 +213,19 @@
         *last_arrival
     }
 
-    /// The side that opened it gave the connection up.
+    /// Closes a connection from the side that opened it.
     pub fn close_connection(&mut self, from: Host, to: Host) {
         self.connections.remove(&(from, to));
     }
 
-    /// Connections between controllers are reset, and refused until then.
+    /// Closes all connections between controllers and refuses new ones until this time.
     pub fn refuse_peer_connections(&mut self, until: Micros) {
         self.peers_refused_until = until;
         self.connections
             .retain(|l| !matches!(l, (Host::Controller(_), Host::Controller(_))));
     }
 
-    /// All connections of a host that ended are gone.
+    /// Drops all connections of a host that has stopped.
     pub fn drop_connections(&mut self, host: Host) {
         self.connections.retain(|l| l.0 != host && l.1 != host);
     }
--- a/crates/drill/src/state_service.rs
+++ b/crates/drill/src/state_service.rs
@@ -1,5 +1,8 @@
-//! The state service as published: versions, conditional transactions, grants with the outage
-//! rule, watches that can be too old, budgets, outages, refusal of one controller.
+//! A model of the state service, after its published description.
+//!
+//! It has modification revisions, conditional transactions, leases, watches, a compacted change log and request
+//! budgets. After an outage every lease gets its full TTL again. Faults: outages, refusal of single controllers,
+//! and watches that hang.
 
 use crate::day::StateService as Limits;
 use crate::world::Micros;
@@ -8,6 +11,7 @@
 use serde_json::value::RawValue;
 use std::collections::{BTreeMap, VecDeque};
 
+/// A stored value.
 struct Entry {
     value: Box<RawValue>,
     mod_revision: u64,
@@ -19,7 +23,7 @@
     expires_at: Micros,
 }
 
-/// What a service lets through a second, with bursts.
+/// A rate limit with bursts.
 pub struct TokenBucket {
     tokens: f64,
     rate: f64,
@@ -28,6 +32,7 @@
 }
 
 impl TokenBucket {
+    /// Creates a full bucket that refills with `rate` tokens per second and holds `burst_s` seconds of them.
     pub fn new(rate: f64, burst_s: f64) -> Self {
         let capacity = rate * burst_s;
         Self {
@@ -38,26 +43,28 @@
         }
     }
 
+    /// Takes `n` tokens if there are enough; a request for more than the capacity needs a full bucket.
     pub fn try_take(&mut self, now: Micros, n: f64) -> bool {
         let gained = now.saturating_sub(self.refilled_at) as f64 / 1e6 * self.rate;
         (self.tokens, self.refilled_at) = ((self.tokens + gained).min(self.capacity), now);
-        let can = self.tokens >= n.min(self.capacity);
-        if can {
+        let allowed = self.tokens >= n.min(self.capacity);
+        if allowed {
             self.tokens -= n;
         }
-        can
+        allowed
     }
 }
 
-/// A status and a body.
+/// HTTP status and body.
 pub type Response = (u16, String);
 
-/// A watch that waits.
+/// A watch request that waits for a change; `caller` identifies the request.
 pub struct PendingWatch<T> {
     pub caller: T,
     pub controller: usize,
     prefix: String,
     from_revision: u64,
+    /// When the watch is answered without changes.
     deadline: Micros,
 }
 
@@ -88,32 +95,37 @@
     operations: Vec<Operation>,
 }
 
+/// The state service; `T` identifies requests to the caller of this module.
 pub struct StateService<T> {
     limits: Limits,
     keys: BTreeMap<String, Entry>,
     revision: u64,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
-    /// The last changes, the oldest first, with what was set.
+    /// The last changes, oldest first: revision, key and new value, `None` for a deletion.
     change_log: VecDeque<(u64, String, Option<Box<RawValue>>)>,
-    /// Of the keys that a leader is built from, by epoch.
+    /// Checksum over the replicated keys, from which a new leader loads its state.
     checksum: Checksum,
+    /// The checksum after each of the last changes, with its revision.
     checksum_history: VecDeque<(u64, Checksum)>,
     request_budget: TokenBucket,
     write_budget: TokenBucket,
     pub pending_watches: Vec<PendingWatch<T>>,
     pub down_until: Micros,
-    /// Until when one controller is refused.
+    /// Until when all requests of a controller are refused, by controller.
     pub refused_until: BTreeMap<usize, Micros>,
-    /// Until when no watch of one controller is answered, nor any that it opened meanwhile.
+    /// Until when the watches of a controller get no response, by controller. Watches opened until then never get
+    /// one.
     pub watches_hang_until: BTreeMap<usize, Micros>,
     pub slow: f64,
     pub requests_received: u64,
     pub changes_applied: u64,
 }
 
-const TXN_BYTES: usize = 64 * 1024;
-const LIST_BYTES: usize = 512 * 1024;
+/// Largest transaction, in bytes.
+const TRANSACTION_BYTES_MAX: usize = 64 * 1024;
+/// A page of a list ends with the first entry past this size, in bytes.
+const LIST_BYTES_MAX: usize = 512 * 1024;
 
 fn json_string(s: &str) -> String {
     serde_json::to_string(s).unwrap_or_default()
@@ -150,7 +162,7 @@
                 .is_some_and(|t| now < *t)
     }
 
-    /// After an outage all grants get their full time again.
+    /// Begins an outage; all leases get their full TTL again when it is over.
     pub fn start_outage(&mut self, now: Micros, until: Micros) {
         self.expire_leases(now);
         self.down_until = self.down_until.max(until);
@@ -159,8 +171,8 @@
         }
     }
 
-    /// Whether the keys that a leader is built from added up to that at that epoch; true also where
-    /// that is too long ago to be known.
+    /// Whether the replicated keys had this checksum at this revision; also true if the revision is too old to be
+    /// known.
     pub fn checksum_matches(&self, revision: u64, checksum: Checksum) -> bool {
         let at = self.checksum_history.partition_point(|s| s.0 <= revision);
         match at.checked_sub(1) {
@@ -169,25 +181,25 @@
         }
     }
 
-    /// The epoch of a key's last change.
+    /// Returns the revision of a key's last change.
     pub fn mod_revision(&self, path: &str) -> Option<u64> {
         self.keys.get(path).map(|k| k.mod_revision)
     }
 
-    /// Watches that start before now are told to read again.
+    /// Drops the change log: watches from an earlier revision get 410 and must list the keys again.
     pub fn compact_change_log(&mut self) {
         self.change_log.clear();
     }
 
-    /// Ends what was not renewed; when the next ends.
+    /// Deletes expired leases with their keys and returns when the next lease expires.
     pub fn expire_leases(&mut self, now: Micros) -> Option<Micros> {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.expires_at <= now)
             .map(|lease| *lease.0)
             .collect();
-        for id in over {
+        for id in expired {
             self.delete_lease(id);
         }
         self.leases.values().map(|lease| lease.expires_at).min()
@@ -196,16 +208,17 @@
     fn delete_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let keys = self.keys.iter().filter(|k| k.1.lease == Some(id));
-        let gone: Vec<String> = keys.map(|k| k.0.clone()).collect();
-        if !gone.is_empty() {
+        let deleted: Vec<String> = keys.map(|k| k.0.clone()).collect();
+        if !deleted.is_empty() {
             self.revision += 1;
         }
-        for path in gone {
+        for path in deleted {
             let old = self.keys.remove(&path);
             self.record_change(path, old, None);
         }
     }
 
+    /// Records a change at the current revision in the checksum and the change log.
     fn record_change(&mut self, path: String, old: Option<Entry>, value: Option<Box<RawValue>>) {
         self.changes_applied += 1;
         if REPLICATED_PREFIXES.iter().any(|p| path.starts_with(p)) {
@@ -227,17 +240,22 @@
         }
     }
 
-    /// What a watch is told: 410 if it can't go back so far, None if nothing has changed.
+    /// Returns the response to a watch: 410 if the change log does not go back far enough, `None` if nothing has
+    /// changed.
     fn watch_response(&self, prefix: &str, from_revision: u64) -> Option<Response> {
-        // Where the log was cut, its first entry may lack others of the same transaction.
-        let cut = u64::from(self.change_log.len() < self.limits.kept);
-        let oldest = self.change_log.front().map_or(self.revision, |l| l.0 - cut);
+        // A log that was never truncated reaches back to just before its first entry. In a truncated one, other
+        // changes of the first entry's transaction may be missing.
+        let untruncated = u64::from(self.change_log.len() < self.limits.kept);
+        let oldest = self
+            .change_log
+            .front()
+            .map_or(self.revision, |l| l.0 - untruncated);
         if from_revision < oldest {
             return Some((410, "{}".to_owned()));
         }
         let start = self.change_log.partition_point(|l| l.0 <= from_revision);
         let changes = self.change_log.range(start..);
-        let told = changes
+        let events = changes
             .filter(|c| c.1.starts_with(prefix))
             .map(|(revision, path, value)| match value {
                 Some(value) => format!(
@@ -246,20 +264,20 @@
                 ),
                 None => format!(r#"{{"delete":{},"stamp":{revision}}}"#, json_string(path)),
             });
-        let told = told.collect::<Vec<_>>();
-        if told.is_empty() {
+        let events = events.collect::<Vec<_>>();
+        if events.is_empty() {
             return None;
         }
-        let told = told.join(",");
+        let events = events.join(",");
         Some((
             200,
-            format!(r#"{{"epoch":{},"events":[{told}]}}"#, self.revision),
+            format!(r#"{{"epoch":{},"events":[{events}]}}"#, self.revision),
         ))
     }
 
-    /// Watches that have their answer now.
+    /// Returns the watches that complete now, with their responses. Watches that hang are dropped.
     pub fn complete_watches(&mut self, now: Micros) -> Vec<(T, Response)> {
-        let mut told = Vec::new();
+        let mut completed = Vec::new();
         let mut rest = Vec::new();
         for p in std::mem::take(&mut self.pending_watches) {
             if self
@@ -274,19 +292,20 @@
                 continue;
             }
             match self.watch_response(&p.prefix, p.from_revision) {
-                Some(answer) => told.push((p.caller, answer)),
+                Some(response) => completed.push((p.caller, response)),
                 None if now >= p.deadline => {
                     let body = format!(r#"{{"epoch":{},"events":[]}}"#, self.revision);
-                    told.push((p.caller, (200, body)));
+                    completed.push((p.caller, (200, body)));
                 }
                 None => rest.push(p),
             }
         }
         self.pending_watches = rest;
-        told
+        completed
     }
 
-    /// Answers a request of a controller; a watch without news is parked instead.
+    /// Handles a request of a controller. `None` means that there is no response yet: a watch waits for a change, or
+    /// hangs.
     pub fn handle_request(
         &mut self,
         now: Micros,
@@ -315,8 +334,8 @@
             }
             let prefix = query_parameter(q, "prefix").to_owned();
             let from = query_parameter(q, "from").parse().unwrap_or(0);
-            if let Some(answer) = self.watch_response(&prefix, from) {
-                return Some((caller, answer));
+            if let Some(response) = self.watch_response(&prefix, from) {
+                return Some((caller, response));
             }
             let block: u64 = query_parameter(q, "blockMs").parse().unwrap_or(0);
             self.pending_watches.push(PendingWatch {
@@ -328,7 +347,7 @@
             });
             return None;
         }
-        let answer = match (method, path) {
+        let response = match (method, path) {
             ("POST", "/txn") => self.apply_transaction(now, body),
             ("POST", "/grants") => {
                 #[derive(Deserialize)]
@@ -337,9 +356,9 @@
                     ttl_ms: u64,
                 }
                 match serde_json::from_slice::<LeaseRequest>(body) {
-                    Ok(ask) if (100..=600_000).contains(&ask.ttl_ms) => {
+                    Ok(request) if (100..=600_000).contains(&request.ttl_ms) => {
                         self.next_lease += 1;
-                        let ttl = ask.ttl_ms * 1_000;
+                        let ttl = request.ttl_ms * 1_000;
                         let expires_at = now + ttl;
                         self.leases
                             .insert(self.next_lease, Lease { ttl, expires_at });
@@ -384,9 +403,10 @@
             },
             _ => error(400, "malformed"),
         };
-        Some((caller, answer))
+        Some((caller, response))
     }
 
+    /// Lists the keys with a prefix, page by page.
     fn list_keys(&self, q: &str) -> Response {
         let (prefix, from) = (query_parameter(q, "prefix"), query_parameter(q, "from"));
         let limit: usize = query_parameter(q, "limit").parse().unwrap_or(1_000);
@@ -400,7 +420,7 @@
             if !path.starts_with(prefix) {
                 break;
             }
-            if count >= limit.min(1_000) || items.len() > LIST_BYTES {
+            if count >= limit.min(1_000) || items.len() > LIST_BYTES_MAX {
                 truncated = true;
                 break;
             }
@@ -422,7 +442,7 @@
         )
     }
 
-    /// A transaction, now or applied late.
+    /// Applies a transaction if all its preconditions hold.
     pub fn apply_transaction(&mut self, now: Micros, body: &[u8]) -> Response {
         let error = |status: u16, message: &str| (status, format!(r#"{{"error":"{message}"}}"#));
         let Ok(txn) = serde_json::from_slice::<TransactionRequest>(body) else {
@@ -436,7 +456,7 @@
         };
         if txn.operations.len() > self.limits.txn_ops
             || txn.preconditions.len() > 4 * self.limits.txn_ops
-            || body.len() > TXN_BYTES
+            || body.len() > TRANSACTION_BYTES_MAX
             || txn.operations.iter().any(large)
         {
             return error(400, "too large");
@@ -483,9 +503,9 @@
     }
 }
 
-/// The value of one name in a query, as the controllers write it.
-fn query_parameter<'a>(json_string: &'a str, name: &str) -> &'a str {
-    json_string
+/// Returns the value of a query parameter, or an empty string. The controllers escape nothing.
+fn query_parameter<'a>(query: &'a str, name: &str) -> &'a str {
+    query
         .split('&')
         .filter_map(|p| p.split_once('='))
         .find(|p| p.0 == name)
@@ -499,24 +519,30 @@
     #[test]
     fn a_lease_gets_its_full_ttl_after_an_outage_and_its_keys_are_deleted_at_its_expiry() {
         let mut s: StateService<()> = StateService::new(&Limits::default());
-        let ask = |s: &mut StateService<()>, at, body: &str, path: &str| {
+        let post = |s: &mut StateService<()>, at, body: &str, path: &str| {
             s.handle_request(at, 0, "POST", path, body.as_bytes(), ())
                 .map(|a| a.1)
-                .expect("an answer")
+                .expect("a response")
         };
-        assert_eq!(ask(&mut s, 0, r#"{"ttlMs":1000}"#, "/grants").0, 200);
+        assert_eq!(post(&mut s, 0, r#"{"ttlMs":1000}"#, "/grants").0, 200);
         let set = r#"{"if":[{"path":"a","stamp":0}],"apply":[{"set":"a","value":1,"permit":1}]}"#;
-        assert_eq!(ask(&mut s, 0, set, "/txn").0, 200);
-        assert_eq!(ask(&mut s, 1, set, "/txn").0, 409);
+        assert_eq!(post(&mut s, 0, set, "/txn").0, 200);
+        assert_eq!(post(&mut s, 1, set, "/txn").0, 409);
         s.start_outage(500_000, 9_000_000);
-        assert_eq!(ask(&mut s, 8_999_999, set, "/txn").0, 503);
+        assert_eq!(post(&mut s, 8_999_999, set, "/txn").0, 503);
         s.expire_leases(9_900_000);
         assert!(s.keys.contains_key("a"));
         s.expire_leases(10_000_000);
         assert!(s.keys.is_empty());
-        assert_eq!(ask(&mut s, 10_000_000, set, "/txn").0, 400, "no such lease");
-        let told = s.watch_response("a", 1).expect("the deletion is told");
-        assert!(told.1.contains(r#""delete":"a""#));
+        assert_eq!(
+            post(&mut s, 10_000_000, set, "/txn").0,
+            400,
+            "no such lease"
+        );
+        let response = s
+            .watch_response("a", 1)
+            .expect("the watch reports the deletion");
+        assert!(response.1.contains(r#""delete":"a""#));
         s.compact_change_log();
         s.revision += 1;
         assert_eq!(s.watch_response("a", 1).map(|a| a.0), Some(410));
--- a/crates/drill/src/tamper.rs
+++ b/crates/drill/src/tamper.rs
@@ -1,40 +1,43 @@
-//! Messages changed on their way, to show that each rule's checker finds what it is there for: a
-//! checker that can't fail proves nothing. A day is never tampered with outside of tests.
+//! Alters messages in transit, so that tests can show that the checker of each rule finds violations.
+//!
+//! A checker that cannot fail proves nothing. Only tests use this module.
 
 use crate::users::Step;
 use serde_json::Value;
 
+/// How messages are altered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Tamper {
-    /// Submissions lose what says where their tasks may run.
+    /// Submissions lose their placement constraints.
     DropPlacementConstraints,
-    /// Submissions lose the jobs that they wait for.
+    /// Submissions lose their dependencies.
     DropDependencies,
-    /// Cancellations are confirmed by somebody else and never arrive.
+    /// Cancellations are confirmed to the user but never reach a controller.
     LoseCancellations,
-    /// Polls get 404.
+    /// All polls get 404.
     PollsNotFound,
     /// Polls of every seventh job get 503.
     PollsOfSomeJobsFail,
-    /// Polls of all jobs get 503.
+    /// All polls get 503.
     AllPollsFail,
-    /// Strangers get 200.
+    /// Polls of jobs that were never submitted get 200.
     UnknownJobsFound,
-    /// Polls that say `running` say `done`.
+    /// Poll responses show `running` jobs as `done`.
     RunningShownAsDone,
-    /// Polls that say `done` or `cancelled` say `running`.
+    /// Poll responses show `done` and `cancelled` jobs as `running`.
     EndedShownAsRunning,
-    /// No start reaches a worker.
+    /// No start command reaches a worker.
     LoseAllStarts,
-    /// No start of the first ten jobs does.
+    /// No start command for the first ten jobs reaches a worker.
     LoseStartsOfFirstJobs,
-    /// No start of jobs with many tasks does.
+    /// No start command for jobs with 12 tasks or more reaches a worker.
     LoseStartsOfWideJobs,
-    /// Odd submissions are accepted.
+    /// Invalid submissions get 201.
     AcceptInvalidJobs,
 }
 
 impl Tamper {
+    /// Alters the body of a submission.
     pub(crate) fn alter_submission(self, body: String) -> String {
         let Ok(mut spec) = serde_json::from_str::<Value>(&body) else {
             return body;
@@ -53,28 +56,35 @@
         spec.to_string()
     }
 
-    /// Whether a request is answered 200 `cancelled` without being sent.
+    /// Whether a request gets 200 `cancelled` without being sent.
     pub(crate) fn confirms_unsent(self, step: Step) -> bool {
         self == Tamper::LoseCancellations && step == Step::Cancel
     }
 
-    pub(crate) fn alter_response(self, job: usize, step: Step, answer: (u16, &str)) -> (u16, &str) {
+    /// Alters the status and the job status of a response to a user.
+    pub(crate) fn alter_response(
+        self,
+        job: usize,
+        step: Step,
+        response: (u16, &str),
+    ) -> (u16, &str) {
         let polls = matches!(step, Step::Poll | Step::Late);
-        match (self, answer) {
+        match (self, response) {
             (Tamper::PollsNotFound, _) if polls => (404, ""),
             (Tamper::PollsOfSomeJobsFail, _) if polls && job % 7 == 0 => (503, ""),
             (Tamper::AllPollsFail, _) if polls => (503, ""),
             (Tamper::RunningShownAsDone, (200, "running")) if polls => (200, "done"),
             (Tamper::EndedShownAsRunning, (200, "done" | "cancelled")) if polls => (200, "running"),
-            _ => answer,
+            _ => response,
         }
     }
 
-    pub(crate) fn drops_start(self, job: usize, parts: u32) -> bool {
+    /// Whether a start command is lost.
+    pub(crate) fn drops_start(self, job: usize, tasks: u32) -> bool {
         match self {
             Tamper::LoseAllStarts => true,
             Tamper::LoseStartsOfFirstJobs => job < 10,
-            Tamper::LoseStartsOfWideJobs => parts >= 12,
+            Tamper::LoseStartsOfWideJobs => tasks >= 12,
             _ => false,
         }
     }
--- a/crates/drill/src/tasks.rs
+++ b/crates/drill/src/tasks.rs
@@ -1,11 +1,11 @@
-//! What a machine does with its tasks: images, runs, checkpoints, saving, ends.
+//! Task execution on a machine: image fetch, run, checkpoints, saving and end.
 
 use crate::machine::{Image, Phase, Status, Task, TaskKey};
 use crate::world::{Event, Micros, World, micros};
 use rand::Rng;
 
 impl World {
-    /// Everything on the machine is gone; checkpoints made on the way are kept.
+    /// Kills all tasks on a machine; the progress up to their last checkpoints is kept.
     pub fn drop_tasks(&mut self, m: usize) {
         for t in std::mem::take(&mut self.machines[m].tasks) {
             if t.is_executing() {
@@ -16,40 +16,42 @@
         self.machines[m].images.retain(|i| i.ready_at <= self.now);
     }
 
-    /// What of a running task's progress survives it.
+    /// Records the progress of a task that survives its end: all of it if it saved, else up to its last checkpoint.
     fn keep_checkpointed_progress(&mut self, m: usize, t: &Task, saved: bool) {
-        let mark = self.users.jobs[t.job].mark_s;
-        if mark <= 0.0 || t.status == Status::Ended || t.running_since == 0 {
+        let checkpoint_interval = self.users.jobs[t.job].mark_s;
+        if checkpoint_interval <= 0.0 || t.status == Status::Ended || t.running_since == 0 {
             return;
         }
-        let pace = self.run_time_factor(m);
-        let ran = self.now.saturating_sub(t.running_since) as f64 / 1e6 / pace;
-        let kept = if saved {
-            ran
+        let run_time_factor = self.run_time_factor(m);
+        let ran_s = self.now.saturating_sub(t.running_since) as f64 / 1e6 / run_time_factor;
+        let kept_s = if saved {
+            ran_s
         } else {
-            (ran / mark).floor() * mark
+            (ran_s / checkpoint_interval).floor() * checkpoint_interval
         };
         let progress = &mut self.users.jobs[t.job].progress;
-        *progress.entry(t.task_index).or_default() += kept;
+        *progress.entry(t.task_index).or_default() += kept_s;
     }
 
+    /// Returns how much longer tasks run on this machine now than on one of usual speed.
     fn run_time_factor(&self, m: usize) -> f64 {
         let machine = &self.machines[m];
-        let slow = if self.now < machine.slowdown.1 {
+        let slowdown = if self.now < machine.slowdown.1 {
             machine.slowdown.0
         } else {
             1.0
         };
-        machine.run_time_factor * slow
+        machine.run_time_factor * slowdown
     }
 
+    /// Starts an attempt on a machine, or refuses it and records the cause.
     pub fn start_task(&mut self, m: usize, key: TaskKey) {
         let (job, task_index, attempt) = key;
         let now = self.now;
         let j = &self.users.jobs[job];
         let class = &self.scenario.classes[j.class];
         let (image, gb) = (j.image.clone(), j.image_gb);
-        let kind = &self.scenario.types[self.machines[m].machine_type];
+        let machine_type = &self.scenario.types[self.machines[m].machine_type];
         let machine = &mut self.machines[m];
         machine.transitions += 1;
         let mut task = Task {
@@ -75,8 +77,8 @@
             Some("unknown")
         } else if machine.tasks.iter().any(same) {
             Some("in_use")
-        } else if cores + task.cores > kind.cores + 1e-6
-            || memory + task.memory_gb > kind.memory_gb + 1e-6
+        } else if cores + task.cores > machine_type.cores + 1e-6
+            || memory + task.memory_gb > machine_type.memory_gb + 1e-6
         {
             Some("no_room")
         } else {
@@ -88,39 +90,39 @@
             self.checker.start_refused(cause);
             return self.schedule_early_heartbeat(m);
         }
-        let fetch = gb / kind.fetch_gb_per_s.max(1e-6);
-        let held = machine.images.iter_mut().find(|i| i.name == image);
-        task.transition_at = match held {
+        let fetch_s = gb / machine_type.fetch_gb_per_s.max(1e-6);
+        let cached = machine.images.iter_mut().find(|i| i.name == image);
+        task.transition_at = match cached {
             Some(i) => {
                 i.last_used = now;
                 i.ready_at.max(now)
             }
             None => {
-                let ready = now + micros(fetch * self.rng.random_range(0.75..1.33));
+                let ready = now + micros(fetch_s * self.rng.random_range(0.75..1.33));
                 machine.images.push(Image {
                     name: image,
-                    gb,
+                    size_gb: gb,
                     ready_at: ready,
                     last_used: now,
                 });
-                let mut sum: f64 = machine.images.iter().map(|i| i.gb).sum();
-                while sum > kind.cache_gb && machine.images.len() > 1 {
+                let mut cached_gb: f64 = machine.images.iter().map(|i| i.size_gb).sum();
+                while cached_gb > machine_type.cache_gb && machine.images.len() > 1 {
                     let oldest = machine
                         .images
                         .iter()
                         .enumerate()
                         .min_by_key(|i| i.1.last_used);
                     let Some(at) = oldest.map(|o| o.0) else { break };
-                    sum -= machine.images.remove(at).gb;
+                    cached_gb -= machine.images.remove(at).size_gb;
                 }
                 ready
             }
         };
-        let (due, transition) = (task.transition_at, task.transition);
+        let (transition_at, transition) = (task.transition_at, task.transition);
         machine.tasks.push(task);
         self.checker.ordered(now, m, key);
         self.record_in_digest("task", (job as u64) << 32 | u64::from(task_index), attempt);
-        self.schedule_task_transition(m, key, due, transition);
+        self.schedule_task_transition(m, key, transition_at, transition);
         self.schedule_early_heartbeat(m);
     }
 
@@ -142,7 +144,7 @@
         self.schedule_at(at, event);
     }
 
-    /// A task's image is there, it has run, or it has saved.
+    /// Moves a task to its next status: its image has been fetched, its run is over, or it has saved.
     pub fn task_transition(&mut self, m: usize, key: TaskKey, transition: u64) {
         let now = self.now;
         let (job, task_index, _) = key;
@@ -160,11 +162,11 @@
                 let place = (m, zone, pool.spot);
                 self.checker
                     .begins(now, place, job, task_index, &self.users);
-                let pace = self.run_time_factor(m);
-                let sick = now < self.machines[m].tasks_fail_until;
+                let run_time_factor = self.run_time_factor(m);
+                let machine_fails_tasks = now < self.machines[m].tasks_fail_until;
                 let j = &self.users.jobs[job];
-                let fails = sick || j.mistaken;
-                let left =
+                let fails = machine_fails_tasks || j.mistaken;
+                let remaining_s =
                     j.run_s(task_index) - j.progress.get(&task_index).copied().unwrap_or(0.0);
                 let done = j.done.contains(&task_index);
                 let machine = &mut self.machines[m];
@@ -174,17 +176,17 @@
                 t.running_since = now;
                 t.transition = machine.transitions;
                 t.cause = if fails { "error" } else { "done" };
-                let lasts = match (done, fails) {
+                let run_time_s = match (done, fails) {
                     (true, _) => 0.0,
                     (_, true) => 1.0,
-                    _ => left.max(0.1) * pace,
+                    _ => remaining_s.max(0.1) * run_time_factor,
                 };
-                t.transition_at = now + micros(lasts);
+                t.transition_at = now + micros(run_time_s);
                 if done {
                     t.cause = "done";
                 }
-                let (due, transition) = (t.transition_at, t.transition);
-                self.schedule_task_transition(m, key, due, transition);
+                let (transition_at, transition) = (t.transition_at, t.transition);
+                self.schedule_task_transition(m, key, transition_at, transition);
             }
             Status::Running => {
                 let cause = t.cause;
@@ -198,10 +200,11 @@
         self.schedule_early_heartbeat(m);
     }
 
+    /// Ends a task, and its job if this was the last task to complete.
     fn end_task(&mut self, m: usize, at: usize, cause: &'static str, saved: bool) {
         let t = &mut self.machines[m].tasks[at];
-        let (job, task_index, on) = (t.job, t.task_index, t.is_executing());
-        if cause != "done" && on {
+        let (job, task_index, was_executing) = (t.job, t.task_index, t.is_executing());
+        if cause != "done" && was_executing {
             let t = self.machines[m].tasks.remove(at);
             self.keep_checkpointed_progress(m, &t, saved);
             self.machines[m].tasks.insert(at, t);
@@ -213,7 +216,7 @@
         if cause == "done" {
             self.users.jobs[job].done.insert(task_index);
         }
-        if on {
+        if was_executing {
             self.checker.left(self.now, m, job, task_index);
         }
         self.checker.ended(self.now, job, cause, &self.users);
@@ -222,11 +225,12 @@
         }
     }
 
-    pub fn stop_task(&mut self, m: usize, at: usize, save_time_s: f64) {
+    /// Stops a task, which saves first if it can within `grace_s` seconds.
+    pub fn stop_task(&mut self, m: usize, at: usize, grace_s: f64) {
         let now = self.now;
         let t = &self.machines[m].tasks[at];
         let j = &self.users.jobs[t.job];
-        let saves = j.mark_s > 0.0 && save_time_s >= j.stash_s;
+        let saves = j.mark_s > 0.0 && grace_s >= j.stash_s;
         match t.status {
             Status::Ended => return,
             Status::Running if saves => {
@@ -237,18 +241,18 @@
                 t.status = Status::Saving;
                 t.transition = machine.transitions;
                 t.transition_at = now + save;
-                let (key, due, transition) = (
+                let (key, transition_at, transition) = (
                     (t.job, t.task_index, t.attempt),
                     t.transition_at,
                     t.transition,
                 );
-                self.schedule_task_transition(m, key, due, transition);
+                self.schedule_task_transition(m, key, transition_at, transition);
             }
-            Status::Saving if save_time_s > 0.0 => return,
+            Status::Saving if grace_s > 0.0 => return,
             Status::Fetching => {
                 let job = t.job;
                 self.end_task(m, at, "stopped", false);
-                // The fetch is given up when no task waits for it any more.
+                // The fetch is cancelled if no other task waits for the image.
                 let image = self.users.jobs[job].image.clone();
                 let jobs = &self.users.jobs;
                 let machine = &mut self.machines[m];
--- a/crates/drill/src/world.rs
+++ b/crates/drill/src/world.rs
@@ -1,5 +1,7 @@
-//! The world of one day: a heap of events, and the calls between hosts. All time comes from the
-//! heap and all luck from the day's seed, so a seed is one run, to the byte.
+//! The simulated world of one scenario run: an event queue, and the calls between hosts.
+//!
+//! Time only advances from event to event, and all random numbers come from the scenario's seed, so
+//! that one seed always gives the same run, to the byte.
 
 use crate::balancer::Balancer;
 use crate::check::Checker;
@@ -20,63 +22,70 @@
 use std::collections::{BinaryHeap, VecDeque};
 use std::fmt::Write;
 
-/// Microseconds of true time since the day began.
+/// Simulated time in microseconds since the start of the run; the clocks of controllers and machines drift from it.
 pub type Micros = u64;
 pub const SECOND: Micros = 1_000_000;
 pub const MILLISECOND: Micros = 1_000;
 
-pub fn micros(s: f64) -> Micros {
-    (s.max(0.0) * 1e6) as Micros
+/// Converts seconds to microseconds; negative values become 0.
+pub fn micros(seconds: f64) -> Micros {
+    (seconds.max(0.0) * 1e6) as Micros
 }
 
+/// Identifies a request and its response.
 pub type CallId = u64;
 
-/// Hosts that belong to no zone.
+/// Zone index of hosts that belong to no zone: state service, cloud and users.
 const NO_ZONE: usize = usize::MAX;
 
-/// Who waits for an answer.
+/// Who sent a request and waits for its response.
 #[derive(Clone, Copy, Debug)]
 pub enum Caller {
-    /// A run of a controller, for a call to another system.
+    /// One incarnation of a controller, for a request to the state service, the cloud or a machine.
     Controller {
         controller: usize,
         incarnation: u64,
         ticket: Ticket,
     },
+    /// One incarnation of a controller, for a request to another controller.
     Peer {
         controller: usize,
         incarnation: u64,
         ticket: Ticket,
     },
+    /// A machine's worker.
     Heartbeat {
         machine: usize,
         agent_epoch: u64,
         sent: Micros,
     },
+    /// The user who owns the job.
     User {
         job: usize,
         step: Step,
         sent: Micros,
     },
-    /// Somebody who asks for a job that nobody submitted.
+    /// A user who polls a job that was never submitted.
     UnknownJobPoll,
-    /// Somebody who submits what can't run or lacks a field.
+    /// A user who submits a job that cannot run or that lacks a required field.
     InvalidSubmission,
+    /// The load balancer, which probes this controller.
     HealthProbe(usize),
 }
 
+/// A request whose response is still awaited.
 pub struct Call {
     pub from: Caller,
     pub to: Host,
 }
 
-/// An answer as it travels.
+/// A response in transit.
 #[derive(Clone, Debug)]
 pub struct Response {
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after: Option<u32>,
-    /// Between controllers: what the outcome is, when it is no answer.
+    /// Between controllers: the outcome that the peer reports instead of a response, such as a refused connection.
     pub peer_outcome: Option<Reply>,
 }
 
@@ -91,6 +100,7 @@
     }
 }
 
+/// A request in transit.
 #[derive(Clone)]
 pub struct Request {
     pub call: CallId,
@@ -99,39 +109,45 @@
     pub method: String,
     pub path: String,
     pub body: Vec<u8>,
-    /// Between controllers.
+    /// Set between controllers only: frame kind, timeout, address and ticket.
     pub peer_frame: Option<(u16, Micros, String, Ticket)>,
 }
 
+/// What happens at a scheduled time. Controllers, machines, jobs and faults are given by their index.
 pub enum Event {
-    /// A controller's loop turns, unless it was put off.
+    /// A controller runs one loop iteration, unless the iteration has been rescheduled.
     ControllerLoop(usize),
-    /// What a turn of a run of a controller sends.
+    /// The outputs of one loop iteration leave the controller.
     SendOutputs {
         controller: usize,
         incarnation: u64,
         outputs: Vec<Output>,
     },
     RequestArrives(Box<Request>),
-    /// A request that arrives once more.
+    /// A second copy of a request arrives.
     DuplicateArrives(Box<Request>),
     ResponseArrives(CallId, Box<Response>),
-    /// Nothing came in time.
+    /// The response did not arrive within the timeout.
     CallTimeout(CallId),
-    /// The call ends at the caller without an answer.
+    /// The caller learns that no response will come.
     CallFails(CallId, Reply),
     StartController(usize),
-    /// A controller ends, and comes back a while later.
+    /// A controller process exits and restarts after the scenario's restart time.
     StopController(usize),
-    /// The answer of a slow service is ready.
+    /// The state service or the cloud sends a response, after its processing time.
     ServiceResponds(CallId, Box<Response>),
+    /// The state service expires leases and completes watches.
     StateServiceTimer,
+    /// A transaction without a response is executed.
     DelayedTransaction(Vec<u8>),
+    /// A rental without a response is executed: rental id, pool and number of machines.
     DelayedRental(String, usize, usize),
+    /// A release without a response is executed.
     DelayedRelease(Vec<String>),
     MachineUp(usize),
     Heartbeat(usize),
     LeaseCheck(usize),
+    /// A task changes its status by itself, unless `transition` is outdated.
     TaskTransition {
         machine: usize,
         job: usize,
@@ -140,23 +156,26 @@
         transition: u64,
     },
     ResumeMachine(usize),
-    /// The cloud takes a spot machine, now or after a notice.
+    /// The cloud reclaims a spot machine.
     SpotReclaim(usize),
+    /// New jobs of one class are submitted.
     JobArrivals(usize),
     UserStep(usize, Step),
     PollUnknownJob,
-    /// Odd requests go on until then.
+    /// Users send invalid or repeated requests until this time.
     SubmitInvalidJob(Micros),
-    /// Its user asks at all controllers.
+    /// The user of this job polls all controllers.
     PollAllControllers(usize),
     HealthProbe(usize),
     FaultStarts(usize),
     FaultEnds(usize),
+    /// Records the figures of this second and runs the periodic checks.
     Sample,
 }
 
 struct ScheduledEvent {
     at: Micros,
+    /// Orders events of the same time by when they were scheduled.
     seq: u64,
     event: Event,
 }
@@ -178,6 +197,7 @@
     }
 }
 
+/// All simulated hosts and the event queue.
 pub struct World {
     pub scenario: Day,
     pub now: Micros,
@@ -196,43 +216,43 @@
     pub users: Users,
     pub balancer: Balancer,
     pub checker: Checker,
-    /// Failures that last, by their number in the day.
+    /// Indices of the scenario's faults that last at this moment.
     pub active_faults: Vec<usize>,
-    /// Answers to what an earlier life of a controller asked.
+    /// Outcomes of calls that reached a later incarnation of the controller than the one that made the call.
     pub stale_replies: u64,
-    /// The controllers that the last failure of controllers hit.
+    /// The controllers that the last fault that chose controllers has hit.
     pub last_fault_targets: Vec<usize>,
-    /// Copies of reports that are kept for when a new leader begins.
+    /// Copies of heartbeats that are delivered when the next leader begins to lead.
     pub held_duplicates: VecDeque<Request>,
     pub leader_changes: Vec<Change>,
     pub samples: Vec<Sample>,
-    /// Only for those who judge the checkers.
+    /// Alters messages in tests of the checkers.
     pub tamper: Option<Tamper>,
     digest: xxhash_rust::xxh3::Xxh3,
     events: u64,
 }
 
 impl World {
-    pub fn new(day: Day) -> Self {
-        dewramp::fault_injection::inject_fault(day.bug());
-        let mut seeds = SmallRng::seed_from_u64(day.seed);
+    pub fn new(scenario: Day) -> Self {
+        dewramp::fault_injection::inject_fault(scenario.bug());
+        let mut seeds = SmallRng::seed_from_u64(scenario.seed);
         let mut rng = || SmallRng::seed_from_u64(seeds.random());
-        let mut w = World {
+        let mut world = World {
             now: 0,
-            end: micros(day.duration_s),
+            end: micros(scenario.duration_s),
             queue: BinaryHeap::new(),
             seq: 0,
-            network: Network::new(&day.network, rng()),
+            network: Network::new(&scenario.network, rng()),
             calls: HashMap::default(),
             next_call: 0,
             controllers: Vec::new(),
-            state_service: StateService::new(&day.state),
+            state_service: StateService::new(&scenario.state),
             next_state_timer: 0,
-            cloud: Cloud::new(&day),
+            cloud: Cloud::new(&scenario),
             machines: Vec::new(),
             users: Users::new(rng()),
-            balancer: Balancer::new(day.fleet.controllers),
-            checker: Checker::new(&day),
+            balancer: Balancer::new(scenario.fleet.controllers),
+            checker: Checker::new(&scenario),
             active_faults: Vec::new(),
             stale_replies: 0,
             last_fault_targets: Vec::new(),
@@ -243,45 +263,47 @@
             digest: xxhash_rust::xxh3::Xxh3::new(),
             events: 0,
             rng: rng(),
-            scenario: day,
+            scenario,
         };
-        for n in 0..w.scenario.fleet.controllers {
-            w.controllers
-                .push(ControllerProcess::new(n, &w.scenario, &mut w.rng));
-            let at = w.rng.random_range(0..200 * MILLISECOND);
-            w.schedule_at(at, Event::StartController(n));
-            w.schedule_at(500 * MILLISECOND + at, Event::HealthProbe(n));
+        for n in 0..world.scenario.fleet.controllers {
+            world
+                .controllers
+                .push(ControllerProcess::new(n, &world.scenario, &mut world.rng));
+            let at = world.rng.random_range(0..200 * MILLISECOND);
+            world.schedule_at(at, Event::StartController(n));
+            world.schedule_at(500 * MILLISECOND + at, Event::HealthProbe(n));
         }
-        w.create_initial_machines();
-        w.first_users();
-        for n in 0..w.scenario.failures.len() {
-            let at = micros(w.scenario.failures[n].at_s);
-            w.schedule_at(at, Event::FaultStarts(n));
+        world.create_initial_machines();
+        world.first_users();
+        for n in 0..world.scenario.failures.len() {
+            let at = micros(world.scenario.failures[n].at_s);
+            world.schedule_at(at, Event::FaultStarts(n));
         }
-        w.schedule_at(SECOND, Event::Sample);
-        w
+        world.schedule_at(SECOND, Event::Sample);
+        world
     }
 
-    /// Plays the day; `tell` hears of the time now and then.
-    pub fn play(mut self, mut tell: impl FnMut(Micros)) -> Outcome {
-        while let Some(Reverse(due)) = self.queue.pop() {
-            if due.at > self.end {
+    /// Runs the scenario to its end; `report_progress` is called with the time every 4096 events and at the end.
+    pub fn play(mut self, mut report_progress: impl FnMut(Micros)) -> Outcome {
+        while let Some(Reverse(scheduled)) = self.queue.pop() {
+            if scheduled.at > self.end {
                 break;
             }
-            self.now = due.at;
+            self.now = scheduled.at;
             self.events += 1;
             if self.events % 4096 == 0 {
-                tell(self.now);
+                report_progress(self.now);
             }
-            self.dispatch(due.event);
+            self.dispatch(scheduled.event);
         }
-        tell(self.end);
+        report_progress(self.end);
         self.now = self.end;
         let digest = self.digest.digest128();
         dewramp::fault_injection::inject_fault(None);
         Outcome::of(self, digest)
     }
 
+    /// Schedules an event; times in the past count as now.
     pub fn schedule_at(&mut self, at: Micros, event: Event) {
         self.seq += 1;
         let (at, seq) = (at.max(self.now), self.seq);
@@ -292,14 +314,14 @@
         self.schedule_at(self.now + wait, event);
     }
 
-    /// Whether a failure of that kind lasts now; the first of them.
+    /// Returns the first fault of this kind that lasts at this moment.
     pub fn active_fault(&self, kind: Kind) -> Option<&crate::day::Failure> {
         let failures = &self.scenario.failures;
         let mut active = self.active_faults.iter().map(|n| &failures[*n]);
         active.find(|f| f.kind == kind)
     }
 
-    /// What happened goes into the digest that two plays of one seed share.
+    /// Adds an occurrence to the digest, which is the same for every run of one seed.
     pub fn record_in_digest(&mut self, what: &str, a: u64, b: u64) {
         self.digest.update(what.as_bytes());
         self.digest.update(&self.now.to_le_bytes());
@@ -317,24 +339,24 @@
             } => self.send_outputs(controller, incarnation, outputs),
             Event::RequestArrives(request) => self.deliver_request(*request),
             Event::DuplicateArrives(mut request) => {
-                // A call of its own, that nobody made.
+                // No caller waits for the response to a duplicate: it gets a call id of its own.
                 self.next_call += 1;
                 request.call = self.next_call;
                 self.deliver_request(*request);
             }
-            Event::ResponseArrives(call, answer) => self.deliver_response(call, *answer),
+            Event::ResponseArrives(call, response) => self.deliver_response(call, *response),
             Event::CallTimeout(call) => self.call_timed_out(call),
             Event::CallFails(call, outcome) => self.call_failed(call, outcome),
             Event::StartController(controller) => self.start_controller(controller),
             Event::StopController(controller) => self.stop_controller(controller),
-            Event::ServiceResponds(call, answer) => self.respond(call, *answer),
+            Event::ServiceResponds(call, response) => self.respond(call, *response),
             Event::StateServiceTimer => self.run_state_timers(),
             Event::DelayedTransaction(body) => {
                 self.state_service.apply_transaction(self.now, &body);
                 self.run_state_timers();
             }
-            Event::DelayedRental(hire, pool, number) => {
-                self.rent(&hire, pool, number);
+            Event::DelayedRental(rental_id, pool, number) => {
+                self.rent(&rental_id, pool, number);
             }
             Event::DelayedRelease(hosts) => self.release_machines(&hosts),
             Event::MachineUp(m) => self.machine_up(m),
@@ -361,6 +383,7 @@
         }
     }
 
+    /// Returns a host with the index of its zone.
     pub fn zone_of(&self, host: Host) -> (Host, usize) {
         let zone = match host {
             Host::Controller(n) => self.controllers[n].zone,
@@ -383,7 +406,7 @@
         }
     }
 
-    /// Sends a request; its outcome comes to the caller, within `timeout` at the latest.
+    /// Sends a request; the caller learns its outcome after `timeout` at the latest.
     pub fn send(&mut self, from: Caller, to: Host, timeout: Micros, mut request: Request) {
         self.next_call += 1;
         let call = self.next_call;
@@ -407,7 +430,7 @@
         self.schedule_after(timeout, Event::CallTimeout(call));
     }
 
-    /// A request that gets lost on its way, and nobody says so.
+    /// Records a request that is lost in transit: the caller learns of it only by the timeout.
     pub fn send_and_lose(&mut self, from: Caller, to: Host, timeout: Micros) {
         self.next_call += 1;
         let call = self.next_call;
@@ -415,6 +438,7 @@
         self.schedule_after(timeout, Event::CallTimeout(call));
     }
 
+    /// Builds an HTTP request; `send` fills in the call id and the hosts.
     pub fn http_request(
         method: &str,
         path: impl Into<String>,
@@ -431,7 +455,7 @@
         }
     }
 
-    /// A request that arrives is taken also when its caller has given up meanwhile.
+    /// Hands a request to its destination, also when its caller has given up meanwhile.
     fn deliver_request(&mut self, request: Request) {
         self.record_in_digest("request", request.call, request.body.len() as u64);
         match (request.to, request.from) {
@@ -445,8 +469,8 @@
         }
     }
 
-    /// Sends an answer back to whoever still waits for it.
-    pub fn respond(&mut self, id: CallId, answer: Response) {
+    /// Sends a response back, if the caller still waits for it.
+    pub fn respond(&mut self, id: CallId, response: Response) {
         let Some(call) = self.calls.get(&id) else {
             return;
         };
@@ -460,16 +484,16 @@
             self.zone_of(Self::caller_host(&call.from)),
         );
         if let Some(at) = self.network.send_response(self.now, a, b) {
-            self.schedule_at(at, Event::ResponseArrives(id, Box::new(answer)));
+            self.schedule_at(at, Event::ResponseArrives(id, Box::new(response)));
         }
     }
 
-    fn deliver_response(&mut self, id: CallId, answer: Response) {
+    fn deliver_response(&mut self, id: CallId, response: Response) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
-        self.record_in_digest("answer", id, u64::from(answer.status));
-        self.digest.update(&answer.body);
+        self.record_in_digest("answer", id, u64::from(response.status));
+        self.digest.update(&response.body);
         match call.from {
             Caller::Controller {
                 controller,
@@ -484,9 +508,9 @@
                 if let (Caller::Peer { .. }, Host::Controller(p)) = (call.from, call.to) {
                     self.controllers[controller].missed_peer_responses[p] = 0;
                 }
-                let outcome = answer.peer_outcome.unwrap_or(Reply::Reply {
-                    status: answer.status,
-                    body: answer.body,
+                let outcome = response.peer_outcome.unwrap_or(Reply::Reply {
+                    status: response.status,
+                    body: response.body,
                 });
                 self.deliver_outcome(controller, incarnation, ticket, outcome);
             }
@@ -494,26 +518,27 @@
                 machine,
                 agent_epoch,
                 sent,
-            } => self.heartbeat_answered(machine, agent_epoch, sent, Some(answer)),
+            } => self.heartbeat_answered(machine, agent_epoch, sent, Some(response)),
             Caller::User { job, step, sent } => {
                 self.balancer.connection_closed(call.to);
-                self.user_answered(job, step, sent, Some(answer));
+                self.user_answered(job, step, sent, Some(response));
             }
             Caller::UnknownJobPoll => {
                 self.balancer.connection_closed(call.to);
-                let invents = self.tamper == Some(Tamper::UnknownJobsFound);
-                let status = if invents { 200 } else { answer.status };
+                let pretends_found = self.tamper == Some(Tamper::UnknownJobsFound);
+                let status = if pretends_found { 200 } else { response.status };
                 self.checker.stranger_told(self.now, status);
             }
             Caller::InvalidSubmission => {
                 self.balancer.connection_closed(call.to);
-                let takes = self.tamper == Some(Tamper::AcceptInvalidJobs);
-                let status = if takes { 201 } else { answer.status };
+                let accepts = self.tamper == Some(Tamper::AcceptInvalidJobs);
+                let status = if accepts { 201 } else { response.status };
                 self.checker.odd_told(self.now, status);
             }
-            Caller::HealthProbe(n) => self
-                .balancer
-                .record_probe(self.now, n, answer.status == 200),
+            Caller::HealthProbe(n) => {
+                self.balancer
+                    .record_probe(self.now, n, response.status == 200)
+            }
         }
     }
 
@@ -521,7 +546,7 @@
         if let Some(call) = self.calls.get(&id) {
             let (from, to) = (Self::caller_host(&call.from), call.to);
             if let (Caller::Peer { controller, .. }, Host::Controller(p)) = (call.from, to) {
-                // Frames share a link, which stays through some missed answers.
+                // All frames to a peer share one connection; it is closed after 8 missed responses in a row.
                 let missed = &mut self.controllers[controller].missed_peer_responses[p];
                 *missed += 1;
                 if *missed >= 8 {
@@ -535,7 +560,7 @@
         }
     }
 
-    /// The call ends without an answer.
+    /// Tells the caller that the call ended without a response.
     fn call_failed(&mut self, id: CallId, outcome: Reply) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -570,8 +595,8 @@
         }
     }
 
-    /// What an earlier life of a process asked is answered to the life that is there now: sockets
-    /// keep that from happening, but no safety may rest on it.
+    /// Hands the outcome of a call to the controller, also to a later incarnation than the one that made the
+    /// call. Real sockets prevent this, but no safety rule may depend on that.
     fn deliver_outcome(
         &mut self,
         controller: usize,
@@ -585,7 +610,7 @@
         self.queue_input(controller, Input::Outcome { ticket, outcome });
     }
 
-    /// The connections of a host that ended are reset.
+    /// Resets all connections of a host whose process has exited; its callers learn of it a millisecond later.
     pub fn reset_calls(&mut self, host: Host) {
         self.network.drop_connections(host);
         let mut open: Vec<CallId> = self
@@ -601,21 +626,21 @@
     }
 
     fn handle_state_request(&mut self, controller: usize, request: Request) {
-        if let Some(f) = self.active_fault(Kind::StateLoses)
+        if let Some(fault) = self.active_fault(Kind::StateLoses)
             && request.path == "/txn"
         {
-            let (share, late) = (f.share.unwrap_or(0.0), f.late_s.unwrap_or(0.0));
-            let at_once = f.at_once;
+            let (share, delay) = (fault.share.unwrap_or(0.0), fault.late_s.unwrap_or(0.0));
+            let at_once = fault.at_once;
             if self.rng.random::<f64>() < share {
-                let late = if !at_once && self.rng.random() {
-                    micros(late)
+                let delay = if !at_once && self.rng.random() {
+                    micros(delay)
                 } else {
                     0
                 };
-                return self.schedule_after(late, Event::DelayedTransaction(request.body));
+                return self.schedule_after(delay, Event::DelayedTransaction(request.body));
             }
         }
-        let told = self.state_service.handle_request(
+        let completed = self.state_service.handle_request(
             self.now,
             controller,
             &request.method,
@@ -623,35 +648,38 @@
             &request.body,
             request.call,
         );
-        if let Some((id, (status, body))) = told {
+        if let Some((id, (status, body))) = completed {
             self.state_service_responds(id, status, body);
         }
         self.run_state_timers();
     }
 
+    /// Sends a response of the state service after its processing time; one in 500 takes 40 times as long.
     fn state_service_responds(&mut self, id: CallId, status: u16, body: String) {
-        let slow = self.active_fault(Kind::StateSlow).and_then(|f| f.factor);
-        let luck: f64 = self.rng.random();
-        let rare = if luck > 0.998 { 40.0 } else { 1.0 };
-        let ms = self.scenario.state.latency_ms * slow.unwrap_or(1.0) * rare * (0.6 + 0.8 * luck);
-        let answer = Box::new(Response::new(status, body));
-        self.schedule_after(micros(ms / 1000.0), Event::ServiceResponds(id, answer));
+        let slowdown = self.active_fault(Kind::StateSlow).and_then(|f| f.factor);
+        let draw: f64 = self.rng.random();
+        let outlier = if draw > 0.998 { 40.0 } else { 1.0 };
+        let ms =
+            self.scenario.state.latency_ms * slowdown.unwrap_or(1.0) * outlier * (0.6 + 0.8 * draw);
+        let response = Box::new(Response::new(status, body));
+        self.schedule_after(micros(ms / 1000.0), Event::ServiceResponds(id, response));
     }
 
-    /// Watches that have news, grants that end.
+    /// Expires leases, completes watches, and schedules the next such check.
     fn run_state_timers(&mut self) {
         let next = self.state_service.expire_leases(self.now);
         for (id, (status, body)) in self.state_service.complete_watches(self.now) {
             self.state_service_responds(id, status, body);
         }
-        // Watches without news end at their own time; a look a second finds them.
-        let look = next.unwrap_or(Micros::MAX).min(self.now + SECOND);
-        if self.next_state_timer <= self.now || look < self.next_state_timer {
-            self.next_state_timer = look;
-            self.schedule_at(look.max(self.now + 1), Event::StateServiceTimer);
+        // The timeouts of watches without changes are only checked once a second.
+        let next_check = next.unwrap_or(Micros::MAX).min(self.now + SECOND);
+        if self.next_state_timer <= self.now || next_check < self.next_state_timer {
+            self.next_state_timer = next_check;
+            self.schedule_at(next_check.max(self.now + 1), Event::StateServiceTimer);
         }
     }
 
+    /// Records the figures of this second, runs the periodic checks, and schedules the next sample.
     fn sample(&mut self) {
         self.checker.sweep(self.now, &self.users);
         self.judge_waiting();
--- a/crates/drill/tests/drill.rs
+++ b/crates/drill/tests/drill.rs
@@ -1,5 +1,5 @@
-//! The drill itself: that a seed is one run, that each checker finds what it is there for, that what
-//! is planted is found and cut down, and that the service keeps the rules on drawn days.
+//! Tests of the simulator itself: one seed gives one run, each checker finds violations of its rule, injected faults
+//! are found and failing scenarios shrunk, and the service breaks no rule in generated scenarios.
 
 use dewramp::fault_injection::InjectedFault;
 use drill::check::RULES;
@@ -11,32 +11,32 @@
 use rayon::prelude::*;
 use std::process::Command;
 
-fn drawn(seed: u64) -> Day {
-    generate::draw(seed).expect("a day is drawn")
+fn generated(seed: u64) -> Day {
+    generate::draw(seed).expect("a scenario is generated")
 }
 
-fn text(outcome: &Outcome) -> String {
-    serde_json::to_string(outcome).expect("an outcome is JSON")
+fn report_json(outcome: &Outcome) -> String {
+    serde_json::to_string(outcome).expect("the outcome is written as JSON")
 }
 
-/// Hash order, addresses or wall time in a decision would show here.
+/// Guards against decisions that depend on hash order, addresses or wall-clock time.
 #[test]
 fn the_same_seed_gives_the_same_report_also_in_parallel_runs() {
-    let alone: Vec<String> = [3, 4].map(|s| text(&play(&drawn(s)))).into();
-    let beside: Vec<String> = [3, 4, 5, 3, 4, 5]
+    let alone: Vec<String> = [3, 4].map(|s| report_json(&play(&generated(s)))).into();
+    let parallel: Vec<String> = [3, 4, 5, 3, 4, 5]
         .into_par_iter()
-        .map(|s| text(&play(&drawn(s))))
+        .map(|s| report_json(&play(&generated(s))))
         .collect();
-    assert_eq!(alone, beside[..2]);
-    assert_eq!(beside[..3], beside[3..]);
-    assert_ne!(beside[0], beside[1]);
+    assert_eq!(alone, parallel[..2]);
+    assert_eq!(parallel[..3], parallel[3..]);
+    assert_ne!(parallel[0], parallel[1]);
 }
 
 #[test]
 fn generated_scenarios_break_no_rule_and_serve_every_class_and_team() {
     let failed: Vec<String> = (1..=50u64)
         .into_par_iter()
-        .map(|s| play(&drawn(s)))
+        .map(|s| play(&generated(s)))
         .filter(|o| !o.failed.is_empty())
         .map(|o| format!("seed {}: {:?} {:?}", o.seed, o.failed, o.broken))
         .collect();
@@ -47,14 +47,14 @@
 fn each_injected_fault_is_found_within_200_seeds() {
     for (name, _) in InjectedFault::ALL {
         let found = (1..=200u64).into_par_iter().find_first(|seed| {
-            let day = generate::draw_planted(*seed, name).expect("a day is drawn");
-            !play(&day).broken.is_empty()
+            let scenario = generate::draw_planted(*seed, name).expect("a scenario is generated");
+            !play(&scenario).broken.is_empty()
         });
-        assert!(found.is_some(), "{name} is not found");
+        assert!(found.is_some(), "no seed finds the injected fault {name}");
     }
 }
 
-/// Rules that no planted bug breaks are broken by changing messages on their way.
+/// Guards against a checker that cannot fail. Rules that no injected fault breaks are broken by altered messages.
 #[test]
 fn each_rule_is_violated_by_an_injected_fault_or_by_altered_messages() {
     let tampers = [
@@ -74,24 +74,28 @@
     ];
     for (tamper, rule) in tampers {
         let breaks = (1..=40u64).into_par_iter().any(|seed| {
-            let mut world = World::new(drawn(seed));
+            let mut world = World::new(generated(seed));
             world.tamper = Some(tamper);
             world.play(|_| {}).broken.contains_key(rule)
         });
-        assert!(breaks, "{tamper:?} shows no {rule}");
+        assert!(breaks, "no seed violates {rule} with {tamper:?}");
     }
-    let by_bugs = [
+    let rules_broken_by_faults = [
         "ran_twice",
         "quota",
         "attempt_reused",
         "hire_reused",
         "reaped_early",
         "mirror_differs",
-        // By `odd_submissions_that_are_accepted_fail_a_day`.
+        // Shown by `odd_submissions_that_are_accepted_fail_a_day`.
         "unfit_accepted",
     ];
-    let shown: Vec<&str> = tampers.iter().map(|t| t.1).chain(by_bugs).collect();
-    assert!(RULES.iter().all(|r| shown.contains(r)));
+    let covered: Vec<&str> = tampers
+        .iter()
+        .map(|t| t.1)
+        .chain(rules_broken_by_faults)
+        .collect();
+    assert!(RULES.iter().all(|r| covered.contains(r)));
     for (bug, rule) in [
         ("hold-let-go", "ran_twice"),
         ("quota-uncharged", "quota"),
@@ -102,58 +106,63 @@
         ("catch-up-skipped", "mirror_differs"),
     ] {
         let breaks = (1..=40u64).into_par_iter().any(|seed| {
-            let day = generate::draw_planted(seed, bug).expect("a day is drawn");
-            play(&day).broken.contains_key(rule)
+            let scenario = generate::draw_planted(seed, bug).expect("a scenario is generated");
+            play(&scenario).broken.contains_key(rule)
         });
-        assert!(breaks, "{bug} shows no {rule}");
+        assert!(
+            breaks,
+            "no seed violates {rule} with the injected fault {bug}"
+        );
     }
 }
 
 #[test]
 fn a_failing_scenario_is_shrunk_and_still_fails_when_parsed_again() {
-    let mut day = drawn(2);
-    day.planted = Some("final-overwritten".to_owned());
-    let small = shrink::shrink(&day, |_| {}).expect("the bug shows on that day");
-    assert!(small.failures.len() < day.failures.len());
-    assert!(small.machines() < day.machines());
-    assert!(small.duration_s < day.duration_s);
-    let read = Day::parse(&small.to_toml()).expect("a day cut down is a day");
+    let mut scenario = generated(2);
+    scenario.planted = Some("final-overwritten".to_owned());
+    let small = shrink::shrink(&scenario, |_| {})
+        .expect("the injected fault breaks a rule in this scenario");
+    assert!(small.failures.len() < scenario.failures.len());
+    assert!(small.machines() < scenario.machines());
+    assert!(small.duration_s < scenario.duration_s);
+    let read = Day::parse(&small.to_toml()).expect("the shrunk scenario parses");
     assert!(play(&read).broken.contains_key("went_back"));
     assert!(
-        shrink::shrink(&drawn(2), |_| {}).is_none(),
-        "no rule breaks without it"
+        shrink::shrink(&generated(2), |_| {}).is_none(),
+        "no rule breaks without the injected fault"
     );
 }
 
 #[test]
 fn a_scenario_in_which_no_task_can_run_fails_and_terminates() {
-    let mut day = Day::example().expect("the example is a day");
-    day.pools.clear();
-    day.failures.clear();
-    let nobody = play(&day);
-    assert!(nobody.failed.iter().any(|f| f == "nothing_ran"));
+    let mut scenario = Day::example().expect("the example scenario parses");
+    scenario.pools.clear();
+    scenario.failures.clear();
+    let without_machines = play(&scenario);
+    assert!(without_machines.failed.iter().any(|f| f == "nothing_ran"));
     assert!(
-        nobody
+        without_machines
             .failed
             .iter()
             .any(|f| f.starts_with("class quick served 0.00"))
     );
-    let mut dark = Day::example().expect("the example is a day");
-    dark.failures = vec![Failure::new(0.0, Kind::StateOutage).lasts(dark.duration_s)];
-    let dark = play(&dark);
-    assert_eq!(dark.tasks_started, 0);
-    assert!(dark.given_up > 0 && dark.broken.keys().all(|r| *r == "nothing_ran"));
+    let mut without_state = Day::example().expect("the example scenario parses");
+    without_state.failures =
+        vec![Failure::new(0.0, Kind::StateOutage).lasts(without_state.duration_s)];
+    let outcome = play(&without_state);
+    assert_eq!(outcome.tasks_started, 0);
+    assert!(outcome.given_up > 0 && outcome.broken.keys().all(|r| *r == "nothing_ran"));
 }
 
-/// Half of the machines are gone for good, and what is left can't do half of the work.
+/// Only one machine is left for good, which cannot do half of the work.
 #[test]
 fn a_class_with_less_than_half_of_its_work_done_fails_the_scenario() {
-    let mut day = Day::example().expect("the example is a day");
-    day.failures.clear();
-    for pool in &mut day.pools {
+    let mut scenario = Day::example().expect("the example scenario parses");
+    scenario.failures.clear();
+    for pool in &mut scenario.pools {
         (pool.up, pool.most) = (usize::from(pool.zone == "east"), 1);
     }
-    let outcome = play(&day);
+    let outcome = play(&scenario);
     assert!(outcome.broken.is_empty(), "{:?}", outcome.broken);
     assert!(
         outcome
@@ -163,31 +172,33 @@
     );
 }
 
-/// What the tables tell of a change of leader: who, when, and how long nobody led.
+/// The report says when the next leader began to lead and for how long there was none.
 #[test]
 fn a_crash_of_the_leader_is_reported_as_a_leader_change() {
     for controllers in [3, 7] {
-        let mut day = Day::example().expect("the example is a day");
-        day.fleet.controllers = controllers;
-        day.failures = vec![Failure::new(100.0, Kind::NodeCrash).hits(Whom::Leader)];
-        let outcome = play(&day);
+        let mut scenario = Day::example().expect("the example scenario parses");
+        scenario.fleet.controllers = controllers;
+        scenario.failures = vec![Failure::new(100.0, Kind::NodeCrash).hits(Whom::Leader)];
+        let outcome = play(&scenario);
         let lead = outcome.leads.iter().find(|l| l.at_s > 100.0);
-        let lead = lead.expect("another leads");
+        let lead = lead.expect("another controller leads");
         assert!((1.0..6.0).contains(&lead.silent_s), "{lead:?}");
         assert!(outcome.failed.is_empty(), "{:?}", outcome.failed);
         assert!(
             outcome
                 .processor
                 .iter()
-                .all(|p| (0.0..day.fleet.cpu_share).contains(p))
+                .all(|p| (0.0..scenario.fleet.cpu_share).contains(p))
         );
     }
 }
 
 #[test]
 fn an_invalid_scenario_is_rejected_with_line_and_column() {
-    let good = Day::example().expect("the example is a day").to_toml();
-    for (from, to, says) in [
+    let good = Day::example()
+        .expect("the example scenario parses")
+        .to_toml();
+    for (from, to, message) in [
         ("controllers = 3", "controllers = \"three\"", "line "),
         (
             "controllers = 3",
@@ -206,30 +217,34 @@
     ] {
         let bad = good.replacen(from, to, 1);
         assert_ne!(bad, good, "{from} is in the example");
-        let error = Day::parse(&bad).expect_err("the day is wrong").to_string();
-        assert!(error.contains(says), "{to}: {error}");
+        let error = Day::parse(&bad)
+            .expect_err("the scenario is invalid")
+            .to_string();
+        assert!(error.contains(message), "{to}: {error}");
     }
     let run = |args: &[&str]| {
         Command::new(env!("CARGO_BIN_EXE_drill"))
             .args(args)
             .output()
-            .expect("the program runs")
+            .expect("the drill program runs")
     };
     let dir = std::env::temp_dir().join(format!("drill-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder for the files");
-    let (wrong, picture) = (dir.join("wrong.toml"), dir.join("day.svg"));
-    std::fs::write(&wrong, good.replacen("seed = 1", "seed = ", 1)).expect("a file");
-    let told = run(&["--day", &wrong.to_string_lossy()]);
-    assert_eq!(told.status.code(), Some(2));
-    let said = String::from_utf8_lossy(&told.stderr).into_owned();
-    assert!(said.contains("wrong.toml: line 2, column"), "{said}");
-    let told = run(&["--format", "json", "--report", &picture.to_string_lossy()]);
-    assert_eq!(told.status.code(), Some(0));
-    let outcome: serde_json::Value = serde_json::from_slice(&told.stdout).expect("JSON");
+    std::fs::create_dir_all(&dir).expect("the directory is created");
+    let (invalid, picture) = (dir.join("wrong.toml"), dir.join("day.svg"));
+    std::fs::write(&invalid, good.replacen("seed = 1", "seed = ", 1))
+        .expect("the scenario file is written");
+    let output = run(&["--day", &invalid.to_string_lossy()]);
+    assert_eq!(output.status.code(), Some(2));
+    let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(stderr.contains("wrong.toml: line 2, column"), "{stderr}");
+    let output = run(&["--format", "json", "--report", &picture.to_string_lossy()]);
+    assert_eq!(output.status.code(), Some(0));
+    let outcome: serde_json::Value =
+        serde_json::from_slice(&output.stdout).expect("the report is JSON");
     assert_eq!(outcome["failed"], serde_json::json!([]));
-    let svg = std::fs::read_to_string(&picture).expect("a picture");
+    let svg = std::fs::read_to_string(&picture).expect("the picture is readable");
     assert!(svg.starts_with("<svg") && svg.contains("tasks waiting"));
-    let told = run(&["--plant", "hold-let-go", "--seeds", "10"]);
-    assert_eq!(told.status.code(), Some(1));
-    std::fs::remove_dir_all(&dir).expect("the folder goes");
+    let output = run(&["--plant", "hold-let-go", "--seeds", "10"]);
+    assert_eq!(output.status.code(), Some(1));
+    std::fs::remove_dir_all(&dir).expect("the directory is removed");
 }
--- a/crates/drill/tests/scripted.rs
+++ b/crates/drill/tests/scripted.rs
@@ -1,47 +1,49 @@
-//! Meetings that need a whole day: zones cut off, zone-bound jobs, floods over slow links, many small jobs.
+//! Combinations of faults that need a scenario of their own: partitioned zones, jobs bound to one zone, overload over
+//! slow links, many small jobs, and a pause of all controllers.
 
 use drill::day::{Day, Failure, Kind, Mode, Spread, Whom};
 use drill::outcome::Outcome;
 use drill::play;
 use rayon::prelude::*;
 
-fn day(duration_s: f64, failures: Vec<Failure>) -> Day {
-    let mut day = Day::example().expect("the example is a day");
-    day.fleet.restart_s = 0.2;
-    day.duration_s = duration_s;
-    day.settle_s = 60.0;
-    day.aims.clear();
-    day.failures = failures;
-    day
+fn scenario(duration_s: f64, failures: Vec<Failure>) -> Day {
+    let mut scenario = Day::example().expect("the example scenario parses");
+    scenario.fleet.restart_s = 0.2;
+    scenario.duration_s = duration_s;
+    scenario.settle_s = 60.0;
+    scenario.aims.clear();
+    scenario.failures = failures;
+    scenario
 }
 
-fn ends(at_s: f64, whom: Whom) -> Failure {
+fn crash(at_s: f64, whom: Whom) -> Failure {
     Failure::new(at_s, Kind::NodeCrash).hits(whom)
 }
 
-fn played(day: &Day) -> Vec<Outcome> {
+fn play_with_8_seeds(scenario: &Day) -> Vec<Outcome> {
     (1..=8u64)
         .into_par_iter()
         .map(|seed| {
-            let mut day = day.clone();
-            day.seed = seed;
-            play(&day)
+            let mut scenario = scenario.clone();
+            scenario.seed = seed;
+            play(&scenario)
         })
         .collect()
 }
 
-/// No rule broke, and all were served.
-fn kept(day: &Day) -> Vec<Outcome> {
-    let outcomes = played(day);
+/// Plays the scenario with 8 seeds and asserts that no rule breaks and every class and team is served at least by half.
+fn assert_no_failure(scenario: &Day) -> Vec<Outcome> {
+    let outcomes = play_with_8_seeds(scenario);
     for o in &outcomes {
-        let told = (&o.failed, &o.broken);
-        assert!(o.failed.is_empty(), "seed {}: {told:?}", o.seed);
+        let failures = (&o.failed, &o.broken);
+        assert!(o.failed.is_empty(), "seed {}: {failures:?}", o.seed);
     }
     outcomes
 }
 
-/// A zone with workers and a controller, the leader's and then another one, is cut off for longer than the lease,
-/// with what was sent held and delivered late, while users cancel; the leader outside ends too.
+/// Guards against tasks that run twice or after their cancellation when a zone with workers and a controller is
+/// partitioned for longer than the lease: first the leader's zone, then another one. Packets are delivered late, lost
+/// or answered with a reset; meanwhile users cancel jobs and the new leader crashes.
 #[test]
 fn a_zone_with_workers_and_a_controller_is_partitioned_for_longer_than_a_lease() {
     let lease = Day::default().fleet.lease_s;
@@ -52,16 +54,16 @@
         own.mode = Some(mode);
         let mut other = Failure::new(110.0, Kind::ZoneCut).lasts(1.5 * lease);
         (other.zone, other.mode) = (Some("west".to_owned()), Some(mode));
-        let mut day = day(260.0, vec![own, ends(52.0, Whom::Leader), other]);
-        for c in &mut day.classes {
+        let mut scenario = scenario(260.0, vec![own, crash(52.0, Whom::Leader), other]);
+        for c in &mut scenario.classes {
             c.cancelled = 0.4;
         }
-        kept(&day);
+        assert_no_failure(&scenario);
     }
 }
 
-/// Jobs bound to one zone, or to have all of their tasks in one, arrays too, lose machines there while the leader
-/// ends.
+/// Jobs that are bound to one zone, or need all tasks in the same zone, lose machines there while the leader
+/// crashes.
 #[test]
 fn jobs_bound_to_one_zone_lose_machines() {
     let mut die = Failure::new(40.0, Kind::MachineDie);
@@ -72,13 +74,13 @@
     (taken.share, taken.notice_s) = (Some(0.6), Some(0.0));
     let failures = vec![
         die,
-        ends(42.0, Whom::Leader),
+        crash(42.0, Whom::Leader),
         taken,
         again,
-        ends(71.0, Whom::All),
+        crash(71.0, Whom::All),
     ];
-    let mut day = day(300.0, failures);
-    for (n, c) in day.classes.iter_mut().enumerate() {
+    let mut scenario = scenario(300.0, failures);
+    for (n, c) in scenario.classes.iter_mut().enumerate() {
         (c.pinned, c.together, c.apart) = if n == 1 {
             (0.0, 1.0, 0.0)
         } else {
@@ -86,12 +88,12 @@
         };
         c.tasks.max = c.tasks.max.min(12.0);
     }
-    let outcomes = kept(&day);
+    let outcomes = assert_no_failure(&scenario);
     assert!(outcomes.iter().all(|o| o.tasks_started > 200));
 }
 
-/// More work than room, urgent and not, over slow links, with the leader ending in the worst of it: no rule breaks,
-/// every class and team has its half once the flood is over.
+/// Bursts of urgent and other jobs exceed the capacity over slow links, and the leader crashes meanwhile. No rule may
+/// break, and every class and team must have at least half of its work done once the bursts are over.
 #[test]
 fn more_work_than_capacity_over_slow_links() {
     let burst = |class: &str| {
@@ -102,44 +104,47 @@
     let failures = vec![
         burst("quick"),
         burst("slow"),
-        ends(55.0, Whom::Leader),
-        ends(75.0, Whom::All),
+        crash(55.0, Whom::Leader),
+        crash(75.0, Whom::All),
     ];
-    let mut day = day(420.0, failures);
-    (day.network.same_zone_ms, day.network.cross_zone_ms) = (30.0, 120.0);
-    (day.network.loss, day.settle_s) = (0.01, 200.0);
-    kept(&day);
+    let mut scenario = scenario(420.0, failures);
+    (
+        scenario.network.same_zone_ms,
+        scenario.network.cross_zone_ms,
+    ) = (30.0, 120.0);
+    (scenario.network.loss, scenario.settle_s) = (0.01, 200.0);
+    assert_no_failure(&scenario);
 }
 
-/// One-task jobs come four a second for minutes, a quarter of them is cancelled, and the leader ends in the middle;
-/// on half as many machines again, with the same budgets. The requests stay within the budget, the other classes are
-/// served, and the backlog is gone within a minute.
+/// Single-task jobs arrive four a second for minutes, a quarter of them is cancelled, and the leader crashes twice;
+/// the second round has half as many machines again and the same request budgets. Requests to the state service must
+/// stay within the budget, the other classes must be served, and the backlog must be gone within a minute.
 #[test]
 fn single_task_jobs_four_a_second_for_minutes() {
     for size in [1.0, 1.5] {
-        let mut day = day(
+        let mut scenario = scenario(
             330.0,
-            vec![ends(130.0, Whom::Leader), ends(200.0, Whom::Leader)],
+            vec![crash(130.0, Whom::Leader), crash(200.0, Whom::Leader)],
         );
         let one = Spread {
             median: 1.0,
             p95: 1.0,
             max: 1.0,
         };
-        let first = &mut day.classes[0];
+        let first = &mut scenario.classes[0];
         (first.rate, first.cancelled, first.tasks) = (4.0, 0.25, one);
         first.run_s = Spread {
             median: 6.0,
             p95: 10.0,
             max: 15.0,
         };
-        let machines = (day.machines() as f64 * size) as usize;
-        let (state, rate) = (day.state.clone(), day.classes[0].rate);
-        let mut day = day.with_machines(machines);
-        (day.state, day.classes[0].rate) = (state, rate);
-        for o in kept(&day) {
+        let machines = (scenario.machines() as f64 * size) as usize;
+        let (state, rate) = (scenario.state.clone(), scenario.classes[0].rate);
+        let mut scenario = scenario.with_machines(machines);
+        (scenario.state, scenario.classes[0].rate) = (state, rate);
+        for o in assert_no_failure(&scenario) {
             assert!(o.submissions > 900, "{} submissions", o.submissions);
-            let most = day.state.rps * day.duration_s;
+            let most = scenario.state.rps * scenario.duration_s;
             assert!(
                 (o.state_requests as f64) < 0.8 * most,
                 "{}",
@@ -151,16 +156,16 @@
     }
 }
 
-/// All controllers are away for longer than the lease, and all come back within a moment, while users cancel.
+/// All controllers freeze for longer than the lease and resume at the same time, while users cancel jobs.
 #[test]
 fn all_controllers_pause_for_longer_than_a_lease() {
     let lease = Day::default().fleet.lease_s;
     let freeze = Failure::new(45.0, Kind::NodeFreeze)
         .hits(Whom::All)
         .lasts(1.4 * lease);
-    let mut day = day(240.0, vec![freeze, ends(130.0, Whom::All)]);
-    for c in &mut day.classes {
+    let mut scenario = scenario(240.0, vec![freeze, crash(130.0, Whom::All)]);
+    for c in &mut scenario.classes {
         c.cancelled = 0.4;
     }
-    kept(&day);
+    assert_no_failure(&scenario);
 }
