--- a/crates/drill/src/controller.rs
+++ b/crates/drill/src/controller.rs
@@ -295,12 +295,12 @@
         }
         let conn = request.call;
         let input = match request.peer_frame {
-            Some((kind, patience, addr, ticket)) => Input::PeerRequest {
+            Some((kind, timeout, subject, ticket)) => Input::PeerRequest {
                 conn,
                 ticket,
                 kind,
-                patience,
-                addr,
+                timeout,
+                subject,
                 body: request.body,
             },
             None => Input::Request {
@@ -362,7 +362,7 @@
             spent += input_cost(&input);
             controller.handle(local, input);
         }
-        c.load.note_wait(
+        c.load.record_wait(
             local.steady,
             c.queue.longest_wait().max(elapsed_time(spent, share)),
         );
@@ -514,13 +514,13 @@
                 ticket,
                 dest,
                 kind,
-                addr,
+                subject,
                 body,
                 timeout,
             } => {
                 let Some(to) = self.host_at(dest) else { return };
                 let mut request = World::http_request("", "", body);
-                request.peer_frame = Some((kind, timeout, addr, ticket));
+                request.peer_frame = Some((kind, timeout, subject, ticket));
                 self.send(
                     Caller::Peer {
                         controller,
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -172,7 +172,7 @@
                 continue;
             };
             let is_unconfirmed = matches!(entry.state, TaskState::Unconfirmed | TaskState::Sent);
-            if !(is_unconfirmed && fault_injected(InjectedFault::QuotaUncharged)) {
+            if !(is_unconfirmed && fault_injected(InjectedFault::UnconfirmedTaskNotCharged)) {
                 capacity.charge(spec);
             }
             if let Some(free) = &mut free {
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -23,7 +23,7 @@
 use crate::schema::{self, Schema, chunk_key};
 use crate::state_client::{KeyValue, Op, RawJson, Reply, RequestPriority, Transaction};
 use crate::wire::{
-    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
+    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, is_valid_uid,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -199,7 +199,7 @@
 
     /// Answers a client's poll of a job.
     fn poll_job(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
@@ -223,10 +223,12 @@
         self.read_for_poll(conn, uid.into(), false);
     }
 
-    /// Reads a job for a poll. If polls of the job have long gone unanswered, the read is queued
-    /// with the priority of submissions and cancellations, but only a few at a time: after an outage
-    /// all polls are starved, and submissions are waiting as well.
-    pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
+    /// Reads a job for a poll: its final state if `finished` is set, else its live record.
+    ///
+    /// If polls of the job have long gone unanswered, the read is queued with the priority of
+    /// submissions and cancellations, but only a few at a time: after an outage all polls are
+    /// starved, and submissions are waiting as well.
+    pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, finished: bool) {
         let now = self.now.steady;
         let has_queue_room = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
         let priority = if has_queue_room && self.client_requests.is_starved(now, &uid) {
@@ -234,11 +236,11 @@
         } else {
             RequestPriority::Background
         };
-        let op = Op::Get(job_key(&uid, over));
+        let op = Op::Get(job_key(&uid, finished));
         let request = StateRequest::PollJob {
             conn,
             uid,
-            finished: over,
+            finished,
         };
         self.state
             .submit(now, request, priority, op, CLIENT_REQUEST_TIMEOUT);
@@ -306,7 +308,7 @@
 
     /// Handles the reply to the check which of the polled jobs have finished.
     pub(super) fn handle_finished_check_reply(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
-        let finished: Vec<&str> = match reply {
+        let finished_uids: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
                 .iter()
@@ -331,7 +333,7 @@
             }
         };
         for PendingPoll { conn, uid, .. } in polls {
-            if finished.contains(&&*uid) {
+            if finished_uids.contains(&&*uid) {
                 self.read_for_poll(conn, uid, true);
                 continue;
             }
@@ -383,7 +385,7 @@
 
     /// Cancels a job for a client.
     fn cancel_job(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
@@ -395,14 +397,20 @@
         self.read_for_cancel(conn, uid.into(), false, 0);
     }
 
-    /// Reads the stored state of a job that a client cancels.
-    pub(super) fn read_for_cancel(&mut self, conn: ConnId, uid: Arc<str>, over: bool, tries: u32) {
-        let op = Op::Get(job_key(&uid, over));
+    /// Reads a job that a client cancels: its final state if `finished` is set, else its live record.
+    pub(super) fn read_for_cancel(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        finished: bool,
+        retries: u32,
+    ) {
+        let op = Op::Get(job_key(&uid, finished));
         let request = StateRequest::ReadForCancel {
             conn,
             uid,
-            finished: over,
-            retries: tries,
+            finished,
+            retries,
         };
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
@@ -443,15 +451,15 @@
         self.apply_ledger_events();
     }
 
-    /// Answers with the state of a stored job; `over` tells that the item is its final state.
+    /// Answers with the state of a stored job; `finished` is set if the item is its final state.
     pub(super) fn respond_stored_state(
         &mut self,
         conn: ConnId,
         uid: &str,
-        over: bool,
+        finished: bool,
         item: KeyValue,
     ) {
-        let body = if over {
+        let body = if finished {
             serde_json::from_str::<FinalState>(item.value.get())
                 .ok()
                 .map(|end| final_status_body(uid, &end))
@@ -463,7 +471,7 @@
         let Some(body) = body else {
             return self.respond_error(conn, &ApiError::StoredJobUnreadable);
         };
-        if over {
+        if finished {
             self.client_requests.cache_final_state(uid, body.clone());
         }
         self.respond(conn, 200, &body);
@@ -474,20 +482,22 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
-        tries: u32,
+        finished: bool,
+        retries: u32,
         reply: Reply,
     ) {
         match reply {
-            Reply::KeyValue(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
-                self.overwrite_final_state(conn, uid, tries, &item);
+            Reply::KeyValue(item)
+                if finished && fault_injected(InjectedFault::FinalStateOverwritten) =>
+            {
+                self.overwrite_final_state(conn, uid, retries, &item);
             }
-            Reply::KeyValue(item) if over => self.respond_stored_state(conn, &uid, true, item),
+            Reply::KeyValue(item) if finished => self.respond_stored_state(conn, &uid, true, item),
             Reply::KeyValue(item) => match self.cancellation_transaction(&uid, item) {
-                Ok((txn, body)) => self.write_cancel(conn, uid, tries, body, txn),
+                Ok((txn, body)) => self.write_cancel(conn, uid, retries, body, txn),
                 Err(error) => self.respond_error(conn, &error),
             },
-            Reply::NotFound if !over => self.read_for_cancel(conn, uid, true, tries),
+            Reply::NotFound if !finished => self.read_for_cancel(conn, uid, true, retries),
             Reply::NotFound => self.respond_error(conn, &ApiError::NoSuchJob),
             _ => self.handle_state_unavailable(conn),
         }
@@ -497,26 +507,32 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        tries: u32,
+        retries: u32,
         body: Value,
         txn: Transaction,
     ) {
         let request = StateRequest::WriteCancel {
             conn,
             uid,
-            retries: tries,
+            retries,
             body,
         };
         self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
     }
 
     /// Overwrites a final state, as the injected fault [`InjectedFault::FinalOverwritten`] does.
-    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &KeyValue) {
+    fn overwrite_final_state(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        retries: u32,
+        item: &KeyValue,
+    ) {
         if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
             end.status = "cancelled".to_owned();
             let body = final_status_body(&uid, &end);
             let txn = Transaction::default().set(finished_key(&uid), &end);
-            self.write_cancel(conn, uid, tries, body, txn);
+            self.write_cancel(conn, uid, retries, body, txn);
         }
     }
 
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -171,12 +171,12 @@
 
     /// Records that a request about this job could not be answered.
     pub(super) fn note_failure(&mut self, now: Micros, uid: &str) {
-        self.starvation.note_failure(now, uid);
+        self.starvation.record_failure(now, uid);
     }
 
     /// Records that a request about this job was answered.
     pub(super) fn note_answer(&mut self, uid: &str) {
-        self.starvation.note_answer(uid);
+        self.starvation.record_answer(uid);
     }
 
     /// Whether requests about this job have long gone unanswered.
@@ -187,7 +187,7 @@
     /// How many jobs have unanswered requests, and the longest time that one has gone unanswered, in
     /// microseconds.
     pub(super) fn worst_starvation(&self, now: Micros) -> (usize, Micros) {
-        self.starvation.worst(now)
+        self.starvation.unanswered_summary(now)
     }
 
     /// When the next batch of polls is due.
@@ -251,7 +251,7 @@
         if starved_first {
             let starvation = &self.starvation;
             self.polls
-                .sort_by_key(|poll| Reverse(starvation.waited(now, &poll.uid)));
+                .sort_by_key(|poll| Reverse(starvation.unanswered_for(now, &poll.uid)));
         }
         let batch = self
             .polls
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -177,7 +177,7 @@
                 if entry.is_stopping() {
                     continue;
                 }
-                if spec.saves() {
+                if spec.saves_checkpoints() {
                     if time_left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
                         stops.push((machine.id.clone(), *task, *attempt, spec.save_s.max(0.1)));
                     }
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -178,7 +178,8 @@
         if self.leader_state.is_some() {
             return;
         }
-        if !self.properties.follow || standby.rank.is_none() || standby.changes_unavailable {
+        if !self.properties.may_be_standby || standby.rank.is_none() || standby.changes_unavailable
+        {
             if standby.replica.key_count() > 0 {
                 self.reset_replica();
             }
@@ -379,7 +380,7 @@
             return;
         };
         standby.leader_checksum = None;
-        if own == leader.checksum || fault_injected(InjectedFault::MirrorUnchecked) {
+        if own == leader.checksum || fault_injected(InjectedFault::ReplicaChecksumIgnored) {
             standby.verified_revision = Some(leader.revision);
         } else {
             self.discard_replica(ColdReason::ChecksumDiffers);
@@ -463,7 +464,7 @@
         let cold_reason = load.cold_reason;
         let replica = &self.standby.replica;
         let stale = replica.revision() < load.required_revision
-            && !fault_injected(InjectedFault::CatchUpSkipped);
+            && !fault_injected(InjectedFault::ReplicaCatchUpSkipped);
         if replica.is_complete() && !stale {
             return self.build_leader_state(cold_reason);
         }
@@ -579,7 +580,7 @@
         let standby = &self.standby;
         let cold_reason = if self.leader_state.is_some() {
             Some("leading")
-        } else if !self.properties.follow {
+        } else if !self.properties.may_be_standby {
             Some("standby.follow=0")
         } else if standby.rank.is_none() {
             Some("others follow")
--- a/src/election.rs
+++ b/src/election.rs
@@ -338,7 +338,7 @@
     pub fn has_valid_lease(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
-            now < held.valid_until() || fault_injected(InjectedFault::AnswerPastGrant)
+            now < held.valid_until() || fault_injected(InjectedFault::LeaderLeaseExpiryIgnored)
         })
     }
 
@@ -507,7 +507,7 @@
             self.former_term = None;
         }
         if let Some((record, mod_revision)) = &stored
-            && fault_injected(InjectedFault::FormerKeyKept)
+            && fault_injected(InjectedFault::PreviousLeaderKeyKept)
             && self.leadership.is_none()
             && record.node == self.node_name
         {
@@ -710,8 +710,8 @@
         let last_term = stored
             .and_then(|item| serde_json::from_str::<StoredTerm>(item.value.get()).ok())
             .map_or(0, |stored| stored.term);
-        let reused =
-            fault_injected(InjectedFault::FormerTermReused) && self.former_term == Some(last_term);
+        let reused = fault_injected(InjectedFault::PreviousTermReused)
+            && self.former_term == Some(last_term);
         let term = if reused { last_term } else { last_term + 1 };
         let record = self.own_record(term, lease.lease_id);
         let transaction = Transaction::default()
--- a/src/scheduler/context.rs
+++ b/src/scheduler/context.rs
@@ -10,7 +10,7 @@
 
 /// How long after its last heartbeat a machine may still get new tasks.
 pub fn heartbeat_grace_period(settings: &Settings) -> Micros {
-    settings.report_period() * HEARTBEAT_GRACE_REPORT_PERIODS
+    settings.heartbeat_period() * HEARTBEAT_GRACE_REPORT_PERIODS
 }
 
 /// The time and the configuration of a scheduler pass.
