--- a/crates/drill/src/world.rs
+++ b/crates/drill/src/world.rs
@@ -109,7 +109,7 @@
     pub method: String,
     pub path: String,
     pub body: Vec<u8>,
-    /// Set between controllers only: frame kind, timeout, subject (the job that it is about, if any) and ticket.
+    /// Set between controllers only: frame kind, timeout, subject and ticket.
     pub peer_frame: Option<(u16, Micros, String, Ticket)>,
 }
 
