--- a/crates/drill/src/check.rs
+++ b/crates/drill/src/check.rs
@@ -31,7 +31,7 @@
     "left_behind",
     // A new leader's state equals what is stored, as of a revision not older than its own election.
     "mirror_differs",
-    // A submission that can't run or lacks a field is never accepted; once all failures are over, no job waits for
+    // A submission that can't run or lacks a field is never accepted; once all faults are over, no job waits for
     // 90 s while a machine that fits has room and its team is under its limit.
     "unfit_accepted",
     "left_waiting",
@@ -95,7 +95,7 @@
     recent_polls: VecDeque<(Micros, bool)>,
     /// Within this time of the report that a job is cancelled, its tasks must have left their machines.
     cancel_limit: Micros,
-    /// When the last failure of the scenario is over.
+    /// When the last fault of the scenario is over.
     last_fault_end: Micros,
     pub tasks_started: u64,
     pub killed_by_lease: u64,
@@ -117,7 +117,7 @@
 const CORES_EPSILON: f64 = 1e-6;
 /// For how long polls for a job may fail while others succeed, and a job may wait beside free capacity.
 const WAIT_LIMIT: Micros = 90 * SECOND;
-/// Once all failures are over, a job whose polls fail for this long counts as forgotten, even if no poll succeeds.
+/// Once all faults are over, a job whose polls fail for this long counts as forgotten, even if no poll succeeds.
 const WAIT_LIMIT_AFTER_FAULTS: Micros = 75 * SECOND;
 
 impl Checker {
@@ -454,7 +454,7 @@
                     let why = if others_succeed {
                         "others were answered"
                     } else {
-                        "no failure was active"
+                        "no fault was active"
                     };
                     let description =
                         format!("all polls for {name} failed for too long while {why}");
--- a/crates/drill/src/generate.rs
+++ b/crates/drill/src/generate.rs
@@ -1,5 +1,5 @@
-//! Scenarios drawn from a seed. Their failures favour the critical moments: right after a failover, in the middle of
-//! a write, while another failure lasts.
+//! Scenarios drawn from a seed. Their faults favour the critical moments: right after a failover, in the middle of
+//! a write, while another fault lasts.
 
 use crate::scenario::{
     Fault, FaultKind, FaultTarget, LogNormalParams, PartitionMode, PartitionedFrom, Pool, Scenario,
@@ -48,7 +48,7 @@
         Some(self.rng.random_range(low..=high))
     }
 
-    /// The given failure, and further crashes of the controllers that it hits, each soon after they are back.
+    /// The given fault, and further crashes of the controllers that it hits, each soon after they are back.
     fn repeated_ends(&mut self, first: Fault) -> Vec<Fault> {
         let mut at = first.at_s;
         let mut faults = vec![first];
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A group of failures that act together, at about the given time.
+    /// A group of faults that act together, at about the given time.
     fn related_faults(&mut self, t: f64) -> Vec<Fault> {
         use FaultKind::*;
         let crash = |t| Fault::new(t, NodeCrash).with_target(FaultTarget::Leader);
@@ -517,7 +517,7 @@
     }
     let end_s = |f: &Fault| f.at_s + f.for_s.unwrap_or(0.0) + f.every_s.unwrap_or(0.0) * 7.0;
     let last = scenario.faults.iter().map(end_s).fold(t, f64::max);
-    // No failure lasts in the last part of the run.
+    // No fault lasts in the last part of the run.
     scenario.duration_s = (last + 3.0 * scenario.fleet.lease_s + scenario.settle_s).round();
     scenario.faults.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
     Ok(scenario)
@@ -567,7 +567,7 @@
     }
     let end_s = |f: &Fault| f.at_s + f.for_s.unwrap_or(0.0) + f.every_s.unwrap_or(0.0) * 7.0;
     let last = scenario.faults.iter().map(end_s).fold(t, f64::max);
-    // No failure lasts in the last part of the run, and all duplicate heartbeats have arrived.
+    // No fault lasts in the last part of the run, and all duplicate heartbeats have arrived.
     let longest = scenario
         .classes
         .iter()
@@ -582,7 +582,7 @@
     Ok(scenario)
 }
 
-/// Draws the scenario of a seed with a bug injected, and with the failures under which that bug shows.
+/// Draws the scenario of a seed with a bug injected, and with the faults under which that bug shows.
 pub fn draw_with_injected_fault(seed: u64, bug: &str) -> Result<Scenario, ScenarioError> {
     let mut scenario = draw(seed)?;
     scenario.planted = Some(bug.to_owned());
--- a/crates/drill/src/scenario.rs
+++ b/crates/drill/src/scenario.rs
@@ -307,7 +307,7 @@
     CloudOutage,
     /// The cloud has no machine to rent out.
     CloudFull,
-    /// Rentals and releases get no answer and are executed when the failure is over.
+    /// Rentals and releases get no answer and are executed when the fault is over.
     CloudLate,
     /// Rented machines take `factor` times longer to come up.
     BootsSlow,
@@ -350,7 +350,7 @@
     OddRequests,
 }
 
-/// The controllers that a failure hits, chosen by what they do at that moment.
+/// The controllers that a fault hits, chosen by what they do at that moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultTarget {
@@ -361,7 +361,7 @@
     Holder,
     Any,
     All,
-    /// The controllers that the previous failure of controllers hit.
+    /// The controllers that the previous fault of controllers hit.
     Again,
 }
 
@@ -389,7 +389,7 @@
     Reset,
 }
 
-/// One failure of a scenario. Which of the optional fields count depends on the kind; see `missing_field`.
+/// One fault of a scenario. Which of the optional fields count depends on the kind; see `missing_field`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -466,7 +466,7 @@
         self
     }
 
-    /// The name of a field that this kind of failure needs and that is absent.
+    /// The name of a field that this kind of fault needs and that is absent.
     fn missing_field(&self) -> Option<&'static str> {
         use FaultKind::*;
         let needs_duration = !matches!(
@@ -611,8 +611,8 @@
             let at = e.span().map_or(0, |s| s.start);
             ScenarioError(format!("{}: {}", line_and_column(text, at), e.message()))
         })?;
-        scenario.validate().map_err(|(failure, reason)| {
-            let at = failure.and_then(|n| fault_offset(text, n));
+        scenario.validate().map_err(|(fault, reason)| {
+            let at = fault.and_then(|n| fault_offset(text, n));
             let at = at.map_or(String::new(), |at| {
                 format!("{}: ", line_and_column(text, at))
             });
@@ -625,7 +625,7 @@
         toml::to_string(self).unwrap_or_default()
     }
 
-    /// On error: the index of the failure that is wrong, if it is one, and what is wrong.
+    /// On error: the index of the fault that is wrong, if it is one, and what is wrong.
     fn validate(&self) -> Result<(), (Option<usize>, String)> {
         let bad = |text: String| Err((None, text));
         if !(1..=200).contains(&self.fleet.controllers) {
@@ -695,7 +695,7 @@
         Ok(())
     }
 
-    /// When the last of its failures and their late effects are over.
+    /// When the last of its faults and their late effects are over.
     pub fn last_fault_end_s(&self) -> f64 {
         let end_s = |f: &Fault| {
             let roll = f.every_s.unwrap_or(0.0) * self.fleet.controllers as f64;
@@ -748,9 +748,9 @@
         self.state.write_rps *= grown;
         self.state.kept = (self.state.kept as f64 * grown) as usize;
         self.cloud.rps *= grown;
-        for failure in self.faults.iter_mut().filter(|f| f.whom.is_none()) {
-            if failure.kind != FaultKind::NodeCrash {
-                failure.count = failure.count.map(scaled);
+        for fault in self.faults.iter_mut().filter(|f| f.whom.is_none()) {
+            if fault.kind != FaultKind::NodeCrash {
+                fault.count = fault.count.map(scaled);
             }
         }
         self
@@ -765,7 +765,7 @@
     format!("line {line}, column {column}")
 }
 
-/// The offset in the text of the `n`th failure.
+/// The offset in the text of the `n`th fault.
 fn fault_offset(text: &str, n: usize) -> Option<usize> {
     #[derive(Deserialize)]
     struct Failures {
--- a/crates/drill/src/users.rs
+++ b/crates/drill/src/users.rs
@@ -491,7 +491,7 @@
     }
 
     /// Users cancel running jobs that are far from their end, all within 0.2 s; some of the machines of these jobs
-    /// hang, if the failure says so.
+    /// hang, if the fault says so.
     pub fn cancel_running_jobs(&mut self, f: &Fault) {
         let mut running: Vec<(usize, usize)> = Vec::new();
         for (m, machine) in self.machines.iter().enumerate() {
@@ -639,9 +639,9 @@
                 && j.waits_on
                     .iter()
                     .all(|n| self.users.jobs[*n].user_knows_end && self.users.jobs[*n].complete());
-            let could = waits && self.has_room(job);
+            let startable = waits && self.has_room(job);
             self.checker
-                .update_waiting(self.now, job, could, &self.users);
+                .update_waiting(self.now, job, startable, &self.users);
         }
     }
 
