--- a/crates/regress/src/custom_runner.rs
+++ b/crates/regress/src/custom_runner.rs
@@ -152,17 +152,17 @@
     table.load_preset(presets::NOTHING);
     table.set_header([
         "site",
-        "scenario",
-        "score",
-        "least served class",
-        "least served team",
-        "accepted within 1 s",
+        "day",
+        "mark",
+        "least class",
+        "least team",
+        "within 1 s",
         "p95 ms",
-        "tasks lost",
-        "killed by lease",
-        "peak MB",
-        "peak connections",
-        "client errors",
+        "lost",
+        "by lease",
+        "MB",
+        "conns",
+        "users met",
         "",
     ]);
     let mut all_passed = true;
--- a/crates/regress/src/main.rs
+++ b/crates/regress/src/main.rs
@@ -202,7 +202,7 @@
     let format_score = |s: Option<f64>| s.map_or("-".to_owned(), |s| format!("{s:.3}"));
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
-    table.set_header(["site", "scenario", "baseline", "score", "loss", ""]);
+    table.set_header(["site", "day", "before", "now", "fall", ""]);
     for r in rows {
         let loss = r
             .baseline
@@ -211,8 +211,8 @@
         let verdict = match &r.verdict {
             Verdict::Passed => String::new(),
             Verdict::New => "new".to_owned(),
-            Verdict::Regressed(_) => "REGRESSED".to_owned(),
-            Verdict::RulesViolated(rules) => format!("RULES VIOLATED: {rules}"),
+            Verdict::Regressed(_) => "FELL".to_owned(),
+            Verdict::RulesViolated(rules) => format!("BROKEN: {rules}"),
             Verdict::Failed(reason) => format!("FAILED: {reason}"),
         };
         let loss = loss.map_or("-".to_owned(), |l| format!("{l:+.3}"));
