--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -104,7 +104,7 @@
             text => {
                 let bytes = text.len();
                 log::error!(
-                    "answer to an operator exceeds the frame size path={path} bytes={bytes} max={FRAME_PAYLOAD_BYTES_MAX}"
+                    "answer to an operator exceeds the frame size about={path} bytes={bytes} max={FRAME_PAYLOAD_BYTES_MAX}"
                 );
                 let error = "the answer does not fit a frame between controllers: ask the leader";
                 (500, json!({ "error": error }).to_string())
