--- a/src/controller.rs
+++ b/src/controller.rs
@@ -1,14 +1,14 @@
 //! One controller process: routes inputs to the components that own the state.
 //!
-//! [`Controller`] takes [`Input`]s and the time and returns [`Output`]s; it does no I/O, reads no
-//! clock and starts no thread, so a run is determined by its inputs. What belongs together is owned
-//! by a component with private fields: client requests, links to the other controllers, the
-//! standby's replica, the schema migration, and, only while this node leads, the leader's state.
-//! The files below hold the parts of the controller that connect them, each for one concern.
+//! [`Controller`] takes [`Input`]s and the current time and returns [`Output`]s. It does no I/O,
+//! reads no clock and starts no thread, so its behaviour depends only on its inputs. Each component
+//! owns its state in private fields: client requests, links to the other controllers, the standby's
+//! replica, the schema migration and, only while this node leads, the leader's state. Each submodule
+//! extends [`Controller`] with the code for one concern.
 //!
-//! What holds at this door: nothing is done as leader unless [`Controller::is_leader`] says so, and
-//! whatever is decided for good is decided by a conditional write to the state service; what other
-//! controllers announce is a hint.
+//! Two rules hold throughout: the controller acts as leader only while [`Controller::is_leader`]
+//! returns true, and every final decision is made by a conditional write to the state service.
+//! Announcements from other controllers are only hints.
 
 mod admin;
 mod api;
@@ -56,23 +56,24 @@
 use state_request::StateRequest;
 use submission::Submissions;
 
-/// How long a client's request waits for the state service: an answer that nothing can be said
-/// now is better than a late one.
+/// How long a client's request waits for the state service. Clients are better served by an early
+/// error than by a late answer.
 const CLIENT_REQUEST_TIMEOUT: Micros = 200 * MILLISECOND;
-/// How long a write of the leader waits for the state service.
+/// How long a leader's write waits for the state service.
 const LEADER_REQUEST_TIMEOUT: Micros = SECOND;
-/// Low bits of a ticket, which count within one process incarnation; the high 52 are the
-/// incarnation's number.
+/// The low bits of a ticket count the calls of one process incarnation; the bits above hold the
+/// incarnation's number, which has 52 bits.
 const TICKET_BITS_PER_INCARNATION: u32 = 11;
-/// The longest time between two inputs or ticks.
+/// The longest time from one input or tick to the next tick.
 const TICK_INTERVAL_MAX: Micros = 250 * MILLISECOND;
-/// The shortest time to the next tick that is asked for.
+/// The shortest time from one input or tick to the next tick.
 const TICK_INTERVAL_MIN: Micros = MILLISECOND;
-/// A gap between ticks, which come four times a second, that is counted and logged as a stall.
+/// The node ticks at least four times a second; a gap longer than this is counted and logged as a
+/// stall of the process.
 const STALL_THRESHOLD: Micros = SECOND;
-/// A node whose inputs wait for longer than this is overloaded.
+/// A node is overloaded while its inputs are processed later than this after they arrived.
 const OVERLOAD_LAG: Micros = 100 * MILLISECOND;
-/// The rules against workers that reconnect hold for this long after an overload.
+/// For this long after an overload, the node still avoids making workers reconnect.
 const OVERLOAD_COOLDOWN: Micros = 30 * SECOND;
 
 /// One controller process, without its I/O.
@@ -80,60 +81,74 @@
     settings: Settings,
     properties: Properties,
     rng_seed: u64,
-    /// The time of the input or tick in hand.
+    /// The time of the input or tick being processed.
     now: Now,
-    /// The last ticket given to a call.
+    /// The ticket of the most recent outgoing call.
     last_ticket: Ticket,
     state: StateClient<StateRequest>,
     election: Election,
     cloud: Cloud,
     client_requests: ClientRequests,
-    /// Present from the election to the end of the leadership.
+    /// Present from the election of this node until it steps down.
     leader_state: Option<LeaderState>,
     standby: Standby,
     startup: Startup,
     worker_probe: WorkerProbe,
-    /// How often a tick came far too late: the process was stopped, or starved of processor time.
+    /// Number of stalls, see [`STALL_THRESHOLD`]: the process was suspended or got no CPU time.
     stall_count: u64,
-    /// How long the last of these gaps was.
+    /// Duration of the most recent stall.
     last_stall_duration: Micros,
-    /// How long this node last stayed out of the election after resigning for cause.
+    /// How long this node stayed out of the election after it last resigned because of a fault.
     resign_backoff: Micros,
     peer_links: PeerLinks,
-    /// Workers' heartbeats on their way to the leader.
+    /// Heartbeats of workers, collected to be forwarded to the leader.
     heartbeat_batch: HeartbeatBatch,
     submissions: Submissions,
     schema_migration: SchemaMigration,
-    /// How far this node is behind its inputs.
+    /// How late this node processes its inputs, and what it sheds because of that.
     load: LoadMonitor,
-    /// Until then this node counts as overloaded, see [`Controller::was_recently_overloaded`].
+    /// When the current overload stops counting, see [`Controller::was_recently_overloaded`].
     overloaded_until: Micros,
-    /// What ticks with a placement pass have cost lately, as a moving average.
+    /// Moving average of the duration of ticks that run a placement pass.
     placement_pass_cost: Micros,
+    /// Whether the tick whose duration is recorded next ran a placement pass.
     placement_pass_ran: bool,
+    /// Messages that the next tick returns.
     outputs: Vec<Output>,
 }
 
 impl Controller {
-    /// A controller that knows nothing yet. `run` is the number of this process incarnation, which
-    /// no other process of the deployment has ever had.
-    pub fn new(settings: Settings, props: Properties, run: u64) -> Self {
-        let s = &settings.deployment;
+    /// Creates a controller that has not received any input yet. `incarnation` is the number of this
+    /// process incarnation; no other process of the deployment has ever had the same one.
+    pub fn new(settings: Settings, properties: Properties, incarnation: u64) -> Self {
+        let deployment = &settings.deployment;
         Self {
             state: StateClient::new(
                 settings.services.state,
-                s.state.rps,
-                s.state.write_rps,
+                deployment.state.rps,
+                deployment.state.write_rps,
                 settings.peers.len() + 1,
             ),
             election: Election::new(
                 &settings.name,
-                run,
-                (props.leader_ttl_min.min(props.leader_ttl), props.leader_ttl),
+                incarnation,
+                (
+                    properties.leader_ttl_min.min(properties.leader_ttl),
+                    properties.leader_ttl,
+                ),
+            ),
+            cloud: Cloud::new(
+                settings.services.cloud,
+                &settings.name,
+                incarnation,
+                deployment.cloud.rps,
             ),
-            cloud: Cloud::new(settings.services.cloud, &settings.name, run, s.cloud.rps),
             client_requests: ClientRequests::new(),
-            rng_seed: if props.seed == 0 { run } else { props.seed },
+            rng_seed: if properties.seed == 0 {
+                incarnation
+            } else {
+                properties.seed
+            },
             leader_state: None,
             standby: Standby::default(),
             startup: Startup::default(),
@@ -151,19 +166,19 @@
             placement_pass_ran: false,
             outputs: Vec::new(),
             now: Now::default(),
-            // A process may restart before all calls of its former incarnation are answered: no
-            // ticket of one is used by another.
+            // A process may restart before all calls of its previous incarnation are answered, so
+            // no incarnation reuses a ticket of another.
             last_ticket: if fault_injected(InjectedFault::TicketsReused) {
                 0
             } else {
-                run << TICKET_BITS_PER_INCARNATION
+                incarnation << TICKET_BITS_PER_INCARNATION
             },
             settings,
-            properties: props,
+            properties,
         }
     }
 
-    /// Sets how far behind its inputs this node is, and with that what it refuses.
+    /// Takes the latest measurement of this node's load, which decides what it sheds.
     pub fn update_load(&mut self, load: LoadMonitor) {
         if load.shed_level() != self.load.shed_level() {
             let (lag_ms, level) = (load.lag() / MILLISECOND, load.shed_level());
@@ -184,43 +199,47 @@
         }
     }
 
-    /// Whether this node was behind its inputs or short of connections within [`OVERLOAD_COOLDOWN`]. Each worker that
-    /// reconnects costs more than a late answer then.
+    /// Whether this node was behind its inputs or short of connections within the last
+    /// [`OVERLOAD_COOLDOWN`]. In that state a worker that reconnects costs more than a late answer.
     fn was_recently_overloaded(&self) -> bool {
         self.now.steady < self.overloaded_until
     }
 
-    /// Tells what the last `tick` took, in microseconds. Where processor time is short, a placement
-    /// pass takes many times what it would otherwise, and the next one waits accordingly longer.
-    pub fn record_tick_duration(&mut self, took: Micros) {
+    /// Records how long the last `tick` took. When CPU time is scarce, a placement pass takes many
+    /// times as long as usual, and the next pass is delayed accordingly.
+    pub fn record_tick_duration(&mut self, duration: Micros) {
         if std::mem::take(&mut self.placement_pass_ran) {
-            self.placement_pass_cost = (3 * self.placement_pass_cost + took) / 4;
+            self.placement_pass_cost = (3 * self.placement_pass_cost + duration) / 4;
         }
     }
 
-    /// The earliest time at which `tick` has something to do.
+    /// The time at which `tick` must next be called, in microseconds of the steady clock.
     pub fn wake_at(&self) -> Micros {
         let now = self.now.steady;
-        let mut at = self
+        let mut wake_at = self
             .client_requests
             .poll_batch_due_at()
             .min(self.election.wake_at())
             .min(self.cloud.wake_at(self.is_leader()));
-        let others = [
+        let optional_deadlines = [
             self.heartbeat_batch.due_at(),
             self.worker_probe.wake_at(),
             self.state.wake_at(),
         ];
-        at = others.into_iter().flatten().fold(at, Micros::min);
+        wake_at = optional_deadlines
+            .into_iter()
+            .flatten()
+            .fold(wake_at, Micros::min);
         if let Some(leader_state) = &self.leader_state {
-            at = at
+            wake_at = wake_at
                 .min(leader_state.schedule.wake_at())
                 .min(leader_state.workers.wake_at(now));
         }
-        at.clamp(now + TICK_INTERVAL_MIN, now + TICK_INTERVAL_MAX)
+        wake_at.clamp(now + TICK_INTERVAL_MIN, now + TICK_INTERVAL_MAX)
     }
 
-    /// Whether this node may act as leader now.
+    /// Whether this node may act as leader now: its lease is valid, it has loaded the leader's state
+    /// and it knows of recent cancellations.
     pub fn is_leader(&self) -> bool {
         let now = self.now.steady;
         self.leader_state.as_ref().is_some_and(|leader_state| {
@@ -242,7 +261,7 @@
         self.now = now;
     }
 
-    /// Takes an input. What it leads to is sent with the next [`Controller::tick`].
+    /// Processes an input. The next [`Controller::tick`] returns the resulting outputs.
     pub fn handle(&mut self, now: Now, input: Input) {
         self.set_now(now);
         match input {
@@ -274,7 +293,7 @@
         }
     }
 
-    /// Does what is due, and returns everything that is to be sent.
+    /// Runs all work that is due and returns the messages to send.
     pub fn tick(&mut self, now: Now) -> Vec<Output> {
         self.set_now(now);
         let steady = now.steady;
@@ -310,7 +329,7 @@
         self.run_leader();
         self.send_heartbeat_batches();
         self.flush_polls();
-        // Twice: requests that time out unsent may lead to new ones.
+        // Runs twice because handling requests that time out unsent may submit new ones.
         for _ in 0..2 {
             for (request, reply) in
                 self.state
@@ -322,14 +341,14 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Asks the state service, in the queue that goes with the request.
+    /// Submits a request to the state service, with the priority of its kind.
     fn request_state(&mut self, request: StateRequest, op: Op, timeout: Micros) {
         let priority = request.priority();
         self.state
             .submit(self.now.steady, request, priority, op, timeout);
     }
 
-    /// Answers a client, or the controller that forwarded its request.
+    /// Answers a client, or the controller that forwarded the client's request.
     fn respond(&mut self, conn: ConnId, status: u16, body: &Value) {
         if let Some(request) = self.client_requests.take(conn) {
             self.note_startup_answer(request.method, status);
@@ -389,7 +408,7 @@
         }
     }
 
-    /// How many machines have been examined so far, by which tests bound the work of an event.
+    /// How many machines have been examined so far. Tests use it to bound the work per event.
     pub fn machines_examined(&self) -> u64 {
         self.leader_state.as_ref().map_or(0, |leader_state| {
             leader_state.workers.machines_examined
@@ -397,7 +416,7 @@
         })
     }
 
-    /// The live job as the leader holds it, for tests.
+    /// The live job in the leader's state, for tests.
     pub fn job(&self, uid: &str) -> Option<&Job> {
         self.leader_state.as_ref()?.jobs.get(uid)
     }
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -1,7 +1,7 @@
-//! What operators may inspect: the paths below `/inspect`.
+//! The read-only API for operators: the paths below `/inspect`.
 //!
-//! Everything here only reads. Questions about workers and jobs are answered by the leader; another
-//! node passes them on to it and returns its answer.
+//! Only the leader can answer requests about workers and jobs; the other nodes forward such requests
+//! to it and return its answer.
 
 use super::Controller;
 use super::api_error::ApiError;
@@ -20,41 +20,43 @@
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Bytes of rows on a page: below the longest line of an answer, far below a frame, and little of a leader's time.
+/// Maximum size of the rows on a page. A page stays below the longest line of an answer and far below
+/// the size of a frame, and takes the leader little time.
 const PAGE_BYTES: usize = 56 * 1024;
 
-/// The rows that fit a page, and after which key the next begins, if there is one.
-fn page<'a>(
+/// Takes the rows that fit on a page. Also returns the last key on the page if there are more rows:
+/// the next page begins after it.
+fn take_page<'a>(
     rows: impl Iterator<Item = (&'a str, Value)>,
 ) -> (Vec<(&'a str, Value)>, Option<&'a str>) {
-    let mut taken = Vec::new();
+    let mut page = Vec::new();
     let mut bytes = 0;
     for (key, row) in rows {
         bytes += key.len() + row.to_string().len();
-        // A row that is longer than a page has one of its own.
-        if bytes > PAGE_BYTES && !taken.is_empty() {
-            let last = taken.last().map(|(key, _)| *key);
-            return (taken, last);
+        // A row that exceeds the page size gets a page of its own.
+        if bytes > PAGE_BYTES && !page.is_empty() {
+            let last_key = page.last().map(|(key, _)| *key);
+            return (page, last_key);
         }
-        taken.push((key, row));
+        page.push((key, row));
     }
-    (taken, None)
+    (page, None)
 }
 
 impl Controller {
-    /// Routes a request below `/inspect`.
-    pub(super) fn handle_admin_request(&mut self, conn: ConnId, rest: &[&str], query: &str) {
+    /// Routes a request below `/inspect`; `segments` are the path segments after that prefix.
+    pub(super) fn handle_admin_request(&mut self, conn: ConnId, segments: &[&str], query: &str) {
         let after = query.strip_prefix(PAGE_QUERY_PREFIX).unwrap_or("");
-        match rest {
+        match segments {
             ["job", uid] => {
                 self.read_inspected_job(conn, (*uid).into(), false);
             }
             ["status" | "workers" | "jobs"] | ["workers" | "jobs", _] => {
-                if self.leader_state.is_some() || rest == ["status"] {
-                    let body = self.admin_report(rest, after);
+                if self.leader_state.is_some() || segments == ["status"] {
+                    let body = self.admin_report(segments, after);
                     return self.respond(conn, 200, &body);
                 }
-                let leader = self.election.leader().map(|r| r.node.clone());
+                let leader = self.election.leader().map(|record| record.node.clone());
                 let peer = leader.and_then(|name| self.peer_links.peer_named(&name));
                 let Some(peer) = peer else {
                     return self.respond_error(conn, &ApiError::NoLeader);
@@ -63,20 +65,25 @@
                 self.call_peer(
                     dest,
                     PeerCallPurpose::AdminQuery { conn },
-                    PeerRequest::new(KIND_ADMIN_QUERY, rest.join("/"), after.as_bytes().to_vec()),
+                    PeerRequest::new(
+                        KIND_ADMIN_QUERY,
+                        segments.join("/"),
+                        after.as_bytes().to_vec(),
+                    ),
                 );
             }
             _ => self.respond_error(conn, &ApiError::NoSuchInspection),
         }
     }
 
-    /// Adds what the leader knows of a live job to what is stored of it.
+    /// Answers with the stored record of a job in `body`, and adds what the leader knows about the
+    /// job and its dependencies.
     pub(super) fn respond_job_details(&mut self, conn: ConnId, uid: &str, mut body: Value) {
         if self.is_leader() {
             body["leader"] = self.admin_report(&["chain", uid], "");
             return self.respond(conn, 200, &body);
         }
-        let Some(dest) = self.leader_peer().map(|p| p.address) else {
+        let Some(dest) = self.leader_peer().map(|peer| peer.address) else {
             return self.respond(conn, 200, &body);
         };
         self.call_peer(
@@ -86,17 +93,18 @@
         );
     }
 
-    /// The answer to an operator's question that another controller passed on. The key after which a page of a list
-    /// begins is the frame's body; the version before reads none, and answers with the whole list.
-    pub(super) fn proxied_admin_report(&self, about: &str, after: &[u8]) -> Outcome {
+    /// The answer to an operator's request that another controller forwarded; `path` is the path
+    /// below `/inspect`. The body of the frame is `after`, the key after which a page of a list
+    /// begins; the previous program version ignores it and answers with the whole list.
+    pub(super) fn proxied_admin_report(&self, path: &str, after: &[u8]) -> Outcome {
         let after = std::str::from_utf8(after).unwrap_or("");
-        let body = self.admin_report(&about.split('/').collect::<Vec<_>>(), after);
+        let body = self.admin_report(&path.split('/').collect::<Vec<_>>(), after);
         let (status, body) = match body.to_string() {
             text if text.len() <= FRAME_MAX => (200, text),
             text => {
                 let bytes = text.len();
                 log::error!(
-                    "answer to an operator does not fit a frame about={about} bytes={bytes} max={FRAME_MAX}"
+                    "answer to an operator exceeds the frame size path={path} bytes={bytes} max={FRAME_MAX}"
                 );
                 let error = "the answer does not fit a frame between controllers: ask the leader";
                 (500, json!({ "error": error }).to_string())
@@ -108,23 +116,28 @@
         }
     }
 
-    /// What this node answers to an operator's question, whoever passes it on. Of a list it is one page, of what
-    /// follows the key `after`.
-    pub(super) fn admin_report(&self, rest: &[&str], after: &str) -> Value {
-        let Some(leader_state) = self.leader_state.as_ref().filter(|_| rest != ["status"]) else {
+    /// This node's answer to an operator's request. For a list, this is the page that begins after
+    /// the key `after`.
+    pub(super) fn admin_report(&self, segments: &[&str], after: &str) -> Value {
+        let Some(leader_state) = self
+            .leader_state
+            .as_ref()
+            .filter(|_| segments != ["status"])
+        else {
             return self.inspect_status();
         };
-        if let ["chain", uid] = rest {
+        if let ["chain", uid] = segments {
             return self.inspect_dependencies(uid);
         }
-        let only = rest.get(1).copied();
-        if rest.first() == Some(&"jobs") {
+        let only = segments.get(1).copied();
+        if segments.first() == Some(&"jobs") {
             return self.inspect_jobs(leader_state, only, after);
         }
         self.inspect_workers(leader_state, only, after)
     }
 
-    /// A page of what each worker holds, by the leader's ledger, of all machines or of one.
+    /// A page of the tasks on each machine according to the leader's ledger, for all machines or
+    /// only one.
     fn inspect_workers(
         &self,
         leader_state: &LeaderState,
@@ -135,7 +148,7 @@
         let machines = leader_state.workers.machines.range::<str, _>(from);
         let machines = machines.filter(|(id, _)| only.is_none_or(|only| only == &***id));
         let (machines, next) =
-            page(machines.map(|(id, machine)| (&**id, self.inspect_machine(machine))));
+            take_page(machines.map(|(id, machine)| (&**id, self.inspect_machine(machine))));
         let machines: BTreeMap<&str, Value> = machines.into_iter().collect();
         let mut body =
             json!({"leader": self.settings.name, "term": leader_state.term, "workers": machines});
@@ -163,30 +176,30 @@
                "notice": machine.reclaim_at.is_some(), "tasks": tasks})
     }
 
-    /// The state of this node, and, if it leads, of the fleet.
+    /// The state of this node and, if it leads, of the fleet.
     fn inspect_status(&self) -> Value {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let leader = self.election.leader();
-        let (unanswered, longest) = self.client_requests.worst_starvation(t);
+        let (unanswered_jobs, longest_unanswered) = self.client_requests.worst_starvation(now);
         json!({
             "node": self.settings.name,
-            "leader": leader.map(|r| r.node.clone()),
-            "term": leader.map(|r| r.term),
+            "leader": leader.map(|record| record.node.clone()),
+            "term": leader.map(|record| record.term),
             "leads": self.is_leader(),
             "jobs": self.leader_state.as_ref().map(|l| l.jobs.by_number.len()),
             "machines": self.leader_state.as_ref().map(|l| l.workers.machines.len()),
             "booting": self.cloud.booting.len(),
             "types": self.cloud.types.len(),
-            "may_act_for_ms": self.election.valid_for(t) / MILLISECOND,
-            "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(t) / MILLISECOND),
+            "may_act_for_ms": self.election.valid_for(now) / MILLISECOND,
+            "cancellations_known_ms_ago": self.leader_state.as_ref().map(|l| l.cancellation_freshness.age(now) / MILLISECOND),
             "cancellations_hinted": self.leader_state.as_ref().map(|l| l.cancellation_hints),
             "silent_for_age_of_knowledge": self.leader_state.as_ref().map(|l| l.cancellation_freshness.stale_periods),
             "state_service_fails": self.state.is_failing(),
             "cut_off": self.is_isolated(),
-            "jobs_without_answer": unanswered,
-            "longest_without_answer_ms": longest / MILLISECOND,
+            "jobs_without_answer": unanswered_jobs,
+            "longest_without_answer_ms": longest_unanswered / MILLISECOND,
             "machines_held": self.leader_state.as_ref().map(|l| self.count_unavailable_machines(l)),
-            "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(t)),
+            "silent_machines": self.leader_state.as_ref().map(|l| l.workers.count_silent(now)),
             "lag_ms": self.load.lag() / MILLISECOND,
             "worst_lag_ms": self.load.worst_lag / MILLISECOND,
             "shedding": self.load.shed_level().to_string(),
@@ -198,63 +211,65 @@
             "format_stored": self.schema_migration.version(),
             "controllers": self.leader_state.as_ref().map(|l| &l.schema_support),
             "missing_for_next_format": self.leader_state.as_ref().filter(|_| !self.schema_migration.is_complete()).map(|_| self.controllers_without_support()),
-            "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(t), "waits_for": l.reconciliation.waiting_for(t),
+            "recovery": self.leader_state.as_ref().map(|l| json!({"phase": l.reconciliation.phase(now), "waits_for": l.reconciliation.waiting_for(now),
                 "squared": l.workers.reconciled})),
             "work": self.leader_state.as_ref().map(|l| &l.accounting),
             "jobs_waiting_for_others": self.leader_state.as_ref().map(|l| l.pipelines.len()),
         })
     }
 
-    /// How many machines may take no new tasks, by the reason.
+    /// How many machines can't take new tasks, by reason.
     fn count_unavailable_machines(
         &self,
         leader_state: &LeaderState,
     ) -> BTreeMap<&'static str, usize> {
-        let (t, silence_limit) = (self.now.steady, silence_limit(&self.settings));
-        let mut held = BTreeMap::new();
-        for m in leader_state.workers.machines.values() {
-            if let Some(reason) = m.unavailable_reason(t, silence_limit) {
-                *held.entry(reason).or_default() += 1;
+        let (now, silence_limit) = (self.now.steady, silence_limit(&self.settings));
+        let mut counts = BTreeMap::new();
+        for machine in leader_state.workers.machines.values() {
+            if let Some(reason) = machine.unavailable_reason(now, silence_limit) {
+                *counts.entry(reason).or_default() += 1;
             }
         }
-        held
+        counts
     }
 
-    /// Why tasks of that job wait: for something about this leader, or about the job.
+    /// Why tasks of this job wait: because of the state of this leader, or else for a reason that the
+    /// scheduler gives.
     pub(super) fn wait_reason(
         &self,
         leader_state: &LeaderState,
         job: &Job,
     ) -> Option<&'static str> {
-        let t = self.now.steady;
+        let now = self.now.steady;
         let settings = &self.settings;
-        let why = leader_state.scheduler.wait_reason(
-            t,
+        let scheduler_reason = leader_state.scheduler.wait_reason(
+            now,
             job,
             &leader_state.workers,
             &self.cloud.types,
             settings,
         )?;
         if job.cancelled || job.waits_for_dependencies() {
-            return Some(why);
+            return Some(scheduler_reason);
         }
         Some(if !self.is_leader() {
             "this controller may not act as leader at the moment"
-        } else if t < leader_state.starts_held_until {
+        } else if now < leader_state.starts_held_until {
             "something stored can't be read: nothing starts until all leases of the takeover are over"
         } else if !self.load.may_start_work() {
             "the leader is behind and starts nothing new"
         } else {
-            why
+            scheduler_reason
         })
     }
 
-    /// A page of the live jobs that this leader believes it holds, of all teams or of one.
+    /// A page of the live jobs in the leader's state, of all teams or only one.
     fn inspect_jobs(&self, leader_state: &LeaderState, team: Option<&str>, after: &str) -> Value {
         let jobs = leader_state.jobs.by_number.values();
         let jobs = jobs.filter(|job| team.is_none_or(|team| team == &*job.spec.team));
         let mut jobs: Vec<&Job> = jobs.filter(|job| &*job.spec.uid > after).collect();
-        // By id: numbers are another leader's, should leadership change between two pages.
+        // Sorted by id, since each leader numbers the jobs itself and the leader may change between
+        // two pages.
         jobs.sort_unstable_by_key(|job| &job.spec.uid);
         let rows = jobs.into_iter().map(|job| {
             let row = json!({"uid": job.spec.uid, "team": job.spec.team, "class": job.spec.class,
@@ -264,7 +279,7 @@
                 "cancelled": job.cancelled, "failing": !job.errors.is_empty()});
             (&*job.spec.uid, row)
         });
-        let (rows, next) = page(rows);
+        let (rows, next) = take_page(rows);
         let rows: Vec<Value> = rows.into_iter().map(|(_, row)| row).collect();
         let mut body = json!({"leader": self.settings.name, "term": leader_state.term,
             "leads": self.is_leader(), "jobs": rows});
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -1,8 +1,9 @@
-//! Requests of clients: routing, polls and cancellations, served here or by another controller.
+//! The HTTP API: routing, polls and cancellations, served by this node or by another controller.
 //!
-//! Whether a job is over is always read from the state service, never from memory: another node may
-//! just have told the client of a cancellation. Only a final state already read is answered at
-//! once, since it never changes. How far a live job is may come from the leader's announcement.
+//! Whether a job has finished is always read from the state service, never taken from memory,
+//! because another node may just have reported its cancellation to the client. The exception is a
+//! final state that this node has already read: it never changes and is served from the cache. The
+//! progress of a live job may come from the leader's announcement.
 
 use super::api_error::ApiError;
 use super::client_requests::{ClientRequest, ClientRequests, PendingPoll};
@@ -28,20 +29,24 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Changes of a cancellation besides the chunks: the live key, the final state and the header.
+/// Number of changes in a cancellation besides the chunks: the live key, the final state and the
+/// header.
 const CANCEL_CHANGES: usize = 3;
-/// The leader serves no clients while at least this many peers do. With two, both of which crashed
-/// at once, clients had no node at all until the load balancer took the leader back.
+/// The leader serves no clients while at least this many peers do. With a limit of two, a crash of
+/// both left clients without any node until the load balancer used the leader again.
 const SERVING_PEERS_MIN: usize = 3;
 
-/// At most this many reads for starved polls wait among the changes of clients.
+/// A read for a starved poll gets the priority of client requests only while fewer than this many
+/// requests with that priority are queued.
 const QUEUED_STARVED_READS_MAX: usize = 4;
-/// Nothing of a job is started for this long after another controller announced its cancellation.
+/// After another controller announced that a job is cancelled, no task of the job starts for this
+/// long.
 const CANCELLATION_HINT_HOLD: Micros = 5 * SECOND;
 
 impl Controller {
-    /// The state service does not answer this node, but may answer another controller: a single node
-    /// can be refused or cut off while the others are served.
+    /// Forwards a client's request to another controller because the state service does not answer
+    /// this node; without such a controller, answers with an error. The state service can reject a
+    /// single node, or be unreachable from it, while it serves the others.
     pub(super) fn handle_state_unavailable(&mut self, conn: ConnId) {
         let request = self.client_requests.take(conn);
         if let (Some(request), Some(peer)) = (request, self.pick_forwarding_peer()) {
@@ -51,41 +56,41 @@
         }
     }
 
-    /// A controller that may answer a client request for this node.
+    /// Picks a controller that may be able to serve a client request for this node.
     fn pick_forwarding_peer(&mut self) -> Option<SocketAddr> {
         let leader = self.leader_name();
         self.peer_links
             .pick_forwarding_target(self.now.steady, leader.as_deref())
     }
 
-    /// Has another controller serve a client's request.
+    /// Forwards a client's request to another controller.
     fn forward_client_request(&mut self, conn: ConnId, peer: SocketAddr, request: ClientRequest) {
-        let about = format!("{} {}", request.method, request.path);
+        let request_line = format!("{} {}", request.method, request.path);
         self.call_peer(
             peer,
             PeerCallPurpose::ClientRequest { conn, peer },
-            PeerRequest::new(KIND_CLIENT_REQUEST, about, request.body),
+            PeerRequest::new(KIND_CLIENT_REQUEST, request_line, request.body),
         );
     }
 
-    /// Whether this node leads and enough of its peers can serve the clients. The leader has the
-    /// most to do, and when it stops its clients' requests stop with it; so the two are better kept
-    /// apart. With few peers, their end would leave nobody.
+    /// Whether this node leads and enough of its peers can serve the clients instead. The leader has
+    /// the highest load, and its failure would also interrupt the client requests that it serves.
+    /// With too few serving peers, though, their failure would leave clients without any node.
     fn peers_serve_clients(&self) -> bool {
         self.is_leader() && self.peer_links.serving_count(self.now.steady) >= SERVING_PEERS_MIN
     }
 
     /// Whether neither the state service nor another controller has answered this node for a while.
-    /// What it knows may be older than what its clients were told elsewhere, and nobody can answer
-    /// for it: it says so at once, to the load balancer too, so that clients and workers go where
-    /// they can be served.
+    /// Its data may then be older than what other nodes told its clients, and no other node can
+    /// serve requests for it. It rejects requests and health checks at once, so that clients and
+    /// workers turn to other nodes.
     pub fn is_isolated(&self) -> bool {
         let now = self.now.steady;
         self.peer_links
             .is_isolated(now, self.state.failing_for(now))
     }
 
-    /// Refuses a request if this node is isolated; returns whether it is.
+    /// Rejects a request if this node is isolated; returns whether it is.
     pub(super) fn reject_if_isolated(&mut self, conn: ConnId) -> bool {
         let isolated = self.is_isolated();
         if isolated {
@@ -94,15 +99,15 @@
         isolated
     }
 
-    /// While the state service fails: calls another controller, taking turns, for nothing but a sign
-    /// of life. In an outage for all of them, nobody may have another reason to call.
+    /// While the state service fails, calls the other controllers in turn only to see whether they
+    /// answer. If the outage affects all controllers, there may be no other calls between them.
     pub(super) fn check_peer_liveness(&mut self) {
         let now = self.now.steady;
         let failing_for = self.state.failing_for(now);
         let Some(dest) = self.peer_links.take_liveness_check(now, failing_for) else {
             return;
         };
-        // An empty checksum frame: every version acknowledges and ignores it.
+        // Every program version acknowledges an empty checksum frame and ignores it.
         let request = PeerRequest::new(KIND_CHECKSUM, &*self.settings.name, Vec::new());
         self.call_peer(
             dest,
@@ -111,8 +116,9 @@
         );
     }
 
-    /// Keeps a client's request until it is answered; true if it is answered elsewhere already,
-    /// since the state service has just failed this node or it is isolated.
+    /// Forwards a client's request to another controller if the state service is failing for this
+    /// node, or rejects it if this node is isolated. Returns true in both cases; otherwise keeps the
+    /// request until it is answered, so that it can still be forwarded, and returns false.
     pub(super) fn forward_if_needed(
         &mut self,
         conn: ConnId,
@@ -138,7 +144,7 @@
         false
     }
 
-    /// The leader, by its own recent announcement or by the leader key.
+    /// The name of the leader, from its own recent announcement or else from the leader key.
     pub(super) fn leader_name(&self) -> Option<String> {
         self.peer_links
             .leader_hint(self.now.steady)
@@ -146,11 +152,11 @@
             .or_else(|| self.election.leader().map(|record| record.node.clone()))
     }
 
-    /// Routes a request of a client, a worker, the load balancer or an operator.
+    /// Routes a request from a client, a worker, the load balancer or an operator.
     pub(super) fn handle_request(&mut self, conn: ConnId, method: &str, path: &str, body: Vec<u8>) {
         let (path, query) = path.split_once('?').unwrap_or((path, ""));
-        let parts: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        match (method, parts.as_slice()) {
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match (method, segments.as_slice()) {
             ("GET", ["up"]) => self.handle_health_check(conn),
             ("POST", ["work"]) => self.submit(conn, &body),
             ("GET", ["work", uid]) => self.poll_job(conn, uid),
@@ -165,7 +171,7 @@
         }
     }
 
-    /// Tells the load balancer whether clients should come to this node.
+    /// Answers the load balancer's health check: whether it should route clients to this node.
     fn handle_health_check(&mut self, conn: ConnId) {
         self.client_requests.note_health_check(self.now.steady);
         if self.cloud.types.is_empty() {
@@ -181,7 +187,7 @@
         self.respond(conn, 200, &json!({"up": true}));
     }
 
-    /// Answers at once for a job whose final state this node has read; returns whether it has.
+    /// Answers with the cached final state of a job; returns false if it is not cached.
     pub(super) fn answer_from_final_state(&mut self, conn: ConnId, uid: &str) -> bool {
         let Some(body) = self.client_requests.final_state(uid).cloned() else {
             return false;
@@ -201,7 +207,8 @@
         if self.forward_if_needed(conn, "GET", format!("/work/{uid}"), &[]) {
             return;
         }
-        // Whether jobs are over is checked for many at once; how far they are, the leader announces.
+        // The leader announces the progress of live jobs, so it only remains to check whether the
+        // job has finished. Many polled jobs share one such check.
         if self.task_counts(uid).is_some() {
             let now = self.now.steady;
             let uid = uid.into();
@@ -215,13 +222,13 @@
         self.read_for_poll(conn, uid.into(), false);
     }
 
-    /// Reads a job for a poll. Reads for a job that had no answer for long are queued with the
-    /// changes of clients, but only a few at a time: after an outage all polls are of that kind, and
-    /// submissions wait too.
+    /// Reads a job for a poll. If polls of the job have long gone unanswered, the read is queued
+    /// with the priority of submissions and cancellations, but only a few at a time: after an outage
+    /// all polls are starved, and submissions are waiting as well.
     pub(super) fn read_for_poll(&mut self, conn: ConnId, uid: Arc<str>, over: bool) {
         let now = self.now.steady;
-        let few = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
-        let priority = if few && self.client_requests.is_starved(now, &uid) {
+        let has_queue_room = self.state.queued(RequestPriority::Client) < QUEUED_STARVED_READS_MAX;
+        let priority = if has_queue_room && self.client_requests.is_starved(now, &uid) {
             RequestPriority::Client
         } else {
             RequestPriority::Background
@@ -232,14 +239,15 @@
             .submit(now, request, priority, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// A poll could not be answered here.
+    /// Handles a poll that this node can't answer itself.
     pub(super) fn handle_failed_poll(&mut self, conn: ConnId, uid: &str) {
         self.client_requests.note_failure(self.now.steady, uid);
         self.handle_state_unavailable(conn);
     }
 
-    /// Tasks done and placed of a live job, by the leader's last announcement. While there is no
-    /// leader nobody knows anything newer, and the stored counts are older still.
+    /// How many tasks of a live job are done and how many are placed, from the leader's state or its
+    /// last announcement. The announcement is also used while there is no leader, since the stored
+    /// counts are older.
     fn task_counts(&self, uid: &str) -> Option<(u64, u64)> {
         if self.is_leader() {
             let job = self.leader_state.as_ref()?.jobs.get(uid)?;
@@ -251,15 +259,15 @@
         self.client_requests.progress_of(self.now.steady, uid)
     }
 
-    /// Checks for all jobs polled in the last moment at once whether they are over. When the request
-    /// budget is short, more polls share each check instead of going without an answer.
+    /// Checks with one transaction which of the jobs polled in the last moment have finished. When
+    /// the request budget is short, more polls share each check instead of staying unanswered.
     pub(super) fn flush_polls(&mut self) {
         let now = self.now.steady;
         if !self.client_requests.has_due_polls(now) {
             return;
         }
-        // Polls yield to one another and to everything else; but one check answers so many of
-        // them that it may go first when some have had no answer for long.
+        // Polls have the lowest priority. But one check answers many polls, so it gets a higher
+        // priority when some of them have long gone unanswered.
         let starved = self.client_requests.has_starved_polls(now);
         if !starved && !self.state.has_background_budget(now) {
             for poll in self.client_requests.postpone_polls(now) {
@@ -267,11 +275,13 @@
             }
             return;
         }
-        let max = self.schema().txn_ops.max(1) * 4;
-        let polls = self.client_requests.take_poll_batch(now, starved, max);
+        let max_polls = self.schema().txn_ops.max(1) * 4;
+        let polls = self
+            .client_requests
+            .take_poll_batch(now, starved, max_polls);
         let mut txn = Transaction::default();
-        let keys: BTreeSet<&str> = polls.iter().map(|poll| &*poll.uid).collect();
-        for uid in keys {
+        let uids: BTreeSet<&str> = polls.iter().map(|poll| &*poll.uid).collect();
+        for uid in uids {
             txn = txn.require_revision(finished_key(uid), 0);
         }
         let priority = if starved {
@@ -289,26 +299,26 @@
         );
     }
 
-    /// Handles which of the polled jobs are over.
+    /// Handles the reply to the check which of the polled jobs have finished.
     pub(super) fn handle_finished_check_reply(&mut self, polls: Vec<PendingPoll>, reply: &Reply) {
-        let ended: Vec<&str> = match reply {
+        let finished: Vec<&str> = match reply {
             Reply::Applied { .. } => Vec::new(),
             Reply::Conflict { failed } => failed
                 .iter()
                 .filter_map(|key| key.strip_prefix(FINISHED_PREFIX))
                 .collect(),
             _ => {
-                // Other requests used up this node's budget, as during a failover: the check is
-                // made again for as long as the polls may wait.
+                // Other requests used up this node's request budget, as happens during a failover.
+                // The check is repeated until the polls time out.
                 let now = self.now.steady;
                 let retry = matches!(reply, Reply::Unavailable) && !self.state.is_failing();
                 for poll in polls {
-                    let failed = if retry {
+                    let expired = if retry {
                         self.client_requests.requeue_poll(now, poll).err()
                     } else {
                         Some(poll)
                     };
-                    if let Some(poll) = failed {
+                    if let Some(poll) = expired {
                         self.handle_failed_poll(poll.conn, &poll.uid);
                     }
                 }
@@ -316,7 +326,7 @@
             }
         };
         for PendingPoll { conn, uid, .. } in polls {
-            if ended.contains(&&*uid) {
+            if finished.contains(&&*uid) {
                 self.read_for_poll(conn, uid, true);
                 continue;
             }
@@ -329,8 +339,8 @@
         }
     }
 
-    /// Announces to the other controllers how far the live jobs are, so that polls need not read
-    /// them, and to the standbys the checksum over them.
+    /// Announces the progress of the live jobs to the other controllers, so that polls need not read
+    /// it from the state service, and the checksum of the live jobs to the standbys.
     pub(super) fn announce_progress(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -351,7 +361,9 @@
         let (body, left_out) = Progress::frame(rows);
         let minute = |at: Micros| at / (60 * SECOND);
         if left_out > 0 && minute(now) != minute(now.saturating_sub(PROGRESS_INTERVAL)) {
-            log::warn!("progress frame full, polls of the other jobs are read jobs={left_out}");
+            log::warn!(
+                "progress announcement is full; polls of the omitted jobs read from the state service jobs={left_out}"
+            );
         }
         for peer in self.peer_links.addresses() {
             let request = PeerRequest::new(KIND_PROGRESS, &*self.settings.name, body.clone());
@@ -378,7 +390,7 @@
         self.read_for_cancel(conn, uid.into(), false, 0);
     }
 
-    /// Reads the job that is to be cancelled.
+    /// Reads the stored state of a job that a client cancels.
     pub(super) fn read_for_cancel(&mut self, conn: ConnId, uid: Arc<str>, over: bool, tries: u32) {
         let op = Op::Get(job_key(&uid, over));
         let request = StateRequest::ReadForCancel {
@@ -390,8 +402,8 @@
         self.request_state(request, op, CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// Announces to the leader a cancellation that this node has just confirmed, in case the state
-    /// service does not report it in time.
+    /// Announces to the leader a cancellation that this node has just confirmed to a client, in case
+    /// the leader's watch does not report it in time.
     pub(super) fn announce_cancellation(&mut self, uid: &str) {
         let Some(dest) = self.leader_peer().map(|p| p.address) else {
             return;
@@ -405,9 +417,9 @@
         );
     }
 
-    /// Another controller announced that the job was cancelled. What is stored decides, and is
-    /// reported by the watch; until then its tasks are stopped and none is started, which costs some
-    /// work at most if the announcement was wrong.
+    /// Handles another controller's announcement that a job was cancelled. Only the stored state,
+    /// which the watch reports, is authoritative. Until then the leader stops the job's tasks and
+    /// starts none; if the announcement was wrong, this costs some work and nothing else.
     pub(super) fn handle_cancellation_hint(&mut self, uid: &str) {
         let now = self.now.steady;
         let Some(leader_state) = self.leader_state.as_mut().filter(|l| l.load.is_none()) else {
@@ -422,7 +434,7 @@
         self.apply_ledger_events();
     }
 
-    /// Answers with the state of a stored job; `over` says that the item is its final state.
+    /// Answers with the state of a stored job; `over` tells that the item is its final state.
     pub(super) fn respond_stored_state(&mut self, conn: ConnId, uid: &str, over: bool, item: Item) {
         let body = if over {
             serde_json::from_str::<FinalState>(item.value.get())
@@ -442,7 +454,7 @@
         self.respond(conn, 200, &body);
     }
 
-    /// Handles what is stored of a job that is to be cancelled.
+    /// Handles the reply to the read of a job that a client cancels.
     pub(super) fn handle_read_for_cancel_reply(
         &mut self,
         conn: ConnId,
@@ -483,7 +495,7 @@
         self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// The injected fault: a final state is written over.
+    /// Overwrites a final state, as the injected fault [`InjectedFault::FinalOverwritten`] does.
     fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, tries: u32, item: &Item) {
         if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
             end.status = "cancelled".to_owned();
@@ -493,11 +505,11 @@
         }
     }
 
-    /// The write that cancels a live job, and what its client is answered.
+    /// The write that cancels a live job, and the body of the answer to the client.
     ///
     /// # Errors
-    /// [`ApiError::StoredJobUnreadable`], and [`ApiError::JobTooWideToCancel`] if the record has to
-    /// be rewritten under smaller limits and one transaction does not hold it.
+    /// [`ApiError::StoredJobUnreadable`], or [`ApiError::JobTooWideToCancel`] if the record must be
+    /// rewritten under smaller limits and does not fit in one transaction.
     fn cancellation_transaction(
         &self,
         uid: &str,
@@ -516,13 +528,13 @@
             .require_revision(finished_key(uid), 0)
             .delete(live_key(uid))
             .set(finished_key(uid), &end);
-        // Tasks of the job may be on machines: the leader, also a later one, stops them and counts
-        // them until they are gone.
+        // Tasks of the job may still be on machines. The record is kept under its stopping key, so
+        // that the leader and its successors stop these tasks and account for them until they end.
         if chunks > 0 || (!record.placed.is_empty() && fits_value_limit(&item.value, &schema)) {
-            // Its chunks stay where they are.
+            // The chunks keep their keys.
             txn = txn.set_raw(stopping_key(uid), item.value);
         } else if !record.placed.is_empty() {
-            // Stored under larger limits: it is encoded anew.
+            // The value was stored under larger limits and no longer fits: encode it again.
             let values = schema
                 .encode_job(&record)
                 .filter(|values| values.chunks.len() + CANCEL_CHANGES <= schema.txn_ops)
@@ -536,7 +548,7 @@
     }
 }
 
-/// Whether a stored value may be written again as it is.
+/// Whether a value is within the size limit of the state service.
 pub(super) fn fits_value_limit(value: &Raw, schema: &Schema) -> bool {
     value.get().len() <= schema.value_bytes
 }
--- a/src/controller/api_error.rs
+++ b/src/controller/api_error.rs
@@ -1,20 +1,20 @@
-//! What a request is refused with.
+//! Errors that the HTTP API returns.
 //!
-//! Each error knows its HTTP status. The texts are part of the API: clients see them in the field
-//! `error` of the body, byte for byte as they stand here.
+//! Each error has an HTTP status. The texts are part of the API: clients receive them unchanged in
+//! the `error` field of the response body.
 
 use thiserror::Error;
 
-/// Why a request is not served.
+/// Why a request can't be served.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(super) enum ApiError {
-    /// The body of a submission is no valid job description; the reason names the field.
+    /// The body of a submission is not a valid job description; the reason names the field.
     #[error("{0}")]
     InvalidJob(String),
     /// The body of a heartbeat can't be parsed.
     #[error("report: {0}")]
     MalformedHeartbeat(String),
-    /// No job of that id was ever accepted.
+    /// No job with this id was ever accepted.
     #[error("no such job")]
     NoSuchJob,
     /// The path is not part of the API.
@@ -23,13 +23,13 @@
     /// The path below `/inspect` is not part of the API.
     #[error("ask for /inspect/status, /inspect/job/UID, /inspect/jobs or /inspect/workers")]
     NoSuchInspection,
-    /// The path is known, the method is not allowed for it.
+    /// The path is part of the API, but does not support the method.
     #[error("method not allowed")]
     MethodNotAllowed,
-    /// The job is well formed but can't be accepted; the reason says why.
+    /// The job description is well formed, but the job can't be accepted for the given reason.
     #[error("{0}")]
     JobRejected(String),
-    /// The state service did not answer in time, neither this node nor another controller.
+    /// The state service answered neither this node nor another controller in time.
     #[error("the state service does not answer")]
     StateUnavailable,
     /// The state service refused to store the job.
@@ -41,40 +41,40 @@
     /// The stored record of a job that a submission depends on can't be decoded.
     #[error("a job named in waitsOn can't be read")]
     DependencyUnreadable,
-    /// Cancelling the job takes more changes than one transaction may have.
+    /// Cancelling the job takes more changes than fit in one transaction.
     #[error("the job is too wide to be stopped at once")]
     JobTooWideToCancel,
     /// Neither the state service nor another controller answers this node.
     #[error("cut off from state service and controllers")]
     Isolated,
-    /// This node has not learned the machine types yet and accepts no job.
+    /// This node does not know the machine types yet and therefore accepts no job.
     #[error("the machine types are not known yet")]
     MachineTypesUnknown,
-    /// The stored machine types would rule the job out; the cloud has not confirmed them yet.
+    /// The stored machine types would rule the job out, but the cloud has not confirmed them yet.
     #[error("the machine types are being asked for")]
     MachineTypesUnconfirmed,
-    /// To the load balancer: this node has just started.
+    /// Answer to a health check: this node has just started.
     #[error("starting: the machine types are not known yet")]
     Starting,
-    /// To the load balancer: this node leads, and enough of the others serve clients.
+    /// Answer to a health check: this node is the leader, and enough other controllers serve clients.
     #[error("leading: the other controllers serve users")]
     LeaderServesNoClients,
     /// No leader is known.
     #[error("no leader at the moment")]
     NoLeader,
-    /// The leader did not answer an operator's question.
+    /// The leader did not answer an operator's request.
     #[error("the leader does not answer")]
     LeaderUnreachable,
-    /// The leader is there, but too slow to answer a heartbeat in time.
+    /// The leader is running, but too slow to answer a heartbeat in time.
     #[error("the leader does not answer in time")]
     LeaderSlow,
-    /// The worker's machine was released and is not to run anything any more.
+    /// The worker's machine was released and must not run tasks any more.
     #[error("this machine has been returned")]
     MachineReleased,
 }
 
 impl ApiError {
-    /// The HTTP status that goes with the error.
+    /// The HTTP status of the response.
     pub(super) fn status(&self) -> u16 {
         match self {
             Self::InvalidJob(_) | Self::MalformedHeartbeat(_) => 400,
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -1,8 +1,8 @@
-//! Renting and returning machines, and the cloud's reports about them.
+//! Autoscaling: renting and releasing machines, and handling the cloud's events about them.
 //!
-//! The leader alone rents and returns. A machine that the cloud reports as gone is tombstoned: what
-//! ran on it is surely not there any more. Demand is computed less often than machines are rented,
-//! one call at a time.
+//! Only the leader rents and releases machines. A machine that the cloud reports as gone gets a
+//! tombstone: its tasks have surely ended. Demand is computed less often than machines are rented;
+//! machines are rented with one call at a time.
 
 use super::Controller;
 use super::leader::LeaderState;
@@ -12,20 +12,20 @@
 use crate::worker_ledger::Machine;
 use std::sync::Arc;
 
-/// With no job at all, rented machines are returned after this long.
+/// How long after the last job has ended all idle rented machines are released.
 const IDLE_CLUSTER_RELEASE_DELAY: Micros = 30 * SECOND;
 
-/// A machine that answers nobody for this long is returned, if it can be replaced.
+/// A machine that no controller can reach for this long is released if it can be replaced.
 const UNREACHABLE_RELEASE_DELAY: Micros = 8 * SECOND;
 
-/// The most machines that one rental may ask for.
+/// The most machines that one rental may request.
 const MACHINES_PER_RENTAL_MAX: u32 = 50;
 
-/// Below this share of free cores, one machine of each offer is wanted ahead of demand.
+/// If the share of free cores is lower, one machine of each offer is requested ahead of demand.
 const FREE_CORES_SHARE_MIN: f64 = 0.2;
 
 impl Controller {
-    /// Handles what the cloud reports.
+    /// Handles events from the cloud.
     pub(super) fn handle_cloud_events(&mut self, events: Vec<CloudEvent>) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -64,7 +64,8 @@
         }
     }
 
-    /// One autoscaling pass: gives up machines that will not come back, and rents or returns others.
+    /// One autoscaling pass: releases or forgets machines that are stuck, gone or unreachable, then
+    /// rents machines for unmet demand or, if there is none, releases idle machines.
     pub(super) fn autoscale(&mut self) {
         let now = self.now.steady;
         self.release_stuck_boots();
@@ -73,7 +74,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // Machines that have not reported yet may have room.
+        // Machines that have not reported to this leader yet may have free capacity.
         if !leader_state.reconciliation.is_fleet_known(now) {
             leader_state.last_busy_at = now;
             return;
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Returns rented machines that have not come up in time.
+    /// Releases rented machines whose boot takes too long.
     fn release_stuck_boots(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &self.leader_state else {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Forgets machines that went silent and that the cloud does not list any more, once nothing can
-    /// be left on them.
+    /// Forgets silent machines that the cloud does not list any more, once no task can be running on
+    /// them.
     fn forget_vanished_machines(&mut self) {
         let now = self.now.steady;
         let lease = self.settings.lease();
@@ -134,8 +135,9 @@
         }
     }
 
-    /// Returns machines that answer nobody, if others like them can be had. This proves that their
-    /// tasks are gone long before their leases would, at the price of the machine.
+    /// Releases machines that no controller can reach, if the cloud can replace them. A release
+    /// proves that the machine's tasks have ended long before the expiry of their leases does, at the
+    /// cost of the machine.
     fn release_unreachable_machines(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -162,14 +164,14 @@
         }
     }
 
-    /// How many machines of each offer the waiting work would fill, the cheapest by core first.
+    /// How many machines of each offer the waiting tasks would fill, the lowest price per core first.
     fn wanted_machines(
         leader_state: &LeaderState,
         cloud: &Cloud,
         settings: &Settings,
         now: Micros,
     ) -> Vec<(Offer, u32)> {
-        // A machine that is late may never come up: work does not go on waiting for it.
+        // A machine whose boot is late may never come up, so it is not counted as future capacity.
         let booting: Vec<(String, bool)> = cloud
             .booting
             .values()
@@ -184,14 +186,14 @@
             &booting,
             settings,
         );
-        let short = demand.free_cores < FREE_CORES_SHARE_MIN * demand.total_cores
+        let needs_spare_cores = demand.free_cores < FREE_CORES_SHARE_MIN * demand.total_cores
             && !leader_state.jobs.by_number.is_empty();
         let mut offers: Vec<(f64, u32, Offer)> = Vec::new();
         for machine_type in &cloud.types {
             for zone in &machine_type.zones {
                 for spot in [true, false] {
                     let mut count = demand.machines_needed(machine_type, zone, spot);
-                    if count == 0 && short {
+                    if count == 0 && needs_spare_cores {
                         count = 1;
                     }
                     if count == 0 {
@@ -218,8 +220,9 @@
             .collect()
     }
 
-    /// Rents from the cheapest offer that is not in backoff, one call at a time. Demand is computed
-    /// less often than the cloud can be called: boots are slow, so renting must not be.
+    /// Rents machines of the cheapest wanted offer that is not in backoff, with one call at a time.
+    /// Runs more often than the demand is computed, because machines boot slowly and renting should
+    /// not add to the delay.
     pub(super) fn rent_next(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -237,19 +240,21 @@
                 .machine_type_named(machine_type)
                 .map_or(1.0, |found| found.cores.max(0.1))
         };
-        let rented = f64::from(number) * cores(&offer.machine_type);
-        // Each offer counts as if it alone took all the waiting work.
+        let rented_cores = f64::from(number) * cores(&offer.machine_type);
+        // The count of each offer assumes that it alone meets all the demand, so the rented cores
+        // reduce all counts.
         for (other, count) in &mut leader_state.wanted_machines {
-            *count = (f64::from(*count) - rented / cores(&other.machine_type))
+            *count = (f64::from(*count) - rented_cores / cores(&other.machine_type))
                 .max(0.0)
                 .ceil() as u32;
         }
-        let (tickets, out) = (&mut self.last_ticket, &mut self.outputs);
-        self.cloud.rent(now, offer, number, tickets, out);
+        let (last_ticket, outputs) = (&mut self.last_ticket, &mut self.outputs);
+        self.cloud.rent(now, offer, number, last_ticket, outputs);
     }
 
-    /// Returns idle rented machines: all of them soon after the last job is over, single ones only
-    /// after long, since they may be hard to get again.
+    /// Releases idle rented machines: all of them [`IDLE_CLUSTER_RELEASE_DELAY`] after the last job
+    /// has ended, otherwise only those idle for the time set by `cloud.idle-return-seconds`, since
+    /// it may be hard to rent them again.
     pub(super) fn release_idle(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -258,8 +263,8 @@
         if !leader_state.jobs.by_number.is_empty() {
             leader_state.last_busy_at = now;
         }
-        let quiet = now > leader_state.last_busy_at + IDLE_CLUSTER_RELEASE_DELAY;
-        let idle_delay = if quiet {
+        let is_cluster_idle = now > leader_state.last_busy_at + IDLE_CLUSTER_RELEASE_DELAY;
+        let idle_delay = if is_cluster_idle {
             IDLE_CLUSTER_RELEASE_DELAY
         } else {
             self.properties.idle_return
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -1,10 +1,10 @@
-//! Client requests under way and what this node knows to answer them.
+//! Pending client requests, and the cached data to answer them.
 //!
-//! [`ClientRequests`] owns the requests that wait for an answer, the polls that wait to be checked
-//! together, the final states already read, the leader's last progress announcement, and which
-//! jobs have had no answer for long. It neither reads the state service nor answers clients: the
-//! controller does both. A final state never changes, so one that is cached here may be served at
-//! any time; progress is a hint, shown only beside a fresh check that the job is still live.
+//! [`ClientRequests`] owns the requests that wait for an answer, the polls that wait for the next
+//! batched check, the cached final states, the leader's last progress announcement, and the record
+//! of jobs whose requests have gone unanswered. It neither reads the state service nor answers
+//! clients; the controller does both. A final state never changes, so a cached one may be served at
+//! any time. Progress is a hint that is served only after a fresh check that the job is still live.
 
 use super::peer_links::SERVING_STATUS_TTL;
 use crate::clock::{MILLISECOND, Micros, SECOND};
@@ -16,20 +16,20 @@
 use std::cmp::Reverse;
 use std::sync::Arc;
 
-/// Connection numbers above this stand for requests that came through another controller.
+/// Connection numbers from here on identify requests that another controller forwarded.
 const FIRST_PROXIED_CONN_ID: ConnId = 1 << 63;
-/// Final states of jobs kept in memory.
+/// Number of final states in the cache.
 const FINAL_STATES_CACHED: usize = 4096;
-/// Polls that arrive within this time are checked together.
+/// Polls that arrive within this time share one check.
 const POLL_BATCH_DELAY: Micros = 20 * MILLISECOND;
-/// After a full batch, the rest of the polls follows this much later.
-const POLL_REST_DELAY: Micros = MILLISECOND;
-/// How long a poll waits for request budget; clients give a poll 2 s.
+/// Polls that did not fit in a full batch form the next one after this time.
+const NEXT_POLL_BATCH_DELAY: Micros = MILLISECOND;
+/// How long a poll waits for request budget; clients wait 2 s for the answer to a poll.
 const POLL_TIMEOUT: Micros = 1_200 * MILLISECOND;
-/// Without an announcement by the leader for this long, the stored counts are shown instead.
+/// A progress announcement that is older than this is ignored; polls then read the stored counts.
 const PROGRESS_TTL: Micros = 60 * SECOND;
 
-/// A client's request, kept until it is answered: another controller may be able to answer it.
+/// A client's request, kept until it is answered so that it can be forwarded to another controller.
 pub(super) struct ClientRequest {
     /// The HTTP method.
     pub(super) method: &'static str,
@@ -39,27 +39,28 @@
     pub(super) body: Vec<u8>,
 }
 
-/// A poll that waits to be checked together with others.
+/// A poll that waits for the next batched check.
 pub(super) struct PendingPoll {
-    /// The connection to answer.
+    /// The client's connection.
     pub(super) conn: ConnId,
-    /// The job asked about.
+    /// The polled job.
     pub(super) uid: Arc<str>,
     /// When the poll arrived.
     pub(super) arrived_at: Micros,
 }
 
-/// Where the answer to a request goes that another controller forwarded.
+/// Identifies a request that another controller forwarded, to return the answer to it.
 pub(super) struct ProxiedRequest {
     /// The connection of the other controller.
     pub(super) conn: ConnId,
-    /// The number that the other controller gave its request.
+    /// The ticket that the other controller gave its request.
     pub(super) ticket: Ticket,
 }
 
-/// Client requests under way and what is known to answer them.
+/// Pending client requests and the cached data to answer them.
 pub(super) struct ClientRequests {
-    waiting: HashMap<ConnId, ClientRequest>,
+    pending: HashMap<ConnId, ClientRequest>,
+    /// Requests that other controllers forwarded, by the connection number given to each.
     proxied: HashMap<ConnId, ProxiedRequest>,
     last_proxied_conn: ConnId,
     polls: Vec<PendingPoll>,
@@ -67,17 +68,17 @@
     starvation: RequestStarvation,
     final_states: FinalCache,
     progress: Progress,
-    /// When the leader last announced progress; 0 before the first time.
+    /// When the leader last announced progress; 0 before the first announcement.
     progress_at: Micros,
-    /// When the load balancer last checked whether this node is up.
+    /// When the load balancer last sent a health check to this node.
     health_checked_at: Micros,
 }
 
 impl ClientRequests {
-    /// Without any request, and nothing known.
+    /// Creates an instance without requests or cached data.
     pub(super) fn new() -> Self {
         Self {
-            waiting: HashMap::default(),
+            pending: HashMap::default(),
             proxied: HashMap::default(),
             last_proxied_conn: FIRST_PROXIED_CONN_ID,
             polls: Vec::new(),
@@ -92,20 +93,20 @@
 
     /// Keeps a request until it is answered.
     pub(super) fn insert(&mut self, conn: ConnId, request: ClientRequest) {
-        self.waiting.insert(conn, request);
+        self.pending.insert(conn, request);
     }
 
-    /// The request that waits on that connection, which is over with this.
+    /// Removes and returns the pending request of this connection.
     pub(super) fn take(&mut self, conn: ConnId) -> Option<ClientRequest> {
-        self.waiting.remove(&conn)
+        self.pending.remove(&conn)
     }
 
-    /// The method of the request that waits on that connection; empty if none does.
+    /// The method of the pending request of this connection; empty if there is none.
     pub(super) fn method_of(&self, conn: ConnId) -> &'static str {
-        self.waiting.get(&conn).map_or("", |request| request.method)
+        self.pending.get(&conn).map_or("", |request| request.method)
     }
 
-    /// Gives a request forwarded by another controller a connection number of this node.
+    /// Assigns a connection number of this node to a request that another controller forwarded.
     pub(super) fn insert_proxied(&mut self, conn: ConnId, ticket: Ticket) -> ConnId {
         self.last_proxied_conn += 1;
         self.proxied
@@ -113,93 +114,97 @@
         self.last_proxied_conn
     }
 
-    /// Where the answer for that connection number goes, if another controller forwarded it.
+    /// Removes and returns the forwarded request with this connection number, if there is one.
     pub(super) fn take_proxied(&mut self, conn: ConnId) -> Option<ProxiedRequest> {
         self.proxied.remove(&conn)
     }
 
-    /// Whether the connection number stands for a request forwarded by another controller.
+    /// Whether the connection number identifies a request that another controller forwarded.
     pub(super) fn is_proxied(conn: ConnId) -> bool {
         conn >= FIRST_PROXIED_CONN_ID
     }
 
-    /// The final state of a job, as clients see it, if this node has read it.
+    /// The final state of a job, in the form that clients receive, if it is cached.
     pub(super) fn final_state(&self, uid: &str) -> Option<&Value> {
         self.final_states.get(uid)
     }
 
-    /// Keeps the final state of a job, as clients see it.
+    /// Caches the final state of a job, in the form that clients receive.
     pub(super) fn cache_final_state(&mut self, uid: &str, body: Value) {
         self.final_states.put(uid, body);
     }
 
-    /// The load balancer checked whether this node is up.
+    /// Records a health check by the load balancer.
     pub(super) fn note_health_check(&mut self, now: Micros) {
         self.health_checked_at = now;
     }
 
-    /// Whether the load balancer checked this node a moment ago; otherwise it may not reach it.
+    /// Whether the load balancer has recently sent a health check; if not, it may not reach this
+    /// node.
     pub(super) fn is_health_checked(&self, now: Micros) -> bool {
         now < self.health_checked_at + SERVING_STATUS_TTL
     }
 
-    /// Takes the leader's announcement of how far the live jobs are.
+    /// Replaces the progress of the live jobs by the leader's new announcement.
     pub(super) fn replace_progress(&mut self, now: Micros, body: &[u8]) {
         self.progress.replace(body);
         self.progress_at = now;
     }
 
-    /// This node has just accepted the job: it is live until the leader's next announcement.
+    /// Adds a job that this node has just accepted to the live jobs, until the leader's next
+    /// announcement replaces them.
     pub(super) fn mark_job_live(&mut self, uid: &str) {
         self.progress.add(uid);
     }
 
-    /// Tasks done and placed of a job by the leader's last announcement, while that is usable.
+    /// How many tasks of a job are done and how many are placed according to the leader's last
+    /// announcement, unless it has expired.
     pub(super) fn progress_of(&self, now: Micros, uid: &str) -> Option<(u64, u64)> {
         let fresh = now < self.progress_at + PROGRESS_TTL;
         self.progress.get(uid).filter(|_| fresh)
     }
 
-    /// When the leader last announced progress; 0 before the first time.
+    /// When the leader last announced progress; 0 before the first announcement.
     pub(super) fn progress_at(&self) -> Micros {
         self.progress_at
     }
 
-    /// A request about that job could not be answered.
+    /// Records that a request about this job could not be answered.
     pub(super) fn note_failure(&mut self, now: Micros, uid: &str) {
         self.starvation.note_failure(now, uid);
     }
 
-    /// A request about that job was answered.
+    /// Records that a request about this job was answered.
     pub(super) fn note_answer(&mut self, uid: &str) {
         self.starvation.note_answer(uid);
     }
 
-    /// Whether requests about that job have gone without an answer for long.
+    /// Whether requests about this job have long gone unanswered.
     pub(super) fn is_starved(&self, now: Micros, uid: &str) -> bool {
         self.starvation.is_starved(now, uid)
     }
 
-    /// How many jobs are without an answer, and for how long at most, in microseconds.
+    /// How many jobs have unanswered requests, and the longest time that one has gone unanswered, in
+    /// microseconds.
     pub(super) fn worst_starvation(&self, now: Micros) -> (usize, Micros) {
         self.starvation.worst(now)
     }
 
-    /// When the next polls are to be checked.
+    /// When the next batch of polls is due.
     pub(super) fn poll_batch_due_at(&self) -> Micros {
         self.poll_batch_due_at
     }
 
-    /// A poll to be checked together with others.
+    /// Queues a poll for the next batch.
     pub(super) fn queue_poll(&mut self, now: Micros, poll: PendingPoll) {
         self.polls.push(poll);
         self.poll_batch_due_at = self.poll_batch_due_at.min(now + POLL_BATCH_DELAY);
     }
 
-    /// Queues a poll once more whose check could not be made.
+    /// Queues a poll again after its check failed.
     ///
     /// # Errors
-    /// The poll, if it has waited for too long.
+    /// Returns the poll if it has waited longer than [`POLL_TIMEOUT`].
     pub(super) fn requeue_poll(
         &mut self,
         now: Micros,
@@ -212,45 +217,50 @@
         Ok(())
     }
 
-    /// Whether polls wait whose batch is due.
+    /// Whether polls are queued and their batch is due.
     pub(super) fn has_due_polls(&self, now: Micros) -> bool {
         !self.polls.is_empty() && now >= self.poll_batch_due_at
     }
 
-    /// Whether a poll waits for a job that had no answer for long.
+    /// Whether a queued poll is for a job whose requests have long gone unanswered.
     pub(super) fn has_starved_polls(&self, now: Micros) -> bool {
         let mut polls = self.polls.iter();
         polls.any(|poll| self.starvation.is_starved(now, &poll.uid))
     }
 
-    /// Lets all polls wait for another batch; those that have waited for too long are returned.
+    /// Postpones all polls to a later batch; removes and returns those that have waited longer than
+    /// [`POLL_TIMEOUT`].
     pub(super) fn postpone_polls(&mut self, now: Micros) -> Vec<PendingPoll> {
         self.poll_batch_due_at = now + POLL_BATCH_DELAY;
-        let waiting = std::mem::take(&mut self.polls);
-        let (kept, expired) = waiting
+        let polls = std::mem::take(&mut self.polls);
+        let (kept, expired) = polls
             .into_iter()
             .partition(|poll| now < poll.arrived_at + POLL_TIMEOUT);
         self.polls = kept;
         expired
     }
 
-    /// The polls to be checked together now, at most `max`; starved ones first if asked for.
+    /// Removes and returns the polls of the next batch, at most `max_polls`. With `starved_first`,
+    /// the polls whose jobs have gone unanswered longest come first.
     pub(super) fn take_poll_batch(
         &mut self,
         now: Micros,
         starved_first: bool,
-        max: usize,
+        max_polls: usize,
     ) -> Vec<PendingPoll> {
         if starved_first {
             let starvation = &self.starvation;
             self.polls
                 .sort_by_key(|poll| Reverse(starvation.waited(now, &poll.uid)));
         }
-        let batch = self.polls.drain(..max.min(self.polls.len())).collect();
+        let batch = self
+            .polls
+            .drain(..max_polls.min(self.polls.len()))
+            .collect();
         self.poll_batch_due_at = if self.polls.is_empty() {
             Micros::MAX
         } else {
-            now + POLL_REST_DELAY
+            now + NEXT_POLL_BATCH_DELAY
         };
         batch
     }
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -1,7 +1,7 @@
-//! What the leader does a few times a second, whatever happens.
+//! Periodic work that the leader does a few times a second.
 //!
-//! The periodic work runs in a fixed order: leases and silence of machines first, then what follows
-//! from them. It is made only while this node may act as leader.
+//! It runs only while this node may act as leader, in a fixed order: first it expires leases and
+//! marks silent machines, then it does the work that depends on the result.
 
 use super::leader::LeaderState;
 use super::state_request::StateRequest;
@@ -18,20 +18,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A machine silent for longer than this counts as out of use in the log.
+/// The log counts a machine as unusable after this time without a heartbeat.
 const UNUSABLE_SILENCE: Micros = 10 * SECOND;
-/// A task that saves its state is stopped this long before its machine is reclaimed, besides what
-/// saving takes.
+/// A task that saves checkpoints is stopped this long before its machine is reclaimed, in addition
+/// to the time that saving takes.
 const CHECKPOINT_MARGIN: Micros = 5 * SECOND;
 
 impl Controller {
-    /// Does the periodic work.
+    /// Runs the periodic work of the leader.
     pub(super) fn run_maintenance(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // Both walk over all machines, and neither is a matter of less than a second.
+        // Both steps visit all machines, and neither needs to run more than once a second.
         let machines = leader_state.workers.machines.len();
         if leader_state.schedule.take_fleet_scan(now, machines) {
             leader_state.workers.expire_leases(now);
@@ -81,27 +81,27 @@
         leader_state.schedule.request_placement(now);
     }
 
-    /// Logs where the cores are: the first thing to look at when work waits.
+    /// Logs how the cores of the cluster are used: the first thing to check when tasks wait.
     fn log_cluster_usage(leader_state: &LeaderState, cloud: &Cloud, now: Micros) {
         if !log::log_enabled!(log::Level::Info) {
             return;
         }
-        let (mut all, mut out, mut running, mut fetching, mut stopping, mut unsure) =
+        let (mut total, mut unusable, mut running, mut fetching, mut stopping, mut unconfirmed) =
             (0.0, 0.0, 0.0, 0.0, 0.0, 0.0);
         for machine in leader_state.workers.machines.values() {
             let cores = cloud
                 .machine_type_named(&machine.machine_type)
                 .map_or(0.0, |found| found.cores);
-            all += cores;
+            total += cores;
             if !machine.is_usable(now, UNUSABLE_SILENCE) {
-                out += cores;
+                unusable += cores;
             }
-            for (_, held) in machine.held_tasks() {
-                let cores = held.spec.as_ref().map_or(0.0, |spec| spec.cores);
-                match held.state {
-                    _ if held.is_stopping() => stopping += cores,
+            for (_, entry) in machine.held_tasks() {
+                let cores = entry.spec.as_ref().map_or(0.0, |spec| spec.cores);
+                match entry.state {
+                    _ if entry.is_stopping() => stopping += cores,
                     TaskState::Running => running += cores,
-                    TaskState::Unconfirmed | TaskState::Sent => unsure += cores,
+                    TaskState::Unconfirmed | TaskState::Sent => unconfirmed += cores,
                     _ => fetching += cores,
                 }
             }
@@ -112,16 +112,16 @@
             *waiting.entry(&job.spec.class).or_default() += job.pending_count;
         }
         log::info!(
-            "cores: {all} in all, {out} out of use, {running} running, {fetching} fetching, \
-             {stopping} stopping, {unsure} unsure; {} booting; {} jobs wait for others; tasks \
-             waiting: {waiting:?}",
+            "cores: {total} total, {unusable} unusable, {running} running, {fetching} fetching, \
+             {stopping} stopping, {unconfirmed} unconfirmed; {} machines booting; {} jobs wait for \
+             dependencies; waiting tasks by class: {waiting:?}",
             cloud.booting.len(),
             leader_state.pipelines.len()
         );
         log::info!("work: {}", leader_state.accounting.summary());
     }
 
-    /// Deletes the records of cancelled jobs of which nothing can be on a machine any more.
+    /// Deletes the stored records of cancelled jobs that can't have a task on any machine any more.
     fn delete_cancelled_jobs(&mut self) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
@@ -142,7 +142,7 @@
             let mut txn = Transaction::default()
                 .require_revision(LEADER_KEY, mod_revision)
                 .delete(stopping_key(&uid));
-            // Chunks beyond the limit are swept up later.
+            // Chunks beyond the limit are deleted later as orphans.
             for number in 0..chunks.min(changes_max - 1) {
                 txn = txn.delete(chunk_key(&uid, number));
             }
@@ -154,8 +154,8 @@
         }
     }
 
-    /// Drains machines that are about to be reclaimed: tasks that can save their state do so in
-    /// time, and tasks that can't finish are moved now.
+    /// Drains machines that the cloud provider is about to reclaim: tasks that can save a checkpoint
+    /// are stopped in time to do so, and other tasks that would not finish are stopped now.
     fn drain_machines_to_be_reclaimed(&mut self) {
         let now = self.now.steady;
         let Some(leader_state) = &mut self.leader_state else {
@@ -163,30 +163,30 @@
         };
         let mut stops = Vec::new();
         for machine in leader_state.workers.noticed_machines() {
-            // A duplicate of an old heartbeat may be the first to report the notice; running tasks
-            // are not stopped for that.
-            let Some(until) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
+            // A duplicate of an old heartbeat may be the first to report the notice. Tasks are not
+            // stopped because of it until the machine has confirmed the term.
+            let Some(reclaim_at) = machine.reclaim_at.filter(|_| machine.term_confirmed) else {
                 continue;
             };
-            let left = until.saturating_sub(now);
-            for ((task, attempt), held) in machine.held_tasks() {
-                let Some(spec) = &held.spec else { continue };
-                if held.is_stopping() {
+            let time_left = reclaim_at.saturating_sub(now);
+            for ((task, attempt), entry) in machine.held_tasks() {
+                let Some(spec) = &entry.spec else { continue };
+                if entry.is_stopping() {
                     continue;
                 }
                 if spec.saves() {
-                    if left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
+                    if time_left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
                         stops.push((machine.id.clone(), *task, *attempt, spec.save_s.max(0.1)));
                     }
                 } else {
-                    let ran = held
+                    let ran = entry
                         .running_since
                         .map_or(0, |since| now.saturating_sub(since));
                     let remaining = leader_state
                         .scheduler
                         .expected_run(spec)
                         .saturating_sub(ran);
-                    if remaining > left {
+                    if remaining > time_left {
                         stops.push((machine.id.clone(), *task, *attempt, 0.0));
                     }
                 }
@@ -200,7 +200,8 @@
         self.apply_ledger_events();
     }
 
-    /// Writes changes of the machine registry: a machine is registered before it is given a task.
+    /// Writes pending changes of the machine registry. A machine is registered before it is given a
+    /// task.
     fn write_registry(&mut self) {
         let now = self.now;
         let Some(leader_state) = &mut self.leader_state else {
@@ -212,7 +213,8 @@
                 .registry
                 .take_due(now, &mut leader_state.workers, &leader_state.rented)
         {
-            // Hundreds of machines may wait for a few changes: these are queued with those of clients.
+            // Hundreds of new machines may wait for a few of these writes, so they get the priority
+            // of submissions and cancellations.
             let priority = match request {
                 RegistryRequest::Write { joins: true, .. } => RequestPriority::Client,
                 _ => RequestPriority::Leader,
--- a/src/controller/peer_links.rs
+++ b/src/controller/peer_links.rs
@@ -1,10 +1,10 @@
-//! Links to the other controllers: which of them answer, serve clients and reach the leader.
+//! Links to the other controllers: which peers answer, serve clients and reach the leader.
 //!
-//! [`PeerLinks`] owns everything this node remembers about its peers: the health of each link, who
-//! announced that it can serve clients, the leader's own announcement, which leader accepts
-//! heartbeat batches, and the calls whose answers are outstanding. It sends nothing itself: the
-//! controller makes the calls and reports their outcomes here. Nothing recorded here is proof of
-//! leadership; all of it only chooses where a request or a worker goes next.
+//! [`PeerLinks`] owns everything that this node remembers about its peers: the health of each link,
+//! which peers reported that they can serve clients, the leader's own announcement, which leader
+//! accepts heartbeat batches, and the calls that are still unanswered. It sends nothing itself: the
+//! controller makes the calls and reports their outcomes here. Nothing recorded here proves
+//! leadership; it is only used to choose where to send a request or a worker.
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::messages::{ConnId, Ticket};
@@ -14,76 +14,81 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Default time that the answer to a call to another controller is waited for.
+/// Default timeout of a call to another controller.
 pub(super) const PEER_CALL_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// An announcement that a peer serves clients, or a health check of this node by the load
-/// balancer, counts for this long.
+/// How long a peer's report that it can serve clients stays valid, and likewise a health check of
+/// this node by the load balancer.
 pub(super) const SERVING_STATUS_TTL: Micros = 3 * SECOND;
-/// The leader's announcement of itself takes precedence over the leader key for this long.
+/// How long the leader's announcement of itself takes precedence over the leader key.
 const LEADER_HINT_TTL: Micros = 2_500 * MILLISECOND;
-/// A leader that announced itself within this time is up and reachable: where it does not answer, it is slow.
+/// A leader that announced itself within this time is assumed to be running and reachable; if it
+/// does not answer a call, it is slow.
 const LEADER_ALIVE_WINDOW: Micros = 4 * SECOND;
-/// A peer that could not answer a client request for this node is not asked again for this long.
+/// After a peer failed to answer a forwarded client request, this node forwards none to it for this
+/// long.
 const FORWARDING_BACKOFF: Micros = SECOND;
-/// With neither the state service nor another controller answering for this long, a node serves
-/// nobody.
+/// A node that has had no answer from the state service or any other controller for this long serves
+/// neither clients nor workers.
 const ISOLATION_TIMEOUT: Micros = 3 * SECOND;
 /// Interval of the calls that only check whether another controller can be reached.
 const LIVENESS_CHECK_INTERVAL: Micros = SECOND;
-/// A link over which a call failed is avoided for this long.
+/// How long a link is not used after a call over it failed.
 const LINK_BACKOFF: Micros = 4 * SECOND;
-/// The same while it is in doubt whether the leader at its other end is still alive.
+/// The same for a link to the leader, while it is uncertain whether the leader is still running.
 const LINK_BACKOFF_LEADER_UNCERTAIN: Micros = 400 * MILLISECOND;
-/// Beyond the leader's lease, a failing link leaves the leader's life in doubt for this long.
+/// After the link to the leader fails, it is uncertain whether the leader is still running until its
+/// lease and this margin have passed.
 const LEADER_LIVENESS_MARGIN: Micros = SECOND / 2;
-/// While the leader's host refuses connections from here, one in this many workers is sent to
-/// another controller instead of straight to the leader.
+/// While the leader's host refuses connections from this node, one in this many workers is
+/// redirected to another controller instead of directly to the leader.
 const DIRECT_REDIRECT_PERIOD: usize = 4;
-/// A leader hands over at most one worker per interval.
+/// A leader hands over at most one worker to another controller per interval.
 const HANDOVER_INTERVAL: Micros = 50 * MILLISECOND;
-/// A leader hands workers over only while at least this many peers can take them: the loss of a
-/// single one would interrupt all of them at once.
+/// A leader hands workers over only while at least this many peers can take them: with a single
+/// peer, its failure would interrupt all of these workers at once.
 const HANDOVER_PEERS_MIN: usize = 2;
-/// Interval at which a leader is asked whether it accepts heartbeat batches.
+/// Interval of the queries to a leader whether it accepts heartbeat batches.
 const BATCH_SUPPORT_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
 
-/// What an answer of another controller is for.
+/// Why this node called another controller, which decides how it handles the answer.
 pub(super) enum PeerCallPurpose {
     /// A client's request that this node could not serve.
     ClientRequest { conn: ConnId, peer: SocketAddr },
     /// A worker's heartbeat, forwarded to the leader.
     Heartbeat { conn: ConnId },
-    /// Commands that this node delivers to a worker for another controller.
+    /// Commands that this node delivers to a worker for another controller. The call goes to the
+    /// worker; its answer is returned to that controller.
     CommandDelivery { conn: ConnId, ticket: Ticket },
-    /// An operator's question that only the leader can answer.
+    /// An operator's request that only the leader can answer.
     AdminQuery { conn: ConnId },
-    /// What the leader knows of a job's dependencies, to be shown beside the stored record.
+    /// A query for what the leader knows about a job's dependencies; `body` is the stored record,
+    /// to which the answer is added.
     DependencyQuery { conn: ConnId, body: Value },
-    /// Whether the leader of that process incarnation accepts heartbeat batches.
+    /// A query whether the leader with this process incarnation accepts heartbeat batches.
     BatchSupport { incarnation: u64 },
-    /// Machines that the peer is to probe.
+    /// Machines that the peer is assigned to probe.
     ProbeAssignment { hosts: Vec<Arc<str>> },
-    /// The leader's announcement of progress; a 200 says that the peer can serve clients.
+    /// The leader's announcement of progress; status 200 means that the peer can serve clients.
     ProgressAnnouncement { peer: SocketAddr },
-    /// Whether any controller can be reached.
+    /// A call whose only purpose is to reach any other controller, or whose answer does not matter.
     LivenessCheck,
 }
 
-/// A frame to another controller.
+/// A frame to send to another controller.
 #[derive(Debug)]
 pub(super) struct PeerRequest {
-    /// What the frame asks for, one of the `KIND_` constants of [`crate::wire`].
+    /// The kind of the request, one of the `KIND_` constants of [`crate::wire`].
     pub(super) kind: u16,
-    /// What it is about; most frames carry the name of the sender.
+    /// The sender's name for most kinds; for others a request line, a path or a worker's address.
     pub(super) subject: String,
     /// The payload, in the format of the kind.
     pub(super) body: Vec<u8>,
-    /// How long the answer is waited for, in microseconds.
+    /// How long this node waits for the answer, in microseconds.
     pub(super) timeout: Micros,
 }
 
 impl PeerRequest {
-    /// A frame whose answer is waited for as long as [`PEER_CALL_TIMEOUT`].
+    /// Creates a request with the timeout [`PEER_CALL_TIMEOUT`].
     pub(super) fn new(kind: u16, subject: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
             kind,
@@ -93,40 +98,42 @@
         }
     }
 
-    /// The same frame with another time to wait for the answer.
+    /// The same request with another timeout.
     pub(super) fn with_timeout(self, timeout: Micros) -> Self {
         Self { timeout, ..self }
     }
 }
 
-/// What one link has shown, by the address of the peer at its other end.
+/// The health of the links, by the address of the peer.
 #[derive(Default)]
 struct LinkHealth {
+    /// When the backoff after a failed call ends.
     backoff_until: HashMap<SocketAddr, Micros>,
-    /// When the peer's host last refused a connection from here.
+    /// When the peer's host last refused a connection from this node.
     refused_at: HashMap<SocketAddr, Micros>,
-    /// Since when calls have failed; absent while they succeed.
+    /// When calls began to fail; absent while they succeed.
     failing_since: HashMap<SocketAddr, Micros>,
 }
 
-/// The leader by its own announcement, and when that arrived.
+/// The leader's announcement of itself.
 struct LeaderHint {
+    /// Name of the leader's node.
     name: String,
-    at: Micros,
+    arrived_at: Micros,
 }
 
 /// What this node knows about the other controllers.
 pub(super) struct PeerLinks {
     peers: Vec<Peer>,
     health: LinkHealth,
-    /// Peers that could not answer a client request for this node a moment ago.
+    /// Until when no client requests are forwarded to a peer that failed to answer one.
     forwarding_backoff_until: HashMap<SocketAddr, Micros>,
-    /// When each peer last announced that it can serve clients.
+    /// When each peer last reported that it can serve clients.
     serving_at: HashMap<SocketAddr, Micros>,
-    /// Counts choices between peers, so that they take turns.
+    /// Incremented with each choice between peers, for a round-robin choice.
     round_robin_counter: usize,
     leader_hint: Option<LeaderHint>,
-    /// When any controller last answered or called.
+    /// When any other controller last answered or called this node.
     seen_at: Micros,
     liveness_checked_at: Micros,
     next_handover_at: Micros,
@@ -137,7 +144,7 @@
 }
 
 impl PeerLinks {
-    /// Knows the peers of the settings, and nothing about them yet.
+    /// Creates the links to the peers of the settings, about which nothing is known yet.
     pub(super) fn new(peers: Vec<Peer>) -> Self {
         Self {
             peers,
@@ -170,7 +177,7 @@
         self.peers.iter().map(|peer| peer.address).collect()
     }
 
-    /// The peer of that name.
+    /// The peer with this name.
     pub(super) fn peer_named(&self, name: &str) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.name == name)
     }
@@ -180,34 +187,35 @@
         self.calls.insert(ticket, purpose);
     }
 
-    /// Why the call of that ticket was made, if it is one of these.
+    /// Removes and returns the purpose of the call with this ticket, if the call was registered here.
     pub(super) fn take_call(&mut self, ticket: Ticket) -> Option<PeerCallPurpose> {
         self.calls.remove(&ticket)
     }
 
-    /// Another controller answered or called.
+    /// Records that another controller answered or called this node.
     pub(super) fn note_peer_seen(&mut self, now: Micros) {
         self.seen_at = now;
     }
 
-    /// Whether no other controller has been seen for so long that, with the state service failing
-    /// as well, this node counts as isolated.
+    /// Whether this node counts as isolated: for [`ISOLATION_TIMEOUT`], the state service has failed
+    /// and no other controller has answered or called.
     pub(super) fn is_isolated(&self, now: Micros, state_failing_for: Micros) -> bool {
         !self.peers.is_empty()
             && state_failing_for >= ISOLATION_TIMEOUT
             && now >= self.seen_at + ISOLATION_TIMEOUT
     }
 
-    /// Whom to call only to see whether any controller can be reached, taking turns; none while
-    /// the state service answers or a controller was seen within the interval.
+    /// The next peer to call only to see whether any controller is reachable, chosen round-robin.
+    /// Returns `None` while the state service answers, or if a controller answered or was checked
+    /// within the last [`LIVENESS_CHECK_INTERVAL`].
     pub(super) fn take_liveness_check(
         &mut self,
         now: Micros,
         state_failing_for: Micros,
     ) -> Option<SocketAddr> {
         let last = self.seen_at.max(self.liveness_checked_at);
-        let quiet = now >= last + LIVENESS_CHECK_INTERVAL;
-        if self.peers.is_empty() || !quiet || state_failing_for < SECOND {
+        let is_due = now >= last + LIVENESS_CHECK_INTERVAL;
+        if self.peers.is_empty() || !is_due || state_failing_for < SECOND {
             return None;
         }
         self.liveness_checked_at = now;
@@ -215,62 +223,66 @@
         Some(self.peers[self.round_robin_counter % self.peers.len()].address)
     }
 
-    /// A controller that may answer a client request for this node: the leader, or else another
-    /// one, taking turns.
+    /// The peer to which a client request is forwarded: the leader, or else one chosen round-robin.
+    /// Peers in backoff are left out.
     pub(super) fn pick_forwarding_target(
         &mut self,
         now: Micros,
         leader: Option<&str>,
     ) -> Option<SocketAddr> {
         let is_over = |until: Option<&Micros>| until.is_none_or(|until| *until <= now);
-        let able = |peer: &&Peer| {
+        let is_available = |peer: &&Peer| {
             is_over(self.health.backoff_until.get(&peer.address))
                 && is_over(self.forwarding_backoff_until.get(&peer.address))
         };
-        let able: Vec<&Peer> = self.peers.iter().filter(able).collect();
-        let first = able.iter().find(|peer| Some(&*peer.name) == leader);
+        let available: Vec<&Peer> = self.peers.iter().filter(is_available).collect();
+        let leader_peer = available.iter().find(|peer| Some(&*peer.name) == leader);
         self.round_robin_counter += 1;
-        let any = able.get(self.round_robin_counter % able.len().max(1));
-        first.or(any).map(|peer| peer.address)
+        let any_peer = available.get(self.round_robin_counter % available.len().max(1));
+        leader_peer.or(any_peer).map(|peer| peer.address)
     }
 
-    /// The peer could not answer a client request for this node.
+    /// Records that the peer failed to answer a client request that this node forwarded.
     pub(super) fn note_forwarding_failure(&mut self, now: Micros, peer: SocketAddr) {
         self.forwarding_backoff_until
             .insert(peer, now + FORWARDING_BACKOFF);
     }
 
-    /// The peer announced that it can serve clients.
+    /// Records the peer's report that it can serve clients.
     pub(super) fn note_serving(&mut self, now: Micros, peer: SocketAddr) {
         self.serving_at.insert(peer, now);
     }
 
-    /// Whether that peer announced a moment ago that it can serve clients.
+    /// Whether the peer reported within [`SERVING_STATUS_TTL`] that it can serve clients.
     pub(super) fn is_serving(&self, now: Micros, peer: SocketAddr) -> bool {
-        let at = self.serving_at.get(&peer);
-        at.is_some_and(|at| now < at + SERVING_STATUS_TTL)
+        let reported_at = self.serving_at.get(&peer);
+        reported_at.is_some_and(|reported_at| now < reported_at + SERVING_STATUS_TTL)
     }
 
-    /// How many peers announced a moment ago that they can serve clients.
+    /// How many peers reported within [`SERVING_STATUS_TTL`] that they can serve clients.
     pub(super) fn serving_count(&self, now: Micros) -> usize {
         let serving = |peer: &&Peer| self.is_serving(now, peer.address);
         self.peers.iter().filter(serving).count()
     }
 
-    /// The node of that name announced itself as the leader.
+    /// Records that the node with this name announced itself as the leader.
     pub(super) fn note_leader_hint(&mut self, now: Micros, name: &str) {
         let name = name.to_owned();
-        self.leader_hint = Some(LeaderHint { name, at: now });
+        self.leader_hint = Some(LeaderHint {
+            name,
+            arrived_at: now,
+        });
     }
 
-    /// The leader by its own announcement, while that is fresh.
+    /// The name of the leader that announced itself within the last [`LEADER_HINT_TTL`].
     pub(super) fn leader_hint(&self, now: Micros) -> Option<&str> {
         let hint = self.leader_hint.as_ref();
-        let fresh = hint.filter(|hint| now < hint.at + LEADER_HINT_TTL);
+        let fresh = hint.filter(|hint| now < hint.arrived_at + LEADER_HINT_TTL);
         fresh.map(|hint| &*hint.name)
     }
 
-    /// Whether a leader announced itself so lately that it must be slow where it does not answer.
+    /// Whether a leader announced itself within the last [`LEADER_ALIVE_WINDOW`], so that it must be
+    /// slow if it does not answer.
     pub(super) fn is_leader_recently_announced(&self, now: Micros) -> bool {
         self.leader_hint_at()
             .is_some_and(|at| now < at + LEADER_ALIVE_WINDOW)
@@ -278,11 +290,12 @@
 
     /// When a leader last announced itself, if one ever did.
     pub(super) fn leader_hint_at(&self) -> Option<Micros> {
-        self.leader_hint.as_ref().map(|hint| hint.at)
+        self.leader_hint.as_ref().map(|hint| hint.arrived_at)
     }
 
-    /// A call over this link failed: the link is avoided for a while. `leader_ttl` is the length
-    /// of the leader's lease; `is_leader_slow` says that the leader may still answer the next call.
+    /// Records that a call over this link failed, which starts the link's backoff. `refused` tells
+    /// that the peer's host refused the connection, `leader_ttl` is the TTL of the leader's lease,
+    /// and `is_leader_slow` tells that the leader may still answer the next call.
     pub(super) fn note_link_failure(
         &mut self,
         now: Micros,
@@ -295,31 +308,31 @@
             self.health.refused_at.insert(peer, now);
         }
         self.health.failing_since.entry(peer).or_insert(now);
-        let avoided_for =
-            if is_leader_slow || self.is_leader_liveness_uncertain(now, peer, leader_ttl) {
-                LINK_BACKOFF_LEADER_UNCERTAIN
-            } else {
-                LINK_BACKOFF
-            };
-        self.health.backoff_until.insert(peer, now + avoided_for);
+        let backoff = if is_leader_slow || self.is_leader_liveness_uncertain(now, peer, leader_ttl)
+        {
+            LINK_BACKOFF_LEADER_UNCERTAIN
+        } else {
+            LINK_BACKOFF
+        };
+        self.health.backoff_until.insert(peer, now + backoff);
     }
 
-    /// A call over this link was answered.
+    /// Records that a call over this link was answered.
     pub(super) fn note_link_answer(&mut self, now: Micros, peer: SocketAddr) {
         self.note_peer_seen(now);
         self.health.failing_since.remove(&peer);
         self.health.refused_at.remove(&peer);
     }
 
-    /// Whether the link is avoided after a failure.
+    /// Whether the link is in backoff after a failed call.
     pub(super) fn is_link_in_backoff(&self, now: Micros, peer: SocketAddr) -> bool {
         let until = self.health.backoff_until.get(&peer);
         until.is_some_and(|until| *until > now)
     }
 
-    /// Whether a leader behind this link may have ended: the link has failed for no longer than a
-    /// lease lives, so its successor will be known in a moment. After that the link is at fault,
-    /// and another controller may reach the leader.
+    /// Whether the leader at this address may have stopped: calls have failed for less than the TTL
+    /// of its lease and a margin. If it has stopped, its successor is known after that time;
+    /// otherwise the link is at fault, and another controller may reach the leader.
     pub(super) fn is_leader_liveness_uncertain(
         &self,
         now: Micros,
@@ -330,55 +343,56 @@
         since.is_some_and(|since| now < since + leader_ttl + LEADER_LIVENESS_MARGIN)
     }
 
-    /// Where a worker goes whose heartbeat this node can't pass to the leader; none if no
-    /// controller is known that may reach it.
+    /// The controller to which a worker is redirected when this node can't forward its heartbeat to
+    /// the leader; `None` if there is no other controller that may reach the leader.
     ///
-    /// Another controller may reach the leader. Where the leader's own host refuses connections
-    /// from here the leader is up, and workers reach it by another way than this node does: they
-    /// go straight to it. Sent around among controllers that are all refused, they would open a
-    /// new connection to each, and a packet filter that stays for longer than a lease would cost
-    /// every task. Now and then another controller is tried all the same.
+    /// If the leader's host refuses connections from this node, the leader is running, and workers
+    /// may reach it over another network path, so most of them are redirected to the leader itself.
+    /// Redirected in circles between controllers that are all refused, they would open a new
+    /// connection to each; a packet filter that stays for longer than a lease would then cost all
+    /// tasks. One in [`DIRECT_REDIRECT_PERIOD`] workers is still redirected to another controller.
     pub(super) fn take_redirect_target(&mut self, now: Micros, leader: &str) -> Option<String> {
         let address = self.peer_named(leader).map(|peer| peer.address);
         let refused_at = address.and_then(|address| self.health.refused_at.get(&address));
-        let refuses = refused_at.is_some_and(|at| now < at + 2 * LINK_BACKOFF);
+        let leader_refuses = refused_at.is_some_and(|at| now < at + 2 * LINK_BACKOFF);
         self.round_robin_counter += 1;
-        if refuses && self.round_robin_counter % DIRECT_REDIRECT_PERIOD != 0 {
+        if leader_refuses && self.round_robin_counter % DIRECT_REDIRECT_PERIOD != 0 {
             return Some(leader.to_owned());
         }
-        let able =
+        let is_available =
             |peer: &&Peer| peer.name != leader && !self.is_link_in_backoff(now, peer.address);
-        let others: Vec<&Peer> = self.peers.iter().filter(able).collect();
-        // Taking turns, so that not all workers crowd at one controller.
+        let others: Vec<&Peer> = self.peers.iter().filter(is_available).collect();
+        // Round-robin, so that the workers do not all go to one controller.
         let target = others.get(self.round_robin_counter % others.len().max(1));
         target.map(|peer| peer.name.clone())
     }
 
-    /// Whether the interval since the last handover of a worker is over.
+    /// Whether [`HANDOVER_INTERVAL`] has passed since the last handover of a worker.
     pub(super) fn is_handover_due(&self, now: Micros) -> bool {
         now >= self.next_handover_at
     }
 
-    /// Whether a worker may be handed back to the leader now; counts as a handover.
+    /// Whether a worker may be returned to the leader now; if so, this counts as a handover.
     pub(super) fn try_return_to_leader(&mut self, now: Micros) -> bool {
-        let due = self.is_handover_due(now);
-        if due {
+        let is_due = self.is_handover_due(now);
+        if is_due {
             self.next_handover_at = now + HANDOVER_INTERVAL;
         }
-        due
+        is_due
     }
 
-    /// The peer that the next worker is handed to, if enough peers can take workers.
+    /// The peer to which the next worker is handed over, chosen round-robin; `None` unless at least
+    /// [`HANDOVER_PEERS_MIN`] peers can take workers. Counts as a handover.
     pub(super) fn take_handover_target(&mut self, now: Micros) -> Option<String> {
-        let able = |peer: &&Peer| {
+        let is_available = |peer: &&Peer| {
             self.is_serving(now, peer.address) && !self.is_link_in_backoff(now, peer.address)
         };
-        let others: Vec<&Peer> = self.peers.iter().filter(able).collect();
-        if others.len() < HANDOVER_PEERS_MIN {
+        let available: Vec<&Peer> = self.peers.iter().filter(is_available).collect();
+        if available.len() < HANDOVER_PEERS_MIN {
             return None;
         }
-        let name = others
-            .get(self.round_robin_counter % others.len())?
+        let name = available
+            .get(self.round_robin_counter % available.len())?
             .name
             .clone();
         self.round_robin_counter += 1;
@@ -386,22 +400,22 @@
         Some(name)
     }
 
-    /// Whether the leader of that process incarnation is known to accept heartbeat batches.
+    /// Whether the leader with this process incarnation is known to accept heartbeat batches.
     pub(super) fn accepts_batches(&self, incarnation: u64) -> bool {
         self.batch_accepting_incarnation == Some(incarnation)
     }
 
-    /// The leader of that process incarnation accepts heartbeat batches.
+    /// Records that the leader with this process incarnation accepts heartbeat batches.
     pub(super) fn note_batch_support(&mut self, incarnation: u64) {
         self.batch_accepting_incarnation = Some(incarnation);
     }
 
-    /// Whether the leader should be asked now if it accepts heartbeat batches; counts as asked.
+    /// Whether to ask the leader now if it accepts heartbeat batches; if so, this counts as a query.
     pub(super) fn take_batch_support_query(&mut self, now: Micros) -> bool {
-        let due = now >= self.batch_support_asked_at + BATCH_SUPPORT_RETRY_INTERVAL;
-        if due {
+        let is_due = now >= self.batch_support_asked_at + BATCH_SUPPORT_RETRY_INTERVAL;
+        if is_due {
             self.batch_support_asked_at = now;
         }
-        due
+        is_due
     }
 }
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -1,8 +1,8 @@
-//! Frames between the controllers: those that arrive, and the answers to those sent.
+//! Frames between the controllers: incoming requests, and the replies to this node's requests.
 //!
-//! A frame that arrives is answered at once, or later under the ticket that its sender gave it:
-//! when a worker or a client's request has been served. Answers to frames of this node come back
-//! with the [`PeerCallPurpose`] that they were sent for.
+//! An incoming request is answered at once, or later under the ticket that its sender gave it, when
+//! a worker has answered or a client's request has been served. The reply to a request of this node
+//! is handled according to the [`PeerCallPurpose`] that was registered for it.
 
 use super::Controller;
 use super::api_error::ApiError;
@@ -19,21 +19,21 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-/// Bounds of the time that a worker has to answer to commands delivered for another controller.
+/// Bounds of the timeout for delivering commands to a worker for another controller.
 const DELIVERY_TIMEOUT_MIN: Micros = 100 * MILLISECOND;
 const DELIVERY_TIMEOUT_MAX: Micros = 5 * SECOND;
 
-/// A frame that another controller sent.
+/// A frame that this node received from another controller.
 pub(super) struct PeerFrame {
-    /// The connection that it came on.
+    /// The connection on which it arrived.
     pub(super) conn: ConnId,
-    /// The sender's number for its answer.
+    /// The sender's ticket, which the answer repeats.
     pub(super) ticket: Ticket,
-    /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
+    /// The kind of the request, one of the `KIND_` constants of [`crate::wire`].
     pub(super) kind: u16,
     /// How long the sender waits for the answer, in microseconds.
     pub(super) timeout: Micros,
-    /// What it is about; most frames carry the name of the sender.
+    /// The sender's name for most kinds; for others a request line, a path or a worker's address.
     pub(super) subject: String,
     /// The payload, in the format of the kind.
     pub(super) body: Vec<u8>,
@@ -44,7 +44,7 @@
 }
 
 impl Controller {
-    /// Calls another controller; `purpose` says what is done with its answer.
+    /// Calls another controller; `purpose` decides how the answer is handled.
     pub(super) fn call_peer(
         &mut self,
         dest: SocketAddr,
@@ -55,7 +55,8 @@
         self.peer_links.register_call(ticket, purpose);
     }
 
-    /// Sends a frame to another controller; its answer is ignored unless the ticket is registered.
+    /// Sends a frame to another controller and returns its ticket. The answer is ignored unless the
+    /// caller registers the ticket.
     pub(super) fn send_to_peer(&mut self, dest: SocketAddr, request: PeerRequest) -> Ticket {
         self.last_ticket += 1;
         self.outputs.push(Output::PeerCall {
@@ -69,7 +70,7 @@
         self.last_ticket
     }
 
-    /// Handles a frame of another controller.
+    /// Handles a request from another controller.
     pub(super) fn handle_peer_request(&mut self, frame: PeerFrame) {
         let (conn, ticket) = (frame.conn, frame.ticket);
         if let Some(outcome) = self.answer_peer_request(frame) {
@@ -81,7 +82,7 @@
         }
     }
 
-    /// The answer to a frame; none if it is given later.
+    /// The answer to a request; `None` if it is sent later.
     fn answer_peer_request(&mut self, frame: PeerFrame) -> Option<Outcome> {
         let PeerFrame {
             conn, ticket, body, ..
@@ -91,10 +92,10 @@
             KIND_HEARTBEAT_BATCH => return Some(self.take_heartbeat_batch(&frame.subject, body)),
             KIND_DELIVER_COMMANDS => return self.deliver_commands(frame),
             KIND_CLIENT_REQUEST => {
-                let proxied = self.client_requests.insert_proxied(*conn, *ticket);
-                let subject = &frame.subject;
-                let (method, path) = subject.split_once(' ').unwrap_or((subject, ""));
-                self.handle_request(proxied, method, path, frame.body);
+                let proxied_conn = self.client_requests.insert_proxied(*conn, *ticket);
+                let request_line = &frame.subject;
+                let (method, path) = request_line.split_once(' ').unwrap_or((request_line, ""));
+                self.handle_request(proxied_conn, method, path, frame.body);
                 return None;
             }
             KIND_PROGRESS => return Some(self.handle_progress_announcement(&frame)),
@@ -114,13 +115,13 @@
         Some(reply(200, Vec::new()))
     }
 
-    /// Delivers commands to a worker that their sender can't reach; the worker's answer is passed
-    /// back.
+    /// Delivers commands to a worker for a controller that can't reach it; the worker's answer is
+    /// returned to that controller later.
     fn deliver_commands(&mut self, frame: PeerFrame) -> Option<Outcome> {
         let Ok(dest) = frame.subject.parse() else {
             return Some(Outcome::NotSent);
         };
-        // Its sender must have the answer before its own patience ends.
+        // The sender must receive the answer before its own timeout.
         let timeout = frame
             .timeout
             .saturating_sub(frame.timeout / 4)
@@ -133,29 +134,29 @@
         None
     }
 
-    /// Takes a leader's announcement of progress; the answer says whether this node can serve
-    /// clients.
+    /// Handles the leader's announcement of progress. The status of the answer tells whether this
+    /// node can serve clients.
     fn handle_progress_announcement(&mut self, frame: &PeerFrame) -> Outcome {
         let now = self.now.steady;
         if !self.is_leader() {
             self.peer_links.note_leader_hint(now, &frame.subject);
         }
         self.client_requests.replace_progress(now, &frame.body);
-        // Only a node that is health-checked gets clients: others may be cut off from the load
-        // balancer.
-        // A node short of connections is handed no workers: each would cost another its connection.
+        // A node without recent health checks may be cut off from the load balancer and can't serve
+        // clients. A node that is short of connections must not be given workers, since each of them
+        // would cost another one its connection.
         let has_connections = self.load.connection_pressure == ConnectionPressure::Low;
-        let serves = self.client_requests.is_health_checked(now)
+        let can_serve = self.client_requests.is_health_checked(now)
             && has_connections
             && !self.cloud.types.is_empty()
             && !self.state.is_failing();
-        reply(if serves { 200 } else { 503 }, Vec::new())
+        reply(if can_serve { 200 } else { 503 }, Vec::new())
     }
 
-    /// Handles the answer to a call of another controller.
+    /// Handles the outcome of a call whose purpose is registered.
     pub(super) fn handle_peer_reply(&mut self, purpose: PeerCallPurpose, outcome: &Outcome) {
         let now = self.now.steady;
-        // The answer to a command delivery is the worker's.
+        // The answer to a command delivery comes from the worker, not from a controller.
         if matches!(outcome, Outcome::Reply { .. })
             && !matches!(purpose, PeerCallPurpose::CommandDelivery { .. })
         {
@@ -197,7 +198,7 @@
                 body["leader"] = answer.unwrap_or_else(|| json!("the leader does not answer"));
                 self.respond(conn, 200, &body);
             }
-            // An operator's question proves nothing about the link: its answer may just be late.
+            // A failed operator's request proves nothing about the link: the answer may only be late.
             PeerCallPurpose::AdminQuery { conn } if !matches!(outcome, Outcome::Reply { .. }) => {
                 self.respond_error(conn, &ApiError::LeaderUnreachable);
             }
@@ -210,7 +211,8 @@
         }
     }
 
-    /// Passes the peer's answer to the client, unless the peer could not serve it either.
+    /// Handles the outcome of a forwarded client request: relays the peer's answer to the client, or
+    /// answers with an error if the peer could not serve the request either.
     fn handle_forwarded_request_reply(
         &mut self,
         conn: ConnId,
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Answers with what another controller answered.
+    /// Answers with another controller's response.
     fn relay_response(&mut self, conn: ConnId, status: u16, body: &[u8]) {
         self.outputs.push(Output::Respond {
             conn,
--- a/src/controller/startup.rs
+++ b/src/controller/startup.rs
@@ -1,9 +1,9 @@
-//! The start of a process: what a node needs before it can serve, and how soon it had it.
+//! Process start: getting the machine types, and logging how long the start took.
 //!
-//! It needs the machine types and nothing else: they decide whether a job can ever run. The cloud
-//! reports them, which takes a tenth of a second where it is well and fails where it does not
-//! answer; so they are also kept at the state service. The stored ones are a hint: a job may be
-//! accepted by them, but none is rejected for good.
+//! A node needs only the machine types before it can serve clients, since they decide whether a job
+//! can ever run. The cloud provider returns them within a tenth of a second, but they must also be
+//! available while it does not answer. So the leader stores them at the state service. The stored
+//! machine types may be outdated: a job may be accepted because of them, but not rejected.
 
 use super::api::fits_value_limit;
 use super::state_request::StateRequest;
@@ -13,23 +13,24 @@
 use crate::state_client::{Op, Reply, Transaction, raw};
 use crate::wire::{MachineType, MachineTypes};
 
-/// Key of the machine types as a leader last read them from the cloud.
+/// Key of the machine types that a leader last received from the cloud.
 const MACHINE_TYPES_KEY: &str = "types";
 /// Interval of attempts to read or to store the machine types.
 const MACHINE_TYPES_RETRY_INTERVAL: Micros = 500 * MILLISECOND;
-/// Interval at which a leader compares them with the cloud's.
+/// Interval at which a leader compares the stored machine types with those of the cloud.
 const MACHINE_TYPES_CHECK_INTERVAL: Micros = 5 * SECOND;
-/// The start is logged after this long at the latest, whatever is missing by then.
+/// The startup times are logged at this time at the latest, even if some are missing.
 const STARTUP_LOG_DELAY_MAX: Micros = 20 * SECOND;
 
-/// What is stored of the machine types, and the times of the start.
+/// The stored machine types, and when this process reached the steps of its start.
 #[derive(Default)]
 pub(super) struct Startup {
-    /// The stored machine types and the revision of their key; none before they were read.
+    /// The stored machine types, if the key exists and is readable, and the revision of the key;
+    /// `None` until they are read.
     stored: Option<(Option<MachineTypes>, u64)>,
     request_in_flight: bool,
     next_check_at: Micros,
-    /// Where the machine types first came from, and when.
+    /// Where this process first got the machine types from, and when.
     types_source: Option<(&'static str, Micros)>,
     first_health_check_at: Option<Micros>,
     first_accepted_at: Option<Micros>,
@@ -37,7 +38,7 @@
     logged: bool,
 }
 
-/// Whether both are the same types, whatever they cost at the moment.
+/// Whether both lists contain the same machine types, ignoring their prices.
 fn same_types_ignoring_price(a: &[MachineType], b: &[MachineType]) -> bool {
     let without_price = |machine_type: &MachineType| {
         let (price, spot_price) = (0.0, 0.0);
@@ -55,14 +56,16 @@
 }
 
 impl Controller {
-    /// Reads the stored machine types at the start; a leader stores what the cloud reports.
+    /// Reads the stored machine types after the start. A leader also stores the machine types that
+    /// it receives from the cloud if they differ from the stored ones.
     pub(super) fn tick_startup(&mut self) {
         let now = self.now.steady;
         if self.startup.types_source.is_none() && !self.cloud.types.is_empty() {
             self.startup.types_source = Some(("cloud", now));
         }
         self.log_startup();
-        // While controllers of the version before run, nothing is written that they don't know.
+        // While controllers with the previous program version are running, nothing is written that
+        // they don't know.
         let may_store = self.is_leader() && self.schema_migration.is_complete();
         let schema = self.schema();
         let startup = &mut self.startup;
@@ -81,7 +84,7 @@
         if !may_store || !self.cloud.types_confirmed() {
             return;
         }
-        // Compared now and then only: the cloud is read every two minutes.
+        // No need to compare at every tick: the cloud is queried every two minutes.
         startup.next_check_at = now + MACHINE_TYPES_CHECK_INTERVAL;
         let known = stored.as_ref();
         if known.is_some_and(|known| same_types_ignoring_price(&known.types, &self.cloud.types)) {
@@ -110,7 +113,7 @@
         );
     }
 
-    /// Handles what was read as the stored machine types.
+    /// Handles the reply to the read of the stored machine types.
     pub(super) fn handle_machine_types_read(&mut self, reply: Reply) {
         let now = self.now.steady;
         self.startup.request_in_flight = false;
@@ -138,36 +141,36 @@
     /// Handles the reply to the write of the machine types.
     pub(super) fn handle_machine_types_write(&mut self, reply: &Reply) {
         self.startup.request_in_flight = false;
-        // Written or not, they are read again.
+        // Unless the request was not executed, reads the key again, also after a failed write.
         if !matches!(reply, Reply::Unavailable) {
             self.startup.stored = None;
         }
     }
 
-    /// A client or the load balancer was answered.
+    /// Records the first successful answers to clients and to the load balancer.
     pub(super) fn note_startup_answer(&mut self, method: &str, status: u16) {
         if self.startup.logged || !matches!(status, 200 | 201) {
             return;
         }
         let now = self.now.steady;
-        let at = match method {
+        let first_answer_at = match method {
             "GET /up" => &mut self.startup.first_health_check_at,
             "GET" => &mut self.startup.first_polled_at,
             _ => &mut self.startup.first_accepted_at,
         };
-        *at = at.or(Some(now));
+        *first_answer_at = first_answer_at.or(Some(now));
     }
 
     fn log_startup(&mut self) {
         let now = self.now.steady;
         let startup = &self.startup;
-        let all = startup.first_health_check_at.is_some()
+        let is_complete = startup.first_health_check_at.is_some()
             && startup.first_accepted_at.is_some()
             && startup.first_polled_at.is_some();
-        if startup.logged || !(all || now >= STARTUP_LOG_DELAY_MAX) {
+        if startup.logged || !(is_complete || now >= STARTUP_LOG_DELAY_MAX) {
             return;
         }
-        // Steady clocks of processes begin at one second.
+        // The steady clock of a process begins at one second, not at 0.
         let ms = |at: Option<Micros>| {
             at.map_or("none".to_owned(), |at| {
                 (at.saturating_sub(SECOND) / MILLISECOND).to_string()
@@ -175,8 +178,8 @@
         };
         log::info!(
             "started types={} types_ms={} up_ms={} accepted_ms={} polled_ms={}",
-            startup.types_source.map_or("none", |a| a.0),
-            ms(startup.types_source.map(|a| a.1)),
+            startup.types_source.map_or("none", |(source, _)| source),
+            ms(startup.types_source.map(|(_, at)| at)),
             ms(startup.first_health_check_at),
             ms(startup.first_accepted_at),
             ms(startup.first_polled_at)
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -1,9 +1,10 @@
-//! Submissions of jobs, and what they are rejected for.
+//! Job submissions: validation, and the write that accepts a job.
 //!
-//! Any node accepts a job, by a conditional write of its own: no leader is needed, and a job is
-//! accepted once however often it is submitted. Before a job that depends on others is accepted,
-//! what is stored of them is read; the write is guarded so that a cancellation in between makes it
-//! fail. A submission is rejected only if it repeats no job that was accepted before.
+//! Any node accepts a job by writing it to the state service itself, with preconditions: this needs
+//! no leader, and a job is accepted only once however often it is submitted. If the job depends on
+//! others, the node first reads their stored state; the preconditions of the write make it fail if
+//! one of them is cancelled in the meantime. A submission is rejected only after the node has
+//! checked that it does not repeat a job that was accepted before.
 
 use super::api_error::ApiError;
 use super::state_replies::job_key;
@@ -22,25 +23,24 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// How often the dependencies are read anew after one of them ended in between.
+/// How often the dependencies are read again because one of them ended after it was read.
 const DEPENDENCY_RETRIES_MAX: u32 = 4;
-/// How much longer than other requests of clients a submission may take for each job that it
-/// depends on.
+/// Time added to the timeout of a submission for each job that it depends on.
 const TIMEOUT_PER_DEPENDENCY: Micros = 25 * MILLISECOND;
-/// The most that all dependencies add; clients wait 5 s.
+/// Upper bound of the time added for all dependencies; clients wait 5 s for an answer.
 const DEPENDENCIES_TIMEOUT_MAX: Micros = SECOND;
 
-/// What is known of a job that a submission depends on.
+/// What is known about a job that a submission depends on.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum DependencyState {
-    /// It is being read.
+    /// Its stored state is being read.
     Requested,
     Live,
     Done,
     Cancelled,
 }
 
-/// How long reading so many dependencies may take.
+/// How long reading this number of dependencies may take.
 fn dependency_timeout(dependencies: usize) -> Micros {
     CLIENT_REQUEST_TIMEOUT
         + (TIMEOUT_PER_DEPENDENCY * dependencies as Micros).min(DEPENDENCIES_TIMEOUT_MAX)
@@ -51,15 +51,15 @@
     conn: ConnId,
     spec: JobSpec,
     dependencies: BTreeMap<Arc<str>, DependencyState>,
-    /// Why it is to be rejected, if so.
+    /// The reason to reject the submission, if one was found.
     rejection: Option<String>,
-    /// How often its dependencies were read anew.
-    attempts: u32,
+    /// How often its dependencies were read again.
+    dependency_retries: u32,
 }
 
 impl Submission {
-    /// The first of its dependencies in that state.
-    fn depends_on(&self, state: DependencyState) -> Option<&str> {
+    /// The first dependency that is in the given state.
+    fn dependency_in_state(&self, state: DependencyState) -> Option<&str> {
         let mut dependencies = self.dependencies.iter();
         dependencies
             .find(|(_, known)| **known == state)
@@ -67,14 +67,15 @@
     }
 }
 
-/// The guards of a write that accepts a job: it is neither live nor over.
+/// The preconditions of a write that accepts a job: the job is neither live nor finished.
 fn acceptance_preconditions(uid: &str) -> Transaction {
     Transaction::default()
         .require_revision(live_key(uid), 0)
         .require_revision(finished_key(uid), 0)
 }
 
-/// The submissions that wait for what is known of the jobs that they name, by a number of their own.
+/// Submissions that wait until their dependencies have been read or the job has been written, by a
+/// number that this node gives them.
 #[derive(Default)]
 pub(super) struct Submissions {
     pending: HashMap<u64, Submission>,
@@ -102,7 +103,7 @@
 }
 
 impl Controller {
-    /// Handles a submission.
+    /// Handles a client's submission of a job.
     pub(super) fn submit(&mut self, conn: ConnId, body: &[u8]) {
         let spec = match JobSpec::parse(body) {
             Ok(spec) => spec,
@@ -119,10 +120,10 @@
         }
         if let Some(reason) = impossible_reason(&spec, &self.cloud.types, &self.settings) {
             if !self.cloud.types_confirmed() {
-                // What is stored may be older than what the cloud offers.
+                // The stored machine types may be older than what the cloud offers now.
                 return self.respond_error(conn, &ApiError::MachineTypesUnconfirmed);
             }
-            // What was accepted when the cloud offered more stays accepted.
+            // A job accepted while the cloud offered more machine types stays accepted.
             return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
         let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
@@ -146,19 +147,20 @@
             spec,
             dependencies: BTreeMap::new(),
             rejection: None,
-            attempts: 0,
+            dependency_retries: 0,
         };
         self.read_dependencies(submission);
     }
 
-    /// Stores a job that depends on no other, if it is new.
+    /// Stores a job without dependencies, if it is new.
     fn accept_job(&mut self, conn: ConnId, uid: Arc<str>, spec: JobSpec) {
         let value = self.new_record(spec);
         let mut txn = Transaction::default()
             .require_revision(live_key(&uid), 0)
             .set_raw(live_key(&uid), value);
-        // A job that is over is not live any more: carried out late, after a repeat was accepted
-        // and done, the write would otherwise bring it back.
+        // A finished job has no live key any more. Without this precondition, a write that the state
+        // service executes late would create the job again after a repeated submission of it was
+        // accepted and the job finished.
         if !fault_injected(InjectedFault::AbsenceTrusted) {
             txn = txn.require_revision(finished_key(&uid), 0);
         }
@@ -169,13 +171,14 @@
         );
     }
 
-    /// The record of a new job: one small value in the schema version that every program reads.
+    /// The record of a new job: one small value in schema version 1, which every program version
+    /// can read.
     fn new_record(&self, spec: JobSpec) -> Raw {
         let record = JobRecord::new(spec, self.now.wall, &self.settings.name);
         schema::version_1::encode_job(&record, usize::MAX).unwrap_or_else(|| raw(&()))
     }
 
-    /// Why a job of this description can't be stored under any schema version, if so.
+    /// Why a job with this description is too large to be stored in any schema version, if it is.
     fn size_violation(&self, spec: &JobSpec) -> Option<String> {
         let limits = self.settings.deployment.state.tightest();
         let schema = Schema {
@@ -184,17 +187,20 @@
             txn_ops: limits.txn_ops,
         };
         if !schema.can_store(spec) {
-            let most = schema.spec_bytes_max();
+            let max_bytes = schema.spec_bytes_max();
             return Some(format!(
-                "the description is too long to be stored: at most {most} bytes"
+                "the description is too long to be stored: at most {max_bytes} bytes"
             ));
         }
-        // Guards of the accepting write: the job itself, live and over, and each dependency.
-        let most = 4 * limits.txn_ops - 2;
-        (spec.waits_on.len() > most).then(|| format!("waitsOn: at most {most} jobs can be named"))
+        // Preconditions of the accepting write: two for the job itself (neither live nor finished)
+        // and one for each dependency.
+        let max_dependencies = 4 * limits.txn_ops - 2;
+        (spec.waits_on.len() > max_dependencies)
+            .then(|| format!("waitsOn: at most {max_dependencies} jobs can be named"))
     }
 
-    /// Reads what is stored of each dependency; that it was never accepted needs a fresh answer.
+    /// Reads the stored state of each dependency whose final state is not cached. Whether a
+    /// dependency was ever accepted is always read from the state service.
     fn read_dependencies(&mut self, mut submission: Submission) {
         submission.dependencies.clear();
         let mut unknown = Vec::new();
@@ -227,7 +233,7 @@
         self.continue_submission(id);
     }
 
-    /// Handles what is stored of a dependency.
+    /// Handles the reply to the read of a dependency.
     pub(super) fn handle_dependency_reply(
         &mut self,
         id: u64,
@@ -266,7 +272,7 @@
                     return self.fail_submission(id, &ApiError::DependencyUnreadable);
                 }
             },
-            // Live first, then over: a job moves only in that direction.
+            // The live key is read before the final state, since a job moves only in this direction.
             Reply::Absent if !over => {
                 let key = finished_key(&uid);
                 let request = StateRequest::ReadDependency {
@@ -292,18 +298,22 @@
         self.continue_submission(id);
     }
 
+    /// Ends a submission with an error.
     fn fail_submission(&mut self, id: u64, error: &ApiError) {
         if let Some(submission) = self.submissions.remove(id) {
             self.respond_error(submission.conn, error);
         }
     }
 
-    /// Accepts the job once everything that it depends on is known.
+    /// Accepts or rejects the job once the state of all its dependencies is known.
     fn continue_submission(&mut self, id: u64) {
         let Some(submission) = self.submissions.get(id) else {
             return;
         };
-        if submission.depends_on(DependencyState::Requested).is_some() {
+        if submission
+            .dependency_in_state(DependencyState::Requested)
+            .is_some()
+        {
             return;
         }
         if let Some(reason) = submission.rejection.clone() {
@@ -311,11 +321,11 @@
             self.submissions.remove(id);
             return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
-        let cancelled_with = submission.depends_on(DependencyState::Cancelled);
-        let cancelled = cancelled_with.is_some();
-        let txn = match cancelled_with {
-            Some(root) => self.store_as_cancelled(&submission.spec, root),
-            None => self.store_as_live(submission),
+        let cancelled_dependency = submission.dependency_in_state(DependencyState::Cancelled);
+        let cancelled = cancelled_dependency.is_some();
+        let txn = match cancelled_dependency {
+            Some(dependency) => self.accept_as_cancelled(&submission.spec, dependency),
+            None => self.accept_as_live(submission),
         };
         let request = StateRequest::AcceptDependentJob {
             submission: id,
@@ -324,20 +334,21 @@
         self.request_state(request, Op::Transaction(txn), CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// The write that accepts a job and ends it at once, since a job that it depends on is
+    /// The write that accepts a job and cancels it at once, because a job that it depends on is
     /// cancelled.
-    fn store_as_cancelled(&self, spec: &JobSpec, root: &str) -> Transaction {
+    fn accept_as_cancelled(&self, spec: &JobSpec, cancelled_dependency: &str) -> Transaction {
         let record = JobRecord::new(spec.clone(), self.now.wall, &self.settings.name);
         let mut end = record.finish("cancelled", self.now.wall);
-        end.cancelled_with = Some(root.to_owned());
+        end.cancelled_with = Some(cancelled_dependency.to_owned());
         acceptance_preconditions(&spec.uid).set(finished_key(&spec.uid), &end)
     }
 
     /// The write that accepts a job whose dependencies are live or done.
-    fn store_as_live(&self, submission: &Submission) -> Transaction {
+    fn accept_as_live(&self, submission: &Submission) -> Transaction {
         let uid = &submission.spec.uid;
         let mut txn = acceptance_preconditions(uid);
-        // Of this write and a cancellation in between, the later one sees the other and fails.
+        // If a dependency is cancelled at the same time, the later of the two writes fails because
+        // the earlier one invalidates its preconditions.
         for (dependency, state) in &submission.dependencies {
             if *state == DependencyState::Live {
                 txn = txn.require_revision(finished_key(dependency), 0);
@@ -366,11 +377,11 @@
                 self.respond(conn, 201, &json!({"uid": uid, "status": "pending"}));
             }
             Reply::Conflict { failed } => {
-                let own = [live_key(&uid), finished_key(&uid)];
-                if failed.iter().any(|key| own.contains(key)) {
+                let own_keys = [live_key(&uid), finished_key(&uid)];
+                if failed.iter().any(|key| own_keys.contains(key)) {
                     self.read_existing_job(conn, uid, false);
-                } else if submission.attempts < DEPENDENCY_RETRIES_MAX {
-                    submission.attempts += 1;
+                } else if submission.dependency_retries < DEPENDENCY_RETRIES_MAX {
+                    submission.dependency_retries += 1;
                     self.read_dependencies(submission);
                 } else {
                     self.handle_state_unavailable(conn);
@@ -384,7 +395,7 @@
         }
     }
 
-    /// Reads whether a submission to be refused repeats one that was accepted.
+    /// Reads whether the submission repeats a job that was accepted before, to reject it if not.
     fn reject_unless_resubmitted(
         &mut self,
         conn: ConnId,
@@ -402,7 +413,8 @@
         self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
     }
 
-    /// Refuses a submission, unless it repeats one that was accepted.
+    /// Handles the reply to [`Controller::reject_unless_resubmitted`]: rejects the submission, or
+    /// answers with the state of the job that it repeats.
     pub(super) fn handle_resubmission_check_reply(
         &mut self,
         conn: ConnId,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! dewramp: a cluster scheduler run by a few controllers, one of which leads.
+//! dewramp: a cluster scheduler that runs on a small group of controllers, one of which is the leader.
 //!
-//! The modules do no I/O, with the exception of [`net`], [`open_files`] and [`admin_client`]: a message and the time
-//! go in, messages come out, so a run is determined by its inputs. `docs/architecture.md` has the order of the modules,
-//! who owns which state, and the paths of requests, heartbeats and commands; `docs/glossary.md` has the terms.
+//! Only [`net`], [`open_files`] and [`admin_client`] do I/O. The other modules take messages and the
+//! current time and return messages, so that their behaviour depends only on these inputs.
+//! `docs/architecture.md` describes the layers of modules, which module owns which state, and the
+//! paths of requests, heartbeats and commands; `docs/glossary.md` defines the terms.
 
 #![warn(
     missing_docs,
