--- a/crates/drill/src/controller.rs
+++ b/crates/drill/src/controller.rs
@@ -285,12 +285,12 @@
         }
         let conn = request.call;
         let input = match request.frame {
-            Some((kind, patience, addr, ticket)) => Input::PeerRequest {
+            Some((kind, timeout, subject, ticket)) => Input::PeerRequest {
                 conn,
                 ticket,
                 kind,
-                patience,
-                addr,
+                timeout,
+                subject,
                 body: request.body,
             },
             None => Input::Request {
@@ -349,7 +349,7 @@
             spent += input_cost(&input);
             node.handle(local, input);
         }
-        c.load.note_wait(
+        c.load.record_wait(
             local.steady,
             c.lanes.longest_wait().max(scaled(spent, share)),
         );
@@ -484,13 +484,13 @@
                 ticket,
                 dest,
                 kind,
-                addr,
+                subject,
                 body,
                 timeout,
             } => {
                 let Some(to) = self.host_at(dest) else { return };
                 let mut request = World::http("", "", body);
-                request.frame = Some((kind, timeout, addr, ticket));
+                request.frame = Some((kind, timeout, subject, ticket));
                 self.send(Caller::Peer { node, life, ticket }, to, timeout, request);
             }
         }
--- a/src/admin_client.rs
+++ b/src/admin_client.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Asks a node and returns the body of its answer.
-pub fn ask(addr: SocketAddr, path: &str) -> Result<String, String> {
+pub fn fetch(addr: SocketAddr, path: &str) -> Result<String, String> {
     let wait = Duration::from_secs(5);
     let mut stream = TcpStream::connect_timeout(&addr, wait)
         .map_err(|e| format!("no node answers at {addr}: {e}; is the service running?"))?;
@@ -39,7 +39,7 @@
 
 /// Asks for a list, page after page as each answer's `next` says, and returns the first answer with the rows of
 /// all. `list` names the rows in it; a row that comes again, as from a leader of the version before, counts once.
-pub fn ask_all(
+pub fn fetch_all_pages(
     path: &str,
     list: &str,
     mut ask: impl FnMut(&str) -> Result<String, String>,
@@ -78,7 +78,7 @@
 }
 
 /// The answer, laid out for reading.
-pub fn pretty(body: &str) -> String {
+pub fn format_json(body: &str) -> String {
     serde_json::from_str::<serde_json::Value>(body)
         .and_then(|v| serde_json::to_string_pretty(&v))
         .unwrap_or_else(|_| body.to_owned())
--- a/src/cancellation_freshness.rs
+++ b/src/cancellation_freshness.rs
@@ -127,20 +127,21 @@
     pub fn is_fresh(&self, now: Micros, valid_since: Micros) -> bool {
         let caught_up = self.proven_at >= valid_since;
         let young = now < self.proven_at + self.valid_for
-            || fault_injected(InjectedFault::KnowledgeNeverAges);
-        (caught_up && young) || (!caught_up && fault_injected(InjectedFault::RegainedUnseen))
+            || fault_injected(InjectedFault::CancellationsNeverStale);
+        (caught_up && young)
+            || (!caught_up && fault_injected(InjectedFault::CatchUpSkippedAfterRegain))
     }
 
     /// Whether there has been no proof for so long that another controller should become the leader: well before
     /// the answers to workers have to end, and only while leadership has been valid all the time.
     pub fn is_refresh_stuck(&self, now: Micros, valid_since: Micros) -> bool {
         let since = self.proven_at.max(valid_since);
-        let regained_unseen =
-            self.proven_at < valid_since && fault_injected(InjectedFault::RegainedUnseen);
+        let regained_unseen = self.proven_at < valid_since
+            && fault_injected(InjectedFault::CatchUpSkippedAfterRegain);
         let timeout = (self.valid_for * 2 / REFRESH_FRACTION).max(STUCK_TIMEOUT_MIN);
         now >= since + timeout
             && !regained_unseen
-            && !fault_injected(InjectedFault::KnowledgeNeverAges)
+            && !fault_injected(InjectedFault::CancellationsNeverStale)
     }
 
     /// Whether to read the changes now, without waiting for one. After `true` the read counts as sent, until
--- a/src/capacity.rs
+++ b/src/capacity.rs
@@ -166,7 +166,7 @@
                 continue;
             };
             let is_unproven = matches!(entry.state, TaskState::Unconfirmed | TaskState::Sent);
-            if !(is_unproven && fault_injected(InjectedFault::QuotaUncharged)) {
+            if !(is_unproven && fault_injected(InjectedFault::UnconfirmedTaskNotCharged)) {
                 capacity.charge(spec);
             }
             if let Some(free) = &mut free {
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -353,7 +353,7 @@
     ) {
         self.rentals_requested += 1;
         // Incarnation and count make the name one that is never used again, by any node.
-        let incarnation = if fault_injected(InjectedFault::HireReused) {
+        let incarnation = if fault_injected(InjectedFault::RentalNamesReused) {
             0
         } else {
             self.incarnation
--- a/src/controller.rs
+++ b/src/controller.rs
@@ -256,8 +256,8 @@
                 conn,
                 ticket,
                 kind,
-                patience,
-                addr,
+                timeout: patience,
+                subject: addr,
                 body,
             } => {
                 self.peer_links.note_peer_seen(now.steady);
--- a/src/controller/admin.rs
+++ b/src/controller/admin.rs
@@ -14,7 +14,7 @@
 use crate::messages::{ConnId, Outcome};
 use crate::scheduler::silence_limit;
 use crate::schema::SCHEMA_VERSION;
-use crate::wire::{FRAME_MAX, KIND_ADMIN_QUERY};
+use crate::wire::{FRAME_PAYLOAD_BYTES_MAX, KIND_ADMIN_QUERY};
 use crate::worker_ledger::Machine;
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
@@ -92,11 +92,11 @@
         let after = std::str::from_utf8(after).unwrap_or("");
         let body = self.admin_report(&about.split('/').collect::<Vec<_>>(), after);
         let (status, body) = match body.to_string() {
-            text if text.len() <= FRAME_MAX => (200, text),
+            text if text.len() <= FRAME_PAYLOAD_BYTES_MAX => (200, text),
             text => {
                 let bytes = text.len();
                 log::error!(
-                    "answer to an operator does not fit a frame about={about} bytes={bytes} max={FRAME_MAX}"
+                    "answer to an operator does not fit a frame about={about} bytes={bytes} max={FRAME_PAYLOAD_BYTES_MAX}"
                 );
                 let error = "the answer does not fit a frame between controllers: ask the leader";
                 (500, json!({ "error": error }).to_string())
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -21,7 +21,7 @@
 use crate::schema::{self, Schema, chunk_key};
 use crate::state_client::{Item, Op, Raw, Reply, RequestPriority, Transaction};
 use crate::wire::{
-    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, valid_uid,
+    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_PROGRESS, ProgressRow, is_valid_uid,
 };
 use serde_json::{Value, json};
 use std::collections::BTreeSet;
@@ -192,7 +192,7 @@
 
     /// Answers a client's poll of a job.
     fn poll_job(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
@@ -366,7 +366,7 @@
 
     /// Cancels a job for a client.
     fn cancel_job(&mut self, conn: ConnId, uid: &str) {
-        if !valid_uid(uid) {
+        if !is_valid_uid(uid) {
             return self.respond_error(conn, &ApiError::NoSuchJob);
         }
         if self.answer_from_final_state(conn, uid) {
@@ -452,7 +452,7 @@
         reply: Reply,
     ) {
         match reply {
-            Reply::Item(item) if over && fault_injected(InjectedFault::FinalOverwritten) => {
+            Reply::Item(item) if over && fault_injected(InjectedFault::FinalStateOverwritten) => {
                 self.overwrite_final_state(conn, uid, tries, &item);
             }
             Reply::Item(item) if over => self.respond_stored_state(conn, &uid, true, item),
--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -109,7 +109,7 @@
     /// be left on them.
     fn forget_vanished_machines(&mut self) {
         let now = self.now.steady;
-        let lease = self.settings.lease();
+        let lease = self.settings.worker_lease();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -262,7 +262,7 @@
         let idle_delay = if quiet {
             IDLE_CLUSTER_RELEASE_DELAY
         } else {
-            self.properties.idle_return
+            self.properties.idle_release_timeout
         };
         for machine in leader_state.workers.machines.values_mut() {
             if leader_state.rented.contains(&machine.id)
--- a/src/controller/client_requests.rs
+++ b/src/controller/client_requests.rs
@@ -167,12 +167,12 @@
 
     /// A request about that job could not be answered.
     pub(super) fn note_failure(&mut self, now: Micros, uid: &str) {
-        self.starvation.note_failure(now, uid);
+        self.starvation.record_failure(now, uid);
     }
 
     /// A request about that job was answered.
     pub(super) fn note_answer(&mut self, uid: &str) {
-        self.starvation.note_answer(uid);
+        self.starvation.record_answer(uid);
     }
 
     /// Whether requests about that job have gone without an answer for long.
@@ -182,7 +182,7 @@
 
     /// How many jobs are without an answer, and for how long at most, in microseconds.
     pub(super) fn worst_starvation(&self, now: Micros) -> (usize, Micros) {
-        self.starvation.worst(now)
+        self.starvation.starved_subjects(now)
     }
 
     /// When the next polls are to be checked.
@@ -244,7 +244,7 @@
         if starved_first {
             let starvation = &self.starvation;
             self.polls
-                .sort_by_key(|poll| Reverse(starvation.waited(now, &poll.uid)));
+                .sort_by_key(|poll| Reverse(starvation.unanswered_for(now, &poll.uid)));
         }
         let batch = self.polls.drain(..max.min(self.polls.len())).collect();
         self.poll_batch_due_at = if self.polls.is_empty() {
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -81,7 +81,7 @@
         let (load, failover) = self.begin_load(mod_revision);
         let schema = self.schema();
         let settings = &self.settings;
-        let (lease, report_period) = (settings.lease(), settings.report_period());
+        let (lease, heartbeat_period) = (settings.worker_lease(), settings.heartbeat_period());
         let seed = self.rng_seed ^ term;
         LeaderState {
             term,
@@ -93,7 +93,7 @@
                 term,
                 now,
                 lease,
-                report_period,
+                heartbeat_period,
                 self.peer_links.addresses(),
             ),
             scheduler: Scheduler::new(&self.properties, settings, schema, seed, now),
@@ -108,7 +108,7 @@
             jobs_revision: 0,
             // What the state is loaded from is not older than the election.
             cancellation_freshness: CancellationFreshness::new(
-                validity_from_settings(lease, settings.cancel()),
+                validity_from_settings(lease, settings.cancellation_deadline()),
                 sent,
             ),
             job_revisions: HashMap::default(),
@@ -146,7 +146,7 @@
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        let timeout = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.report_period());
+        let timeout = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.heartbeat_period());
         let heard_at = leader_state
             .workers
             .any_machine_seen_at
@@ -216,7 +216,7 @@
         if loaded.unreadable > 0 || registry_unreadable {
             // Placements that nobody can read: what the machines don't report within their lease
             // is surely not there.
-            leader_state.starts_held_until = now + drift_upper_bound(self.settings.lease());
+            leader_state.starts_held_until = now + drift_upper_bound(self.settings.worker_lease());
             log::error!("stored records unreadable; no task starts until all leases have expired");
         }
         let waiting: Vec<Arc<str>> = leader_state
@@ -320,7 +320,7 @@
         context: &LoadContext,
         replica: &mut Replica,
     ) -> LoadedJobs {
-        let skipped = usize::from(fault_injected(InjectedFault::JobForgotten));
+        let skipped = usize::from(fault_injected(InjectedFault::LiveJobSkippedOnTakeover));
         let mut loaded = LoadedJobs::default();
         let live = std::mem::take(&mut replica.live);
         let stopping = std::mem::take(&mut replica.stopping);
@@ -384,7 +384,7 @@
         });
         let machines = leader_state.workers.machines.len();
         leader_state.reconciliation =
-            Reconciliation::new(now, machines, self.settings.report_period());
+            Reconciliation::new(now, machines, self.settings.heartbeat_period());
         let completion_rate = leader_state
             .scheduler
             .expect_completion_rate(now, &leader_state.workers);
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -14,8 +14,9 @@
 use crate::reconciliation::ReconciliationPhase;
 use crate::settings::Peer;
 use crate::wire::{
-    AnswerRow, Commands, FRAME_MAX, Heartbeat, HeartbeatRow, HeartbeatSummary, KIND_HEARTBEAT,
-    KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, ProbeRow, SEND_FULL_HEARTBEAT,
+    AnswerRow, Commands, FRAME_PAYLOAD_BYTES_MAX, Heartbeat, HeartbeatRow, HeartbeatSummary,
+    KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, ProbeRow,
+    SEND_FULL_HEARTBEAT,
 };
 use crate::worker_ledger::{RepeatOutcome, first_fencing_token};
 use serde_json::json;
@@ -26,7 +27,7 @@
 const PROBE_ROWS_PER_FRAME: usize = 512;
 /// Answers to a batch go in one frame: past this many bytes the other heartbeats of the batch are not applied yet.
 /// One answer, of at most some hundred commands, is shorter than what is left of the frame.
-const ANSWER_FRAME_BYTES_MAX: usize = FRAME_MAX - 128 * 1024;
+const ANSWER_FRAME_BYTES_MAX: usize = FRAME_PAYLOAD_BYTES_MAX - 128 * 1024;
 /// At an overloaded node a heartbeat may wait this long for the leader's answer. Its worker waits 4 s: were it given up
 /// earlier, a leader that is 2 s behind would see every worker reconnect, which puts it further behind.
 const OVERLOADED_HEARTBEAT_TIMEOUT: Micros = 3 * SECOND;
@@ -124,7 +125,7 @@
     pub(super) fn probe_workers(&mut self) {
         let now = self.now.steady;
         if let Some(record) = self.election.leader() {
-            let since = now.saturating_sub(2 * self.settings.report_period());
+            let since = now.saturating_sub(2 * self.settings.heartbeat_period());
             let term = record.term;
             self.worker_probe
                 .begin_term(now, term, first_fencing_token(term), since);
@@ -289,7 +290,7 @@
                 ticket: self.tickets,
                 dest,
                 kind: KIND_HEARTBEAT_BATCH,
-                addr: self.settings.name.clone(),
+                subject: self.settings.name.clone(),
                 body,
                 timeout: self.heartbeat_timeout(),
             });
--- a/src/controller/maintenance.rs
+++ b/src/controller/maintenance.rs
@@ -174,7 +174,7 @@
                 if held.is_stopping() {
                     continue;
                 }
-                if spec.saves() {
+                if spec.saves_checkpoints() {
                     if left < from_secs(spec.save_s) + CHECKPOINT_MARGIN {
                         stops.push((machine.id.clone(), *task, *attempt, spec.save_s.max(0.1)));
                     }
--- a/src/controller/peer_requests.rs
+++ b/src/controller/peer_requests.rs
@@ -62,7 +62,7 @@
             ticket: self.tickets,
             dest,
             kind: request.kind,
-            addr: request.addr,
+            subject: request.addr,
             body: request.body,
             timeout: request.timeout,
         });
--- a/src/controller/standby.rs
+++ b/src/controller/standby.rs
@@ -361,7 +361,7 @@
             return;
         };
         standby.leader_checksum = None;
-        if own == leader.checksum || fault_injected(InjectedFault::MirrorUnchecked) {
+        if own == leader.checksum || fault_injected(InjectedFault::ReplicaChecksumIgnored) {
             standby.verified_revision = Some(leader.revision);
         } else {
             self.discard_replica(ColdReason::ChecksumDiffers);
@@ -440,7 +440,7 @@
         let cold_reason = load.cold_reason;
         let replica = &self.standby.replica;
         let stale = replica.revision() < load.required_revision
-            && !fault_injected(InjectedFault::CatchUpSkipped);
+            && !fault_injected(InjectedFault::ReplicaCatchUpSkipped);
         if replica.is_complete() && !stale {
             return self.build_leader_state(cold_reason);
         }
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -17,7 +17,7 @@
 use crate::schema::{self, SCHEMA_VERSION, Schema};
 use crate::seeded_hash::HashMap;
 use crate::state_client::{Op, Raw, Reply, Transaction, raw};
-use crate::wire::{JobKind, JobSpec, valid_uid};
+use crate::wire::{JobKind, JobSpec, is_valid_uid};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -125,7 +125,7 @@
             // What was accepted when the cloud offered more stays accepted.
             return self.reject_unless_known(conn, uid, false, reason);
         }
-        let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
+        let is_invalid = |dependency: &&Arc<str>| !is_valid_uid(dependency) || **dependency == uid;
         if let Some(dependency) = spec.waits_on.iter().find(is_invalid) {
             let shown: String = dependency.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
@@ -159,7 +159,7 @@
             .set_raw(live_key(&uid), value);
         // A job that is over is not live any more: carried out late, after a repeat was accepted
         // and done, the write would otherwise bring it back.
-        if !fault_injected(InjectedFault::AbsenceTrusted) {
+        if !fault_injected(InjectedFault::AbsentKeyAssumedUnwritten) {
             txn = txn.require_revision(finished_key(&uid), 0);
         }
         self.request_state(
--- a/src/controller/task_events.rs
+++ b/src/controller/task_events.rs
@@ -398,7 +398,9 @@
             return;
         };
         let index = event.task.index;
-        if job.stored_done.contains(&index) || fault_injected(InjectedFault::ReapedEarly) {
+        if job.stored_done.contains(&index)
+            || fault_injected(InjectedFault::AcknowledgedBeforeStored)
+        {
             leader_state
                 .workers
                 .allow_acknowledge(&event.machine, event.task, event.attempt);
--- a/src/election.rs
+++ b/src/election.rs
@@ -333,7 +333,8 @@
     pub fn is_valid(&self, now: Micros) -> bool {
         let held = self.leadership.as_ref();
         held.is_some_and(|held| {
-            now < held.valid_until() || fault_injected(InjectedFault::AnswerPastGrant)
+            now < held.valid_until()
+                || fault_injected(InjectedFault::HeartbeatAnsweredAfterLeaseExpiry)
         })
     }
 
@@ -498,7 +499,7 @@
             self.former_term = None;
         }
         if let Some((record, mod_revision)) = &stored
-            && fault_injected(InjectedFault::FormerKeyKept)
+            && fault_injected(InjectedFault::PreviousLeaderKeyKept)
             && self.leadership.is_none()
             && record.node == self.node_name
         {
@@ -521,7 +522,7 @@
         Some(LeadershipChange::Lost)
     }
 
-    /// Acts as leader under the key of an earlier incarnation: what [`InjectedFault::FormerKeyKept`] does.
+    /// Acts as leader under the key of an earlier incarnation: what [`InjectedFault::PreviousLeaderKeyKept`] does.
     fn resume_former_leadership(
         &mut self,
         now: Micros,
@@ -697,8 +698,8 @@
         let last_term = stored
             .and_then(|item| serde_json::from_str::<StoredTerm>(item.value.get()).ok())
             .map_or(0, |stored| stored.term);
-        let reused =
-            fault_injected(InjectedFault::FormerTermReused) && self.former_term == Some(last_term);
+        let reused = fault_injected(InjectedFault::PreviousTermReused)
+            && self.former_term == Some(last_term);
         let term = if reused { last_term } else { last_term + 1 };
         let record = self.own_record(term, lease.lease_id);
         let transaction = Transaction::default()
--- a/src/fault_injection.rs
+++ b/src/fault_injection.rs
@@ -10,83 +10,92 @@
     /// A start command is sent before the placement is stored.
     StartBeforeStored,
     /// A machine's fence counter is not raised when the answer to a direct command is lost.
-    FenceNotRaised,
+    FenceCounterNotRaised,
     /// A stored placement that no heartbeat has confirmed is given up one second after a failover.
-    HoldLetGo,
+    UnconfirmedPlacementDropped,
     /// A task that its machine has not confirmed is not charged to its team's quota.
-    QuotaUncharged,
+    UnconfirmedTaskNotCharged,
     /// Workers are answered with 200 after the leader's lease has expired.
-    AnswerPastGrant,
+    HeartbeatAnsweredAfterLeaseExpiry,
     /// The end of an attempt is acknowledged before it is stored.
-    ReapedEarly,
+    AcknowledgedBeforeStored,
     /// Attempt numbers start again at the same value in each term.
-    AttemptReused,
+    AttemptNumbersReused,
     /// A cancellation overwrites the final state of a job.
-    FinalOverwritten,
+    FinalStateOverwritten,
     /// Names of rentals are numbered from the start again in each process incarnation.
-    HireReused,
+    RentalNamesReused,
     /// A new leader skips the first of the live jobs.
-    JobForgotten,
+    LiveJobSkippedOnTakeover,
     /// A standby's replica is not compared with the leader's checksum.
-    MirrorUnchecked,
+    ReplicaChecksumIgnored,
     /// A new leader does not read the changes since its replica was last updated.
-    CatchUpSkipped,
+    ReplicaCatchUpSkipped,
     /// Each process incarnation numbers its calls from 0, so that an answer to the incarnation before is taken
     /// for an answer to its own call.
     TicketsReused,
     /// A process that finds the leader key of its earlier incarnation acts as leader under that key, and renews
     /// its lease.
-    FormerKeyKept,
+    PreviousLeaderKeyKept,
     /// A process that revokes the lease of its earlier incarnation becomes leader again under the same term, and
     /// so with the same fencing tokens and attempt numbers.
-    FormerTermReused,
+    PreviousTermReused,
     /// A restarted leader is assumed to hold the heartbeats that its earlier incarnation held: a heartbeat that
     /// repeats the last one is accepted without it.
-    FormerDigestsTrusted,
+    PreviousDigestsTrusted,
     /// A leader's knowledge of cancellations never becomes stale.
-    KnowledgeNeverAges,
+    CancellationsNeverStale,
     /// A leader whose leadership was not valid for a while acts on what it knew before, without reading the
     /// changes since.
-    RegainedUnseen,
+    CatchUpSkippedAfterRegain,
     /// A machine whose heartbeats arrive is assumed to receive the answers and commands.
-    HearingAssumed,
+    ReachabilityAssumed,
     /// A repeated copy of an old heartbeat is accepted as a new one.
-    CopyTaken,
+    DuplicateHeartbeatAccepted,
     /// A key that is absent is assumed never to have been written.
-    AbsenceTrusted,
+    AbsentKeyAssumedUnwritten,
     /// A stored placement is taken for the attempt that any heartbeat shows, even before the machine has
     /// confirmed the term.
-    PlacementShownEarly,
+    PlacementMatchedBeforeConfirmation,
 }
 
 impl InjectedFault {
     /// All faults, by the names by which they are chosen in scenarios and on the command line.
     pub const ALL: [(&'static str, InjectedFault); 22] = [
         ("start-before-stored", InjectedFault::StartBeforeStored),
-        ("fence-not-raised", InjectedFault::FenceNotRaised),
-        ("hold-let-go", InjectedFault::HoldLetGo),
-        ("quota-uncharged", InjectedFault::QuotaUncharged),
-        ("answer-past-grant", InjectedFault::AnswerPastGrant),
-        ("reaped-early", InjectedFault::ReapedEarly),
-        ("attempt-reused", InjectedFault::AttemptReused),
-        ("final-overwritten", InjectedFault::FinalOverwritten),
-        ("hire-reused", InjectedFault::HireReused),
-        ("job-forgotten", InjectedFault::JobForgotten),
-        ("mirror-unchecked", InjectedFault::MirrorUnchecked),
-        ("catch-up-skipped", InjectedFault::CatchUpSkipped),
+        ("fence-not-raised", InjectedFault::FenceCounterNotRaised),
+        ("hold-let-go", InjectedFault::UnconfirmedPlacementDropped),
+        ("quota-uncharged", InjectedFault::UnconfirmedTaskNotCharged),
+        (
+            "answer-past-grant",
+            InjectedFault::HeartbeatAnsweredAfterLeaseExpiry,
+        ),
+        ("reaped-early", InjectedFault::AcknowledgedBeforeStored),
+        ("attempt-reused", InjectedFault::AttemptNumbersReused),
+        ("final-overwritten", InjectedFault::FinalStateOverwritten),
+        ("hire-reused", InjectedFault::RentalNamesReused),
+        ("job-forgotten", InjectedFault::LiveJobSkippedOnTakeover),
+        ("mirror-unchecked", InjectedFault::ReplicaChecksumIgnored),
+        ("catch-up-skipped", InjectedFault::ReplicaCatchUpSkipped),
         ("tickets-reused", InjectedFault::TicketsReused),
-        ("former-key-kept", InjectedFault::FormerKeyKept),
-        ("former-term-reused", InjectedFault::FormerTermReused),
+        ("former-key-kept", InjectedFault::PreviousLeaderKeyKept),
+        ("former-term-reused", InjectedFault::PreviousTermReused),
         (
             "former-digests-trusted",
-            InjectedFault::FormerDigestsTrusted,
+            InjectedFault::PreviousDigestsTrusted,
+        ),
+        (
+            "knowledge-never-ages",
+            InjectedFault::CancellationsNeverStale,
+        ),
+        ("regained-unseen", InjectedFault::CatchUpSkippedAfterRegain),
+        ("hearing-assumed", InjectedFault::ReachabilityAssumed),
+        ("copy-taken", InjectedFault::DuplicateHeartbeatAccepted),
+        ("absence-trusted", InjectedFault::AbsentKeyAssumedUnwritten),
+        (
+            "placement-shown-early",
+            InjectedFault::PlacementMatchedBeforeConfirmation,
         ),
-        ("knowledge-never-ages", InjectedFault::KnowledgeNeverAges),
-        ("regained-unseen", InjectedFault::RegainedUnseen),
-        ("hearing-assumed", InjectedFault::HearingAssumed),
-        ("copy-taken", InjectedFault::CopyTaken),
-        ("absence-trusted", InjectedFault::AbsenceTrusted),
-        ("placement-shown-early", InjectedFault::PlacementShownEarly),
     ];
 }
 
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -15,7 +15,7 @@
 use crate::seeded_hash::HashMap;
 use crate::state_client::raw;
 use crate::task_id::{JobDirectory, TaskId};
-use crate::wire::{FRAME_MAX, JobKind, JobSpec, Priority, ProgressRow};
+use crate::wire::{FRAME_PAYLOAD_BYTES_MAX, JobKind, JobSpec, Priority, ProgressRow};
 use rangemap::RangeSet;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -418,7 +418,7 @@
 }
 
 /// The most rows of a progress frame: what a frame takes, less the sender's name.
-const PROGRESS_ROWS: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
+const PROGRESS_ROWS: usize = (FRAME_PAYLOAD_BYTES_MAX - 1024) / size_of::<ProgressRow>();
 
 impl Progress {
     /// What the leader announces of its live jobs, and how many of them do not fit a frame. Polls of those are
--- a/src/load_shedding.rs
+++ b/src/load_shedding.rs
@@ -81,7 +81,7 @@
 
 impl LoadMonitor {
     /// Takes how long the oldest input has waited that was just handled or still waits.
-    pub fn note_wait(&mut self, now: Micros, waited: Micros) {
+    pub fn record_wait(&mut self, now: Micros, waited: Micros) {
         let aged =
             self.lag * 0.5f64.powf(now.saturating_sub(self.noted_at) as f64 / LAG_HALF_LIFE as f64);
         self.lag = aged.max(waited as f64);
--- a/src/loop_timing.rs
+++ b/src/loop_timing.rs
@@ -62,7 +62,7 @@
     }
 
     /// The loop has waited for input; `idle` says that none arrived.
-    pub fn note_turn(&mut self, idle: bool) {
+    pub fn record_iteration(&mut self, idle: bool) {
         self.turns += 1;
         self.idle_turns += u64::from(idle);
     }
--- a/src/main.rs
+++ b/src/main.rs
@@ -79,14 +79,15 @@
     let show = |path: String| -> Result<(), String> {
         println!(
             "{}",
-            admin_client::pretty(&admin_client::ask(settings.listen, &path)?)
+            admin_client::format_json(&admin_client::fetch(settings.listen, &path)?)
         );
         Ok(())
     };
     let list = |path: String, list: &str| -> Result<(), String> {
-        let all =
-            admin_client::ask_all(&path, list, |page| admin_client::ask(settings.listen, page))?;
-        println!("{}", admin_client::pretty(&all));
+        let all = admin_client::fetch_all_pages(&path, list, |page| {
+            admin_client::fetch(settings.listen, page)
+        })?;
+        println!("{}", admin_client::format_json(&all));
         Ok(())
     };
     match cli.command {
@@ -128,12 +129,14 @@
     if let Some(warning) = settings.warning() {
         log::warn!("{warning}");
     }
-    if let Some(warning) = open_files::secure(settings.deployment.process_limits.max_connections) {
+    if let Some(warning) =
+        open_files::raise_limit(settings.deployment.process_limits.max_connections)
+    {
         log::warn!("{warning}");
     }
     let now = clock.now();
     let run = run_number(&settings.name, now.wall);
-    dewramp::seeded_hash::seed(run);
+    dewramp::seeded_hash::set_seed(run);
     let mut event_loop: EventLoop<Net> =
         EventLoop::try_new().map_err(|e| format!("event loop: {e}"))?;
     let mut net = Net::new(
@@ -141,7 +144,7 @@
         settings.deployment.process_limits.max_connections,
     );
     net.set_now(now.steady);
-    net.set_report_period(settings.report_period());
+    net.set_heartbeat_period(settings.heartbeat_period());
     net.listen(settings.listen, false)
         .map_err(|e| format!("listening on {}: {e}", settings.listen))?;
     net.listen(settings.peer_listen, true)
@@ -191,11 +194,11 @@
             // What was taken just now, and what still waits, has waited since.
             let before = clock.now();
             net.set_now(before.steady);
-            load.note_wait(
+            load.record_wait(
                 before.steady,
                 net.longest_wait().max(before.steady - looked),
             );
-            net.set_shed(load.shed_level(), load.retry_after(0));
+            net.set_shed_level(load.shed_level(), load.retry_after(0));
             load.connection_pressure = net.connection_pressure();
             node.set_loop_load(load);
             now = before;
@@ -224,7 +227,7 @@
             now = clock.now();
             net.set_now(now.steady);
             if more {
-                load.note_wait(now.steady, now.steady - looked);
+                load.record_wait(now.steady, now.steady - looked);
                 looked = now.steady;
             }
             net.expire();
@@ -248,6 +251,6 @@
             .dispatch(Some(Duration::from_micros(wait)), &mut net)
             .map_err(|e| format!("event loop: {e}"))?;
         looked = looked.max(clock.now().steady);
-        spent.note_turn(net.traffic.events == events);
+        spent.record_iteration(net.traffic.events == events);
     }
 }
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -67,9 +67,9 @@
         /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
         /// How long the sender waits for the answer, in microseconds.
-        patience: Micros,
+        timeout: Micros,
         /// What it is about; its meaning depends on the kind.
-        addr: String,
+        subject: String,
         /// The payload, in the format of the kind.
         body: Vec<u8>,
     },
@@ -129,7 +129,7 @@
         /// What it asks for, one of the `KIND_` constants of [`crate::wire`].
         kind: u16,
         /// What it is about; its meaning depends on the kind.
-        addr: String,
+        subject: String,
         /// The payload, in the format of the kind.
         body: Vec<u8>,
         /// The call ends as lost after this time, in microseconds.
--- a/src/net.rs
+++ b/src/net.rs
@@ -14,7 +14,7 @@
 use crate::messages::{ConnId, Dest, Input, Outcome, Output, Ticket};
 use crate::request_starvation::RequestStarvation;
 use crate::seeded_hash::HashMap;
-use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, MAX_BODY};
+use crate::wire::{FRAME_LOST, FRAME_NOT_SENT, KIND_ANSWER, REQUEST_BODY_BYTES_MAX};
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use frames::OutgoingFrame;
@@ -252,12 +252,12 @@
     }
 
     /// Sets which client requests are refused unparsed, and after how many seconds they may be retried.
-    pub fn set_shed(&mut self, shed: ShedLevel, retry_after: u32) {
+    pub fn set_shed_level(&mut self, shed: ShedLevel, retry_after: u32) {
         (self.shed_level, self.retry_after) = (shed, retry_after);
     }
 
     /// Sets how often a worker sends a heartbeat.
-    pub fn set_report_period(&mut self, period: Micros) {
+    pub fn set_heartbeat_period(&mut self, period: Micros) {
         self.idle_peer_gone_after = IDLE_PEER_GONE_PERIODS * period;
     }
 
@@ -578,7 +578,9 @@
                 }
                 Ok(n) => {
                     c.input.extend_from_slice(&chunk[..n]);
-                    if c.role == Role::Server && c.input.len() > MAX_BODY + HTTP_HEAD_BYTES_MAX {
+                    if c.role == Role::Server
+                        && c.input.len() > REQUEST_BODY_BYTES_MAX + HTTP_HEAD_BYTES_MAX
+                    {
                         self.consume(id);
                     }
                     if n < chunk.len() {
@@ -692,8 +694,8 @@
                     kind: KIND_ANSWER,
                     status,
                     ticket,
-                    patience: 0,
-                    addr: "",
+                    timeout: 0,
+                    subject: "",
                     body: &body,
                 };
                 self.write_frame(conn, &answer);
@@ -724,11 +726,11 @@
                 ticket,
                 dest,
                 kind,
-                addr,
+                subject,
                 body,
                 timeout,
             } => {
-                if !Self::fits_frame(kind, &addr, &body) {
+                if !Self::fits_frame(kind, &subject, &body) {
                     let outcome = Outcome::NotSent;
                     return self.push_input(Input::Outcome { ticket, outcome });
                 }
@@ -739,8 +741,8 @@
                     kind,
                     status: 0,
                     ticket,
-                    patience: timeout,
-                    addr: &addr,
+                    timeout,
+                    subject: &subject,
                     body: &body,
                 };
                 self.write_frame(id, &request);
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -4,7 +4,8 @@
 use crate::clock::Micros;
 use crate::messages::{ConnId, Input, Outcome, Ticket};
 use crate::wire::{
-    FRAME_HEAD, FRAME_LOST, FRAME_MAGIC, FRAME_MAX, FRAME_NOT_SENT, FrameHead, KIND_ANSWER,
+    FRAME_HEADER_BYTES, FRAME_LOST, FRAME_MAGIC, FRAME_NOT_SENT, FRAME_PAYLOAD_BYTES_MAX,
+    FrameHeader, KIND_ANSWER,
 };
 use zerocopy::{FromBytes, IntoBytes};
 
@@ -15,8 +16,8 @@
     pub(super) status: u16,
     pub(super) ticket: Ticket,
     /// How long the answer is waited for, in microseconds.
-    pub(super) patience: Micros,
-    pub(super) addr: &'a str,
+    pub(super) timeout: Micros,
+    pub(super) subject: &'a str,
     pub(super) body: &'a [u8],
 }
 
@@ -26,11 +27,11 @@
         let Some(c) = self.conns.get_mut(&id) else {
             return false;
         };
-        let Ok((head, rest)) = FrameHead::read_from_prefix(&c.input) else {
+        let Ok((head, rest)) = FrameHeader::read_from_prefix(&c.input) else {
             return false;
         };
-        let (len, addr_len) = (head.len.get() as usize, head.addr_len.get() as usize);
-        if head.magic.get() != FRAME_MAGIC || len > FRAME_MAX || addr_len > len {
+        let (len, subject_len) = (head.len.get() as usize, head.subject_len.get() as usize);
+        if head.magic.get() != FRAME_MAGIC || len > FRAME_PAYLOAD_BYTES_MAX || subject_len > len {
             log::error!("a controller sent a malformed frame; closing that link");
             self.close(id);
             return false;
@@ -38,9 +39,9 @@
         if rest.len() < len {
             return false;
         }
-        let addr = String::from_utf8_lossy(&rest[..addr_len]).into_owned();
-        let body = rest[addr_len..len].to_vec();
-        c.input.drain(..FRAME_HEAD + len);
+        let subject = String::from_utf8_lossy(&rest[..subject_len]).into_owned();
+        let body = rest[subject_len..len].to_vec();
+        c.input.drain(..FRAME_HEADER_BYTES + len);
         let ticket = head.ticket.get();
         if head.kind.get() == KIND_ANSWER {
             c.waiting_calls.retain(|t| *t != ticket);
@@ -52,13 +53,13 @@
             };
             self.finish(ticket, outcome);
         } else {
-            let (kind, patience) = (head.kind.get(), head.patience.get());
+            let (kind, timeout) = (head.kind.get(), head.timeout.get());
             self.push_input(Input::PeerRequest {
                 conn: id,
                 ticket,
                 kind,
-                patience,
-                addr,
+                timeout,
+                subject,
                 body,
             });
         }
@@ -67,12 +68,14 @@
 
     /// Whether a payload fits a frame. The receiver of a longer frame would close the link, and with it all calls and
     /// heartbeats on it, so what does not fit is refused here.
-    pub(super) fn fits_frame(kind: u16, addr: &str, body: &[u8]) -> bool {
-        let length = addr.len() + body.len();
-        if length > FRAME_MAX {
-            log::error!("not sent: {length} bytes of kind {kind}, a frame takes {FRAME_MAX}");
+    pub(super) fn fits_frame(kind: u16, subject: &str, body: &[u8]) -> bool {
+        let length = subject.len() + body.len();
+        if length > FRAME_PAYLOAD_BYTES_MAX {
+            log::error!(
+                "not sent: {length} bytes of kind {kind}, a frame takes {FRAME_PAYLOAD_BYTES_MAX}"
+            );
         }
-        length <= FRAME_MAX
+        length <= FRAME_PAYLOAD_BYTES_MAX
     }
 
     /// Writes a frame to a link; a link that takes nothing any more is closed.
@@ -84,17 +87,17 @@
             self.close(id);
             return;
         }
-        let head = FrameHead {
+        let head = FrameHeader {
             magic: FRAME_MAGIC.into(),
             kind: frame.kind.into(),
             status: frame.status.into(),
             ticket: frame.ticket.into(),
-            patience: frame.patience.into(),
-            addr_len: (frame.addr.len() as u32).into(),
-            len: ((frame.addr.len() + frame.body.len()) as u32).into(),
+            timeout: frame.timeout.into(),
+            subject_len: (frame.subject.len() as u32).into(),
+            len: ((frame.subject.len() + frame.body.len()) as u32).into(),
         };
         c.output.extend_from_slice(head.as_bytes());
-        c.output.extend_from_slice(frame.addr.as_bytes());
+        c.output.extend_from_slice(frame.subject.as_bytes());
         c.output.extend_from_slice(frame.body);
         self.flush(id);
     }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -5,7 +5,7 @@
     SERVER_IDLE_TIMEOUT,
 };
 use crate::messages::{ConnId, Input, Outcome};
-use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, MAX_BODY};
+use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, REQUEST_BODY_BYTES_MAX};
 
 /// This many 503 answers in a row close a client's connection.
 const REFUSALS_BEFORE_CLOSE: u8 = 2;
@@ -92,7 +92,7 @@
                 c.close_after = true;
             }
         }
-        if length > MAX_BODY {
+        if length > REQUEST_BODY_BYTES_MAX {
             return self.reject_malformed(id, 413, "a request body is limited to 64 KiB");
         }
         if c.input.len() < head + length {
@@ -139,10 +139,10 @@
         let again = self.starvation.is_starved(self.now, path);
         let refused = crowd || (self.shed_level.refuses(path) && !again);
         if again {
-            self.starvation.note_answer(path);
+            self.starvation.record_answer(path);
         }
         if refused {
-            self.starvation.note_failure(self.now, path);
+            self.starvation.record_failure(self.now, path);
             self.refused_requests += 1;
             let retry_after = self.retry_after + (id % u64::from(self.retry_after)) as u32;
             let body = br#"{"error":"too much to do at the moment; come again later"}"#;
--- a/src/open_files.rs
+++ b/src/open_files.rs
@@ -9,7 +9,7 @@
 
 /// What is to be done about the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Plan {
+pub enum LimitPlan {
     /// The soft limit suffices.
     Enough,
     /// The soft limit can be raised to what is needed.
@@ -27,27 +27,27 @@
 }
 
 /// What `max_connections` needs of the limits; `None` is no limit.
-pub fn plan(max_connections: usize, soft: Option<u64>, hard: Option<u64>) -> Plan {
+pub fn plan_limit(max_connections: usize, soft: Option<u64>, hard: Option<u64>) -> LimitPlan {
     let needed = (max_connections as u64).saturating_add(RESERVE);
     match (soft, hard) {
-        (None, _) => Plan::Enough,
-        (Some(soft), _) if soft >= needed => Plan::Enough,
-        (_, Some(hard)) if hard < needed => Plan::Short {
+        (None, _) => LimitPlan::Enough,
+        (Some(soft), _) if soft >= needed => LimitPlan::Enough,
+        (_, Some(hard)) if hard < needed => LimitPlan::Short {
             to: hard,
             missing: needed - hard,
         },
-        _ => Plan::Raise { to: needed },
+        _ => LimitPlan::Raise { to: needed },
     }
 }
 
 /// Raises this process's soft limit as far as `max_connections` needs it and the hard limit allows. Returns a
 /// warning for the log when that is not enough.
-pub fn secure(max_connections: usize) -> Option<String> {
+pub fn raise_limit(max_connections: usize) -> Option<String> {
     let now = getrlimit(Resource::Nofile);
-    let (to, missing) = match plan(max_connections, now.current, now.maximum) {
-        Plan::Enough => return None,
-        Plan::Raise { to } => (to, 0),
-        Plan::Short { to, missing } => (to, missing),
+    let (to, missing) = match plan_limit(max_connections, now.current, now.maximum) {
+        LimitPlan::Enough => return None,
+        LimitPlan::Raise { to } => (to, 0),
+        LimitPlan::Short { to, missing } => (to, missing),
     };
     let raised = Rlimit {
         current: Some(to),
--- a/src/request_starvation.rs
+++ b/src/request_starvation.rs
@@ -10,7 +10,7 @@
 
 /// A subject not asked about for this long is asked about elsewhere, or no more.
 const FORGET_AFTER: Micros = 60 * SECOND;
-/// The most subjects remembered; the first are kept, since they have waited longest.
+/// The most subjects remembered; the first are kept, since they have unanswered_for longest.
 const TRACKED_MAX: usize = 16_384;
 /// Requests unanswered for this long precede all others: clients ask about every 5 s, and a job counts as forgotten
 /// when nobody answers for 75 s, at whichever controllers they asked meanwhile.
@@ -37,7 +37,7 @@
 
 impl RequestStarvation {
     /// A request about this subject was not answered.
-    pub fn note_failure(&mut self, now: Micros, about: &str) {
+    pub fn record_failure(&mut self, now: Micros, about: &str) {
         let key = xxh3_64(about.as_bytes());
         if self.unanswered.len() >= TRACKED_MAX && !self.unanswered.contains_key(&key) {
             self.unanswered.retain(|_, entry| entry.is_recent(now));
@@ -57,14 +57,14 @@
     }
 
     /// A request about this subject was answered.
-    pub fn note_answer(&mut self, about: &str) {
+    pub fn record_answer(&mut self, about: &str) {
         if !self.unanswered.is_empty() {
             self.unanswered.remove(&xxh3_64(about.as_bytes()));
         }
     }
 
     /// For how long requests about this subject have gone unanswered here, in microseconds.
-    pub fn waited(&self, now: Micros, about: &str) -> Micros {
+    pub fn unanswered_for(&self, now: Micros, about: &str) -> Micros {
         if self.unanswered.is_empty() {
             return 0;
         }
@@ -75,11 +75,11 @@
 
     /// Whether requests about this subject precede all others.
     pub fn is_starved(&self, now: Micros, about: &str) -> bool {
-        self.waited(now, about) >= STARVED_AFTER
+        self.unanswered_for(now, about) >= STARVED_AFTER
     }
 
     /// How many subjects had no answer, and the longest wait among them in microseconds.
-    pub fn worst(&self, now: Micros) -> (usize, Micros) {
+    pub fn starved_subjects(&self, now: Micros) -> (usize, Micros) {
         let recent = self
             .unanswered
             .values()
--- a/src/scheduler/context.rs
+++ b/src/scheduler/context.rs
@@ -12,7 +12,7 @@
 
 /// How long after its last heartbeat a machine may still be given new tasks.
 pub fn silence_limit(settings: &Settings) -> Micros {
-    settings.report_period() * SILENCE_LIMIT_REPORT_PERIODS
+    settings.heartbeat_period() * SILENCE_LIMIT_REPORT_PERIODS
 }
 
 /// The time of a pass and the configuration that it works with.
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -344,7 +344,7 @@
 
 /// The time that a preempted task gets to save its state; none for one that does not save.
 fn save_grace_s(spec: &JobSpec) -> f64 {
-    if spec.saves() {
+    if spec.saves_checkpoints() {
         spec.save_s.max(SAVE_GRACE_MIN_S)
     } else {
         0.0
--- a/src/scheduler/preempt/prospects.rs
+++ b/src/scheduler/preempt/prospects.rs
@@ -205,8 +205,8 @@
         {
             return false;
         }
-        let is_lower_priority =
-            victim.priority < job.priority() && (query.tier >= Tier::Guaranteed || victim.saves());
+        let is_lower_priority = victim.priority < job.priority()
+            && (query.tier >= Tier::Guaranteed || victim.saves_checkpoints());
         is_lower_priority
             || (query.tier == Tier::Guaranteed
                 && victim.team != spec.team
@@ -279,7 +279,7 @@
 /// Core-seconds lost by preempting a task now.
 fn preemption_loss(now: Micros, spec: &JobSpec, running_since: Option<Micros>) -> f64 {
     let ran_s = running_since.map_or(0.0, |since| to_secs(now.saturating_sub(since)));
-    let lost_s = if spec.saves() {
+    let lost_s = if spec.saves_checkpoints() {
         spec.save_s + PREEMPTION_OVERHEAD_S
     } else {
         ran_s + PREEMPTION_OVERHEAD_S
--- a/src/seeded_hash.rs
+++ b/src/seeded_hash.rs
@@ -18,7 +18,7 @@
 
 /// Sets the seed of all maps and sets created from now on. Users choose the ids of their jobs: a program that
 /// serves them must choose a seed that they can't know.
-pub fn seed(seed: u64) {
+pub fn set_seed(seed: u64) {
     SEED.store(seed, Ordering::Relaxed);
 }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -120,7 +120,7 @@
     pub cloud: CloudLimits,
     /// The limits of the machine that a controller runs on.
     #[serde(rename = "machine_limits")]
-    pub process_limits: MachineLimits,
+    pub process_limits: ProcessLimits,
 }
 
 fn default_clock_offset_max_ms() -> f64 {
@@ -243,7 +243,7 @@
 
 /// The limits of the machine that a controller runs on.
 #[derive(Clone, Debug, Deserialize)]
-pub struct MachineLimits {
+pub struct ProcessLimits {
     /// The most open connections.
     pub max_connections: usize,
     /// The controller's share of one core. Only checked here: what a node can take on is learned from how far it
@@ -311,24 +311,24 @@
     }
 
     /// How long after it sent the last heartbeat that was answered a worker's lease expires.
-    pub fn lease(&self) -> Micros {
+    pub fn worker_lease(&self) -> Micros {
         from_secs(self.deployment.workers.lease_s)
     }
 
     /// How long after a confirmed cancellation the job's tasks may still be on machines.
-    pub fn cancel(&self) -> Micros {
+    pub fn cancellation_deadline(&self) -> Micros {
         from_secs(self.deployment.workers.cancel_s)
     }
 
     /// The time between two heartbeats of a worker.
-    pub fn report_period(&self) -> Micros {
+    pub fn heartbeat_period(&self) -> Micros {
         from_secs(self.deployment.workers.report_s)
     }
 
     /// What these settings make impossible to guarantee, in one line that says what to change.
     pub fn warning(&self) -> Option<String> {
         let limits = &self.deployment.workers;
-        if cancellation_slack(self.lease(), self.cancel()).is_some() {
+        if cancellation_slack(self.worker_lease(), self.cancellation_deadline()).is_some() {
             return None;
         }
         Some(format!(
@@ -337,7 +337,7 @@
              above lease_s",
             limits.cancel_s,
             limits.lease_s,
-            cancellation_slack_min_s(self.lease())
+            cancellation_slack_min_s(self.worker_lease())
         ))
     }
 
@@ -378,7 +378,7 @@
     }
 }
 
-impl MachineLimits {
+impl ProcessLimits {
     fn check(&self) -> Result<(), SettingsError> {
         check_positive_if_set("settings.machine_limits.cpu_share", self.cpu_share)?;
         check_positive_if_set("settings.machine_limits.ram_mb", self.memory_mb)?;
@@ -447,7 +447,7 @@
     /// How long the leader's lease lives without a renewal, at least.
     pub leader_ttl_min: Micros,
     /// A rented machine that has been idle for this long is released.
-    pub idle_return: Micros,
+    pub idle_release_timeout: Micros,
     /// Whether this controller may replicate the leader's state as a standby.
     pub follow: bool,
     /// Seed of the random numbers; 0: taken from the time of day.
@@ -462,7 +462,7 @@
             round: 10 * SECOND,
             leader_ttl: 3 * SECOND,
             leader_ttl_min: 1_500 * MILLISECOND,
-            idle_return: 600 * SECOND,
+            idle_release_timeout: 600 * SECOND,
             follow: true,
             seed: 0,
         }
@@ -507,7 +507,7 @@
             "standby.follow" => self.follow = number(0.0, 1.0)? > 0.0,
             "leader.ttl-seconds" => self.leader_ttl = from_secs(number(1.0, 600.0)?),
             "leader.ttl-min-seconds" => self.leader_ttl_min = from_secs(number(1.0, 600.0)?),
-            "cloud.idle-return-seconds" => self.idle_return = from_secs(number(1.0, 1e6)?),
+            "cloud.idle-return-seconds" => self.idle_release_timeout = from_secs(number(1.0, 1e6)?),
             _ => {
                 let expected = "no such property; see README, Settings".to_owned();
                 return Err(property_error(name, expected));
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -19,17 +19,19 @@
     MachineTypes, RELEASE_PATH, ReleaseRequest, RentalRequest,
 };
 pub use frames::{
-    AnswerRow, ChecksumRow, FRAME_HEAD, FRAME_LOST, FRAME_MAGIC, FRAME_MAX, FRAME_NOT_SENT,
-    FrameHead, HeartbeatRow, KIND_ADMIN_QUERY, KIND_ANSWER, KIND_CANCELLED, KIND_CHECKSUM,
-    KIND_CLIENT_REQUEST, KIND_DELIVER_COMMANDS, KIND_HEARTBEAT, KIND_HEARTBEAT_BATCH,
-    KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, KIND_PROGRESS, ProbeRow, ProgressRow,
-    SEND_FULL_HEARTBEAT,
+    AnswerRow, ChecksumRow, FRAME_HEADER_BYTES, FRAME_LOST, FRAME_MAGIC, FRAME_NOT_SENT,
+    FRAME_PAYLOAD_BYTES_MAX, FrameHeader, HeartbeatRow, KIND_ADMIN_QUERY, KIND_ANSWER,
+    KIND_CANCELLED, KIND_CHECKSUM, KIND_CLIENT_REQUEST, KIND_DELIVER_COMMANDS, KIND_HEARTBEAT,
+    KIND_HEARTBEAT_BATCH, KIND_PROBE_ANSWER, KIND_PROBE_WORKERS, KIND_PROGRESS, ProbeRow,
+    ProgressRow, SEND_FULL_HEARTBEAT,
 };
-pub use heartbeat_scan::{HeartbeatSummary, heartbeat_address, heartbeat_head, reports_no_tasks};
-pub use job_spec::{JobKind, JobSpec, JobSpecError, Priority, valid_uid};
+pub use heartbeat_scan::{
+    HeartbeatSummary, heartbeat_address, heartbeat_machine_and_epoch, reports_no_tasks,
+};
+pub use job_spec::{JobKind, JobSpec, JobSpecError, Priority, is_valid_uid};
 
 /// The longest body of a request, in bytes.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const REQUEST_BODY_BYTES_MAX: usize = 64 * 1024;
 /// Path at a worker that takes commands.
 pub const COMMANDS_PATH: &str = "/commands";
 /// Path that worker agents send heartbeats to.
--- a/src/wire/frames.rs
+++ b/src/wire/frames.rs
@@ -13,7 +13,7 @@
 /// Header of every frame.
 #[derive(Clone, Copy, Debug, FromBytes, IntoBytes, Immutable, KnownLayout)]
 #[repr(C)]
-pub struct FrameHead {
+pub struct FrameHeader {
     /// [`FRAME_MAGIC`].
     pub magic: U32,
     /// One of the `KIND_*` numbers.
@@ -23,9 +23,9 @@
     /// Number of the request, repeated in its answer.
     pub ticket: U64,
     /// The time that the receiver has to answer, in microseconds.
-    pub patience: U64,
+    pub timeout: U64,
     /// Length of the first part of the payload (an address); the rest is the body.
-    pub addr_len: U32,
+    pub subject_len: U32,
     /// Length of the payload.
     pub len: U32,
 }
@@ -33,9 +33,9 @@
 /// What every frame begins with.
 pub const FRAME_MAGIC: u32 = 0x4457_5232;
 /// Length of a frame's header, in bytes.
-pub const FRAME_HEAD: usize = size_of::<FrameHead>();
+pub const FRAME_HEADER_BYTES: usize = size_of::<FrameHeader>();
 /// The longest payload, in bytes.
-pub const FRAME_MAX: usize = 1 << 20;
+pub const FRAME_PAYLOAD_BYTES_MAX: usize = 1 << 20;
 
 /// A heartbeat, forwarded to the leader.
 pub const KIND_HEARTBEAT: u16 = 1;
--- a/src/wire/heartbeat_scan.rs
+++ b/src/wire/heartbeat_scan.rs
@@ -24,7 +24,7 @@
 impl<'a> HeartbeatSummary<'a> {
     /// The summary of a heartbeat's text; `None` if it has to be parsed.
     pub fn of(body: &'a [u8]) -> Option<Self> {
-        let (machine, agent_epoch) = heartbeat_head(body)?;
+        let (machine, agent_epoch) = heartbeat_machine_and_epoch(body)?;
         let field = find_field(body, b"\"tally\"")?;
         let number = leading_number(field.value)?;
         let mut hash = Xxh3::new();
@@ -52,7 +52,7 @@
 }
 
 /// The machine that sent a heartbeat, and its agent epoch.
-pub fn heartbeat_head(body: &[u8]) -> Option<(&str, u64)> {
+pub fn heartbeat_machine_and_epoch(body: &[u8]) -> Option<(&str, u64)> {
     let text = find_field(body, b"\"host\"")?.value.strip_prefix(b"\"")?;
     let end = memchr::memchr2(b'"', b'\\', text)?;
     if text[end] != b'"' {
--- a/src/wire/job_spec.rs
+++ b/src/wire/job_spec.rs
@@ -75,7 +75,7 @@
 /// A job as its user submits it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// The job's id, chosen by the user; see [`valid_uid`].
+    /// The job's id, chosen by the user; see [`is_valid_uid`].
     pub uid: Arc<str>,
     /// The class of jobs that it belongs to; the settings have objectives by class.
     #[serde(rename = "herd")]
@@ -147,7 +147,7 @@
 }
 
 /// Whether a text has the form of a job's id: `wk-`, and then 1 to 60 letters or digits.
-pub fn valid_uid(uid: &str) -> bool {
+pub fn is_valid_uid(uid: &str) -> bool {
     uid.strip_prefix(UID_PREFIX).is_some_and(|rest| {
         (1..=UID_CHARS_MAX).contains(&rest.len())
             && rest.bytes().all(|byte| byte.is_ascii_alphanumeric())
@@ -173,7 +173,7 @@
     }
 
     fn check(&self) -> Result<(), JobSpecError> {
-        if !valid_uid(&self.uid) {
+        if !is_valid_uid(&self.uid) {
             return Err(invalid_field("uid", "expected the form wk-000412"));
         }
         if !(1..=TASKS_PER_JOB_MAX).contains(&self.tasks) {
@@ -219,7 +219,7 @@
     }
 
     /// Whether its tasks save checkpoints.
-    pub fn saves(&self) -> bool {
+    pub fn saves_checkpoints(&self) -> bool {
         self.checkpoint_s > 0.0
     }
 }
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -135,7 +135,7 @@
             calls: HashMap::default(),
             peers,
             // An attempt number is used once: the term makes it new, the count keeps it so.
-            last_attempt: if fault_injected(InjectedFault::AttemptReused) {
+            last_attempt: if fault_injected(InjectedFault::AttemptNumbersReused) {
                 0
             } else {
                 term << ATTEMPT_TERM_SHIFT
--- a/src/worker_ledger/direct_calls.rs
+++ b/src/worker_ledger/direct_calls.rs
@@ -178,7 +178,7 @@
                 ticket,
                 dest,
                 kind: KIND_DELIVER_COMMANDS,
-                addr: call.address.to_string(),
+                subject: call.address.to_string(),
                 body: call.body,
                 timeout: DIRECT_CALL_TIMEOUT,
             },
@@ -304,7 +304,7 @@
         machine.direct_failures += 1;
         machine.use_proxy = !call.proxied;
         machine.proxied_at = now;
-        if may_be_executed && !fault_injected(InjectedFault::FenceNotRaised) {
+        if may_be_executed && !fault_injected(InjectedFault::FenceCounterNotRaised) {
             // It may be executed minutes later: from now on only a higher token counts, and
             // once the worker has shown that one, the lost call can no longer be executed.
             machine.raise_fence();
@@ -388,7 +388,7 @@
     /// The outcome of the call that carried its start is unknown: the call counts as closed, and
     /// only a heartbeat with a higher fencing token rules the start out.
     fn mark_start_lost(&mut self) {
-        if fault_injected(InjectedFault::FenceNotRaised) {
+        if fault_injected(InjectedFault::FenceCounterNotRaised) {
             self.delivery = Delivery::Settled;
         } else if let Delivery::Direct { open, .. } = &mut self.delivery {
             *open = false;
--- a/src/worker_ledger/heartbeat.rs
+++ b/src/worker_ledger/heartbeat.rs
@@ -121,7 +121,8 @@
         let Some(machine) = self.machines.get_mut(row.machine()) else {
             return RepeatOutcome::Unknown;
         };
-        if fault_injected(InjectedFault::FormerDigestsTrusted) && machine.last_heartbeat.is_none() {
+        if fault_injected(InjectedFault::PreviousDigestsTrusted) && machine.last_heartbeat.is_none()
+        {
             let assumed = machine.idle_heartbeat(row, term_base);
             return RepeatOutcome::from_answer(self.take_heartbeat(now, assumed, None, via, jobs));
         }
@@ -165,7 +166,9 @@
             Machine::from_heartbeat(heartbeat, last_observed, now)
         });
         self.changed_machines.insert(id.clone());
-        if !machine.is_older_than(heartbeat) && !fault_injected(InjectedFault::CopyTaken) {
+        if !machine.is_older_than(heartbeat)
+            && !fault_injected(InjectedFault::DuplicateHeartbeatAccepted)
+        {
             return false;
         }
         let had_address = machine.address.is_some();
@@ -274,7 +277,7 @@
     /// Takes over the fencing token that the worker has seen; true when it has shown this term's
     /// for the first time. `term_base` is the lowest token of this term.
     fn confirm_fencing_token(&mut self, token: u64, term_base: u64) -> bool {
-        let assumed = fault_injected(InjectedFault::HearingAssumed);
+        let assumed = fault_injected(InjectedFault::ReachabilityAssumed);
         let shows_term = token >= term_base || assumed;
         let is_first = !self.term_confirmed && shows_term;
         self.term_confirmed |= shows_term;
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -101,7 +101,7 @@
             return by_contact;
         }
         // An earlier leader may have answered it until this one was elected.
-        let held_for = if fault_injected(InjectedFault::HoldLetGo) {
+        let held_for = if fault_injected(InjectedFault::UnconfirmedPlacementDropped) {
             SECOND
         } else {
             lease
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -53,7 +53,8 @@
         // Only a heartbeat under this term shows the attempt that a stored placement stands for. An
         // earlier one, or a copy of it, may list the attempt before that: were the placement taken for
         // it, the task would be free once that attempt is gone.
-        let confirms = self.term_confirmed || fault_injected(InjectedFault::PlacementShownEarly);
+        let confirms = self.term_confirmed
+            || fault_injected(InjectedFault::PlacementMatchedBeforeConfirmation);
         for reported in &heartbeat.tasks {
             let Some((uid, task, spec)) = identify(reported, jobs) else {
                 continue;
--- a/src/worker_probe.rs
+++ b/src/worker_probe.rs
@@ -10,7 +10,8 @@
 use crate::messages::{Output, Ticket};
 use crate::seeded_hash::{HashMap, HashSet};
 use crate::wire::{
-    COMMANDS_PATH, Commands, ProbeRow, heartbeat_address, heartbeat_head, reports_no_tasks,
+    COMMANDS_PATH, Commands, ProbeRow, heartbeat_address, heartbeat_machine_and_epoch,
+    reports_no_tasks,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -79,7 +80,7 @@
     /// Records the sender of a heartbeat that this controller received. Does nothing where the body can't be
     /// read.
     pub fn note_heartbeat(&mut self, now: Micros, body: &[u8]) {
-        let Some((machine, agent_epoch)) = heartbeat_head(body) else {
+        let Some((machine, agent_epoch)) = heartbeat_machine_and_epoch(body) else {
             return;
         };
         let idle = reports_no_tasks(body);
