--- a/src/cancellation_freshness.rs
+++ b/src/cancellation_freshness.rs
@@ -128,7 +128,8 @@
         let caught_up = self.proven_at >= valid_since;
         let unexpired = now < self.proven_at + self.valid_for
             || fault_injected(InjectedFault::CancellationsNeverStale);
-        (caught_up && unexpired) || (!caught_up && fault_injected(InjectedFault::CatchUpSkippedAfterRegain))
+        (caught_up && unexpired)
+            || (!caught_up && fault_injected(InjectedFault::CatchUpSkippedAfterRegain))
     }
 
     /// Whether there has been no proof for so long that this leader should resign. Unless the validity is short, this
--- a/src/controller/api.rs
+++ b/src/controller/api.rs
@@ -487,7 +487,9 @@
         reply: Reply,
     ) {
         match reply {
-            Reply::KeyValue(item) if finished && fault_injected(InjectedFault::FinalStateOverwritten) => {
+            Reply::KeyValue(item)
+                if finished && fault_injected(InjectedFault::FinalStateOverwritten) =>
+            {
                 self.overwrite_final_state(conn, uid, retries, &item);
             }
             Reply::KeyValue(item) if finished => self.respond_stored_state(conn, &uid, true, item),
@@ -519,7 +521,13 @@
     }
 
     /// Overwrites a final state, as the injected fault [`InjectedFault::FinalOverwritten`] does.
-    fn overwrite_final_state(&mut self, conn: ConnId, uid: Arc<str>, retries: u32, item: &KeyValue) {
+    fn overwrite_final_state(
+        &mut self,
+        conn: ConnId,
+        uid: Arc<str>,
+        retries: u32,
+        item: &KeyValue,
+    ) {
         if let Ok(mut end) = serde_json::from_str::<FinalState>(item.value.get()) {
             end.status = "cancelled".to_owned();
             let body = final_status_body(&uid, &end);
--- a/src/worker_ledger/reported_tasks.rs
+++ b/src/worker_ledger/reported_tasks.rs
@@ -53,8 +53,8 @@
         // Only a heartbeat under this term reveals the attempt of a stored placement. An earlier heartbeat, or a
         // delayed copy of it, may list the previous attempt of the task: if that one were taken for the placement,
         // the task would become free to start while the placed attempt may still run.
-        let may_confirm_placements =
-            self.term_confirmed || fault_injected(InjectedFault::PlacementMatchedBeforeConfirmation);
+        let may_confirm_placements = self.term_confirmed
+            || fault_injected(InjectedFault::PlacementMatchedBeforeConfirmation);
         for reported in &heartbeat.tasks {
             let Some((uid, task, spec)) = identify(reported, jobs) else {
                 continue;
