--- a/src/controller/autoscaling.rs
+++ b/src/controller/autoscaling.rs
@@ -110,7 +110,7 @@
     /// them.
     fn forget_vanished_machines(&mut self) {
         let now = self.now.steady;
-        let lease = self.settings.lease();
+        let lease = self.settings.worker_lease();
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -267,7 +267,7 @@
         let idle_delay = if is_cluster_idle {
             IDLE_CLUSTER_RELEASE_DELAY
         } else {
-            self.properties.idle_return
+            self.properties.idle_release_timeout
         };
         for machine in leader_state.workers.machines.values_mut() {
             if leader_state.rented_machines.contains(&machine.id)
--- a/src/controller/failover.rs
+++ b/src/controller/failover.rs
@@ -84,7 +84,7 @@
         let (load, failover) = self.begin_load(mod_revision);
         let schema = self.schema();
         let settings = &self.settings;
-        let (lease, report_period) = (settings.lease(), settings.report_period());
+        let (lease, heartbeat_period) = (settings.worker_lease(), settings.heartbeat_period());
         let seed = self.rng_seed ^ term;
         LeaderState {
             term,
@@ -96,7 +96,7 @@
                 term,
                 now,
                 lease,
-                report_period,
+                heartbeat_period,
                 self.peer_links.addresses(),
             ),
             scheduler: Scheduler::new(&self.properties, settings, schema, seed, now),
@@ -112,7 +112,7 @@
             // The state is loaded at the revision of the election or later, so it includes every
             // cancellation stored before `sent`.
             cancellation_freshness: CancellationFreshness::new(
-                validity_from_settings(lease, settings.cancel()),
+                validity_from_settings(lease, settings.cancellation_deadline()),
                 sent,
             ),
             job_revisions: HashMap::default(),
@@ -151,7 +151,7 @@
         let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        let timeout = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.report_period());
+        let timeout = FLEET_SILENCE_TIMEOUT.max(2 * self.settings.heartbeat_period());
         let heard_at = leader_state
             .workers
             .any_machine_seen_at
@@ -225,7 +225,7 @@
         if loaded.unreadable > 0 || registry_unreadable {
             // Placements in unreadable records are unknown. A task that no machine has reported
             // by the time all leases have expired is certainly not running.
-            leader_state.starts_held_until = now + drift_upper_bound(self.settings.lease());
+            leader_state.starts_held_until = now + drift_upper_bound(self.settings.worker_lease());
             log::error!("stored records unreadable; no task starts until all leases have expired");
         }
         let waiting: Vec<Arc<str>> = leader_state
@@ -329,7 +329,7 @@
         context: &LoadContext,
         replica: &mut Replica,
     ) -> LoadedJobs {
-        let skipped = usize::from(fault_injected(InjectedFault::JobForgotten));
+        let skipped = usize::from(fault_injected(InjectedFault::LiveJobSkippedOnTakeover));
         let mut loaded = LoadedJobs::default();
         let live = std::mem::take(&mut replica.live);
         let stopping = std::mem::take(&mut replica.stopping);
@@ -394,7 +394,7 @@
         });
         let machines = leader_state.workers.machines.len();
         leader_state.reconciliation =
-            Reconciliation::new(now, machines, self.settings.report_period());
+            Reconciliation::new(now, machines, self.settings.heartbeat_period());
         let completion_rate = leader_state
             .scheduler
             .estimate_completion_rate(now, &leader_state.workers);
--- a/src/controller/submission.rs
+++ b/src/controller/submission.rs
@@ -18,7 +18,7 @@
 use crate::schema::{self, SCHEMA_VERSION, Schema};
 use crate::seeded_hash::HashMap;
 use crate::state_client::{Op, RawJson, Reply, Transaction, to_raw_json};
-use crate::wire::{JobKind, JobSpec, valid_uid};
+use crate::wire::{JobKind, JobSpec, is_valid_uid};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -126,7 +126,7 @@
             // A job accepted while the cloud offered more machine types stays accepted.
             return self.reject_unless_resubmitted(conn, uid, false, reason);
         }
-        let is_invalid = |dependency: &&Arc<str>| !valid_uid(dependency) || **dependency == uid;
+        let is_invalid = |dependency: &&Arc<str>| !is_valid_uid(dependency) || **dependency == uid;
         if let Some(dependency) = spec.waits_on.iter().find(is_invalid) {
             let shown: String = dependency.chars().take(80).collect();
             let reason = format!("waitsOn: `{shown}` can't be a job that was accepted before");
@@ -161,7 +161,7 @@
         // A finished job has no live key any more. Without this precondition, a write that the state
         // service executes late would create the job again after a repeated submission of it was
         // accepted and the job finished.
-        if !fault_injected(InjectedFault::AbsenceTrusted) {
+        if !fault_injected(InjectedFault::AbsentKeyAssumedUnwritten) {
             txn = txn.require_revision(finished_key(&uid), 0);
         }
         self.request_state(
@@ -238,7 +238,7 @@
         &mut self,
         id: u64,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reply: Reply,
     ) {
         let Some(submission) = self.submissions.get_mut(id) else {
@@ -246,7 +246,7 @@
         };
         let mut state = DependencyState::Live;
         match reply {
-            Reply::KeyValue(item) if !over => match schema::decode_job(&item.value) {
+            Reply::KeyValue(item) if !finished => match schema::decode_job(&item.value) {
                 Ok((record, _)) if record.spec.kind == JobKind::Service => {
                     submission.rejection =
                         Some(format!("waitsOn: {uid} is a service, which is never done"));
@@ -273,7 +273,7 @@
                 }
             },
             // The live key is read before the final state, since a job moves only in this direction.
-            Reply::NotFound if !over => {
+            Reply::NotFound if !finished => {
                 let key = finished_key(&uid);
                 let request = StateRequest::ReadDependency {
                     submission: id,
@@ -395,19 +395,20 @@
         }
     }
 
-    /// Reads whether the submission repeats a job that was accepted before, to reject it if not.
+    /// Reads whether the submission repeats a job that was accepted before, to reject it if not. Looks
+    /// for the final state of the job if `finished` is set, else for its live record.
     fn reject_unless_resubmitted(
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reason: String,
     ) {
-        let key = job_key(&uid, over);
+        let key = job_key(&uid, finished);
         let request = StateRequest::ReadBeforeRejecting {
             conn,
             uid,
-            finished: over,
+            finished,
             reason,
         };
         self.request_state(request, Op::Get(key), CLIENT_REQUEST_TIMEOUT);
@@ -419,13 +420,13 @@
         &mut self,
         conn: ConnId,
         uid: Arc<str>,
-        over: bool,
+        finished: bool,
         reason: String,
         reply: Reply,
     ) {
         match reply {
-            Reply::KeyValue(item) => self.respond_stored_state(conn, &uid, over, item),
-            Reply::NotFound if !over => self.reject_unless_resubmitted(conn, uid, true, reason),
+            Reply::KeyValue(item) => self.respond_stored_state(conn, &uid, finished, item),
+            Reply::NotFound if !finished => self.reject_unless_resubmitted(conn, uid, true, reason),
             Reply::NotFound => self.respond_error(conn, &ApiError::JobRejected(reason)),
             _ => self.handle_state_unavailable(conn),
         }
--- a/src/jobs.rs
+++ b/src/jobs.rs
@@ -19,7 +19,7 @@
 use crate::seeded_hash::HashMap;
 use crate::state_client::to_raw_json;
 use crate::task_id::{JobDirectory, TaskId};
-use crate::wire::{FRAME_MAX, JobKind, JobSpec, Priority, ProgressRow};
+use crate::wire::{FRAME_PAYLOAD_BYTES_MAX, JobKind, JobSpec, Priority, ProgressRow};
 use rangemap::RangeSet;
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -434,7 +434,7 @@
 }
 
 /// The maximum number of rows in a progress frame; 1,024 bytes of the frame are left for the sender's name.
-const PROGRESS_ROWS_MAX: usize = (FRAME_MAX - 1024) / size_of::<ProgressRow>();
+const PROGRESS_ROWS_MAX: usize = (FRAME_PAYLOAD_BYTES_MAX - 1024) / size_of::<ProgressRow>();
 
 impl JobProgress {
     /// Encodes the progress of the live jobs for the leader's announcement. Returns the frame, and the number of
--- a/src/scheduler/preempt.rs
+++ b/src/scheduler/preempt.rs
@@ -357,7 +357,7 @@
 
 /// The grace period in which a preempted task saves its state; 0 for a task that does not save it.
 fn save_grace_s(spec: &JobSpec) -> f64 {
-    if spec.saves() {
+    if spec.saves_checkpoints() {
         spec.save_s.max(SAVE_GRACE_MIN_S)
     } else {
         0.0
--- a/src/worker_ledger.rs
+++ b/src/worker_ledger.rs
@@ -143,7 +143,7 @@
             machine_by_call: HashMap::default(),
             peers,
             // Attempt numbers are unique: the upper bits hold the term, the lower bits a counter.
-            last_attempt: if fault_injected(InjectedFault::AttemptReused) {
+            last_attempt: if fault_injected(InjectedFault::AttemptNumbersReused) {
                 0
             } else {
                 term << ATTEMPT_TERM_SHIFT
--- a/src/worker_ledger/leases.rs
+++ b/src/worker_ledger/leases.rs
@@ -101,7 +101,7 @@
             return by_contact;
         }
         // An earlier leader may have renewed the lease until this one was elected.
-        let hold_duration = if fault_injected(InjectedFault::HoldLetGo) {
+        let hold_duration = if fault_injected(InjectedFault::UnconfirmedPlacementDropped) {
             SECOND
         } else {
             lease
