--- a/crates/drill/src/cloud.rs
+++ b/crates/drill/src/cloud.rs
@@ -1,9 +1,9 @@
 //! The cloud as published: capacity that shows only when it refuses, lists that lag, rentals by
 //! name, machines that boot late or never, are taken with a notice or without, and die.
 
-use crate::day::{Day, Kind};
 use crate::machine::{Machine, Phase};
 use crate::network::Host;
+use crate::scenario::{FailureKind, Scenario};
 use crate::state::Bucket;
 use crate::world::{Answer, Event, Micros, Request, SECOND, World, micros};
 use dewramp::seeded_hash::HashMap;
@@ -42,7 +42,7 @@
 }
 
 impl Cloud {
-    pub fn new(day: &Day) -> Self {
+    pub fn new(day: &Scenario) -> Self {
         Self {
             used: vec![0; day.pools.len()],
             hires: HashMap::default(),
@@ -112,11 +112,11 @@
         if !self.cloud.requests.take(now, 1.0) {
             return self.cloud_answers(id, error(429, "too many requests"));
         }
-        if self.lasting(Kind::CloudOutage).is_some() {
+        if self.lasting(FailureKind::CloudOutage).is_some() {
             return self.cloud_answers(id, error(503, "trouble"));
         }
         let late = self
-            .lasting(Kind::CloudLate)
+            .lasting(FailureKind::CloudLate)
             .map(|f| f.at_s + f.for_s.unwrap_or(0.0));
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/machine_types") => {
@@ -182,11 +182,11 @@
         if let Some((asked, hosts)) = self.cloud.hires.get(hire) {
             let (asked, hosts) = (*asked, hosts.clone());
             self.check
-                .hired_again(self.now, hire, asked == (pool, number));
+                .rental_repeated(self.now, hire, asked == (pool, number));
             return Some(hosts);
         }
         let p = &self.day.pools[pool];
-        let full = self.lasting(Kind::CloudFull).is_some();
+        let full = self.lasting(FailureKind::CloudFull).is_some();
         let free = p.most.saturating_sub(self.cloud.used[pool]);
         let number = number.min(50);
         let granted = if full { 0 } else { number.min(free) };
@@ -212,12 +212,12 @@
     /// When a machine rented now is up, if ever.
     fn boot(&mut self, m: usize) -> Option<Micros> {
         let t = &self.day.types[self.machines[m].kind];
-        let slow = self.lasting(Kind::BootsSlow).and_then(|f| f.factor);
+        let slow = self.lasting(FailureKind::BootsSlow).and_then(|f| f.factor);
         let luck: f64 = self.rng.random();
         if self.rng.random::<f64>() < t.boot_fail {
             return None;
         }
-        if self.lasting(Kind::BootsEarly).is_some() {
+        if self.lasting(FailureKind::BootsEarly).is_some() {
             return Some(self.now + self.rng.random_range(100_000..2_000_000));
         }
         let times = match luck {
--- a/crates/drill/src/failures.rs
+++ b/crates/drill/src/failures.rs
@@ -1,8 +1,8 @@
 //! What fails, when its time has come.
 
-use crate::day::{Failure, Kind, Mode, Side, Whom};
 use crate::machine::Phase;
 use crate::network::{Ends, Host};
+use crate::scenario::{CutMode, CutSide, Failure, FailureKind, FailureTarget};
 use crate::world::{Event, World, micros};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -20,26 +20,26 @@
             self.active.push(n);
             self.at(until, Event::Over(n));
         }
-        let mode = f.mode.unwrap_or(Mode::Hold);
+        let mode = f.mode.unwrap_or(CutMode::Hold);
         match f.kind {
-            Kind::NodeCrash => {
+            FailureKind::NodeCrash => {
                 for n in self.chosen(&f) {
                     self.end_node(n);
                 }
             }
-            Kind::NodeEndsAsking => {
+            FailureKind::NodeEndsAsking => {
                 for n in self.chosen(&f) {
                     self.controllers[n].ends_asking = true;
                 }
             }
-            Kind::NodeLeaves => {
+            FailureKind::NodeLeaves => {
                 for n in self.chosen(&f) {
                     self.controllers[n].leave(self.now);
                     self.after(LEAVE_TIME, Event::Ends(n));
                 }
             }
-            Kind::NodeRoll => self.roll(&f),
-            Kind::NodeFreeze => {
+            FailureKind::NodeRoll => self.roll(&f),
+            FailureKind::NodeFreeze => {
                 for n in self.chosen(&f) {
                     let c = &mut self.controllers[n];
                     if f.inside {
@@ -51,22 +51,22 @@
                     }
                 }
             }
-            Kind::NodeCut => {
-                let side = match f.from.unwrap_or(Side::All) {
-                    Side::All => Ends::All,
-                    Side::State => Ends::Host(Host::State),
-                    Side::Workers => Ends::Machines,
-                    Side::Peers => Ends::Nodes,
-                    Side::Users => Ends::Host(Host::Users),
-                    Side::Cloud => Ends::Host(Host::Cloud),
+            FailureKind::NodeCut => {
+                let side = match f.from.unwrap_or(CutSide::All) {
+                    CutSide::All => Ends::All,
+                    CutSide::State => Ends::Host(Host::State),
+                    CutSide::Workers => Ends::Machines,
+                    CutSide::Peers => Ends::Nodes,
+                    CutSide::Users => Ends::Host(Host::Users),
+                    CutSide::Cloud => Ends::Host(Host::Cloud),
                 };
                 for n in self.chosen(&f) {
                     let node = Ends::Host(Host::Node(n));
                     self.network.cut(self.now, until, node, side, mode);
                 }
             }
-            Kind::PeersRefuse => self.network.refuse_peers(until),
-            Kind::ZoneCut => {
+            FailureKind::PeersRefuse => self.network.refuse_peers(until),
+            FailureKind::ZoneCut => {
                 let leaders = self.chosen(&f).first().map(|n| self.controllers[*n].zone);
                 let zone = match (&f.zone, leaders) {
                     (None, Some(zone)) => zone,
@@ -75,69 +75,69 @@
                 let zone = Ends::Zone(zone);
                 self.network.cut(self.now, until, zone, Ends::All, mode);
             }
-            Kind::ZonesApart => {
+            FailureKind::ZonesApart => {
                 let a = Ends::Zone(self.zone_named(f.zone.as_deref()));
                 let b = Ends::Zone(self.zone_named(f.other_zone.as_deref()));
                 self.network.cut(self.now, until, a, b, mode);
             }
-            Kind::StateOutage => self.state.outage(self.now, until),
-            Kind::StateRefuses => {
+            FailureKind::StateOutage => self.state.outage(self.now, until),
+            FailureKind::StateRefuses => {
                 for n in self.chosen(&f) {
                     self.state.refused.insert(n, until);
                 }
             }
-            Kind::StateForgets => self.state.forget(),
-            Kind::WatchesHang => {
+            FailureKind::StateForgets => self.state.forget(),
+            FailureKind::WatchesHang => {
                 for n in self.chosen(&f) {
                     self.state.hangs.insert(n, until);
                 }
             }
-            Kind::MachineDeaf => {
+            FailureKind::MachineDeaf => {
                 for m in self.some_machines(&f) {
                     self.machines[m].deaf_until = until;
                 }
             }
-            Kind::MachineMute => {
+            FailureKind::MachineMute => {
                 for m in self.some_machines(&f) {
                     self.machines[m].mute_until = until;
                 }
             }
-            Kind::CancelNow => self.cancel_now(&f),
-            Kind::OddRequests => self.odd_request(until),
-            Kind::MirrorSpoiled => {
+            FailureKind::CancelNow => self.cancel_running_jobs(&f),
+            FailureKind::OddRequests => self.send_invalid_request(until),
+            FailureKind::MirrorSpoiled => {
                 for n in self.chosen(&f) {
                     if let Some(node) = &mut self.controllers[n].node {
                         node.corrupt_replica();
                     }
                 }
             }
-            Kind::MachineCut => {
+            FailureKind::MachineCut => {
                 for m in self.some_machines(&f) {
                     let machine = Ends::Host(Host::Machine(m));
                     self.network.cut(self.now, until, machine, Ends::All, mode);
                 }
             }
-            Kind::MachineHang => {
+            FailureKind::MachineHang => {
                 for m in self.some_machines(&f) {
                     self.hang(m, until);
                 }
             }
-            Kind::MachineDie => {
+            FailureKind::MachineDie => {
                 for m in self.some_machines(&f) {
                     self.machine_ends(m, false);
                 }
             }
-            Kind::MachineSick => {
+            FailureKind::MachineSick => {
                 for m in self.some_machines(&f) {
                     self.machines[m].sick_until = until;
                 }
             }
-            Kind::MachineSlow => {
+            FailureKind::MachineSlow => {
                 for m in self.some_machines(&f) {
                     self.machines[m].slow = (f.factor.unwrap_or(1.0).max(0.01), until);
                 }
             }
-            Kind::SpotTaken => {
+            FailureKind::SpotTaken => {
                 let share = f.share.unwrap_or(0.0);
                 for m in 0..self.machines.len() {
                     let machine = &self.machines[m];
@@ -171,16 +171,18 @@
         let leads = |n: &usize| self.controllers[*n].leads();
         let leader = nodes.iter().copied().find(leads);
         let count = f.count.unwrap_or(1);
-        let chosen: Vec<usize> = match f.whom.unwrap_or(Whom::Any) {
-            Whom::Again => self.hit.clone(),
-            Whom::All => nodes,
-            Whom::Leader | Whom::Holder => leader.or(nodes.first().copied()).into_iter().collect(),
-            Whom::Standby => nodes
+        let chosen: Vec<usize> = match f.whom.unwrap_or(FailureTarget::Any) {
+            FailureTarget::Again => self.hit.clone(),
+            FailureTarget::All => nodes,
+            FailureTarget::Leader | FailureTarget::Holder => {
+                leader.or(nodes.first().copied()).into_iter().collect()
+            }
+            FailureTarget::Standby => nodes
                 .into_iter()
                 .filter(|n| Some(*n) != leader)
                 .take(count)
                 .collect(),
-            Whom::Any => nodes.into_iter().take(count).collect(),
+            FailureTarget::Any => nodes.into_iter().take(count).collect(),
         };
         self.hit.clone_from(&chosen);
         chosen
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -7,16 +7,16 @@
 //! modelled and what is not. All figures are of simulated machines.
 
 mod balancer;
+pub mod chart;
 pub mod check;
 mod cloud;
 mod controller;
-pub mod day;
 mod failures;
 pub mod generate;
 mod machine;
 mod network;
 pub mod outcome;
-pub mod picture;
+pub mod scenario;
 pub mod shrink;
 mod state;
 pub mod tamper;
@@ -24,8 +24,8 @@
 mod users;
 pub mod world;
 
-use day::Day;
 use outcome::Outcome;
+use scenario::Scenario;
 use std::cell::Cell;
 use world::{Micros, World};
 
@@ -43,6 +43,6 @@
 }
 
 /// Plays a day.
-pub fn play(day: &Day) -> Outcome {
+pub fn play(day: &Scenario) -> Outcome {
     World::new(day.clone()).play(|_| {})
 }
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -1,7 +1,7 @@
 //! Between any two hosts: delay, loss, cuts that hold, lose or reset, and refusal. Owns the cuts and
 //! which connections stand; knows nothing of what is sent.
 
-use crate::day::{Mode, Network as Speeds};
+use crate::scenario::{CutMode, Network as Speeds};
 use crate::world::Micros;
 use dewramp::seeded_hash::{HashMap, HashSet};
 use rand::Rng;
@@ -31,7 +31,7 @@
 struct Cut {
     until: Micros,
     sides: (Ends, Ends),
-    mode: Mode,
+    mode: CutMode,
 }
 
 /// What becomes of a packet.
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn cut(&mut self, now: Micros, until: Micros, a: Ends, b: Ends, mode: Mode) {
+    pub fn cut(&mut self, now: Micros, until: Micros, a: Ends, b: Ends, mode: CutMode) {
         self.cuts.retain(|c| c.until > now);
         self.cuts.push(Cut {
             until,
@@ -87,7 +87,12 @@
     }
 
     /// The longest cut between two hosts at this time.
-    fn blocked(&self, now: Micros, a: (Host, usize), b: (Host, usize)) -> Option<(Micros, Mode)> {
+    fn blocked(
+        &self,
+        now: Micros,
+        a: (Host, usize),
+        b: (Host, usize),
+    ) -> Option<(Micros, CutMode)> {
         let matches = |ends: Ends, h: (Host, usize)| match ends {
             Ends::All => true,
             Ends::Zone(z) => h.1 == z,
@@ -140,9 +145,9 @@
                 return Transit::NotSent(now + CONNECT_TIME);
             }
             return match mode {
-                Mode::Hold => Transit::Arrives(self.in_order(link, until)),
-                Mode::Lose => Transit::Vanishes,
-                Mode::Reset => {
+                CutMode::Hold => Transit::Arrives(self.in_order(link, until)),
+                CutMode::Lose => Transit::Vanishes,
+                CutMode::Reset => {
                     self.open.remove(&link);
                     Transit::Reset(now + 1)
                 }
@@ -174,7 +179,7 @@
     ) -> Option<Micros> {
         let link = (from.0, to.0);
         match self.blocked(now, from, to) {
-            Some((until, Mode::Hold)) => Some(self.in_order(link, until)),
+            Some((until, CutMode::Hold)) => Some(self.in_order(link, until)),
             Some(_) => None,
             None => {
                 let delay = self.delay(from, to);
@@ -216,7 +221,7 @@
     use rand::SeedableRng;
 
     fn network() -> Network {
-        let speeds = crate::day::Network {
+        let speeds = crate::scenario::Network {
             loss: 0.0,
             ..Default::default()
         };
@@ -235,7 +240,7 @@
             n.request(0, a, b, Some(true)),
             Transit::Arrives(_)
         ));
-        n.cut(10, 5_000_000, Ends::Zone(0), Ends::All, Mode::Hold);
+        n.cut(10, 5_000_000, Ends::Zone(0), Ends::All, CutMode::Hold);
         assert_eq!(n.request(20, a, b, Some(true)), Transit::Arrives(5_000_000));
         n.close(a.0, b.0);
         assert!(matches!(
--- a/crates/drill/src/state.rs
+++ b/crates/drill/src/state.rs
@@ -1,7 +1,7 @@
 //! The state service as published: versions, conditional transactions, grants with the outage
 //! rule, watches that can be too old, budgets, outages, refusal of one controller.
 
-use crate::day::StateService as Size;
+use crate::scenario::StateService as Size;
 use crate::world::Micros;
 use dewramp::replica::{Checksum, REPLICATED_PREFIXES};
 use serde::Deserialize;
