--- a/crates/drill/src/cloud.rs
+++ b/crates/drill/src/cloud.rs
@@ -3,7 +3,7 @@
 
 use crate::machine::{Machine, Phase};
 use crate::network::Host;
-use crate::scenario::{FailureKind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use crate::state::Bucket;
 use crate::world::{Answer, Event, Micros, Request, SECOND, World, micros};
 use dewramp::seeded_hash::HashMap;
@@ -112,11 +112,11 @@
         if !self.cloud.requests.take(now, 1.0) {
             return self.cloud_answers(id, error(429, "too many requests"));
         }
-        if self.lasting(FailureKind::CloudOutage).is_some() {
+        if self.lasting(FaultKind::CloudOutage).is_some() {
             return self.cloud_answers(id, error(503, "trouble"));
         }
         let late = self
-            .lasting(FailureKind::CloudLate)
+            .lasting(FaultKind::CloudLate)
             .map(|f| f.at_s + f.for_s.unwrap_or(0.0));
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/machine_types") => {
@@ -186,7 +186,7 @@
             return Some(hosts);
         }
         let p = &self.day.pools[pool];
-        let full = self.lasting(FailureKind::CloudFull).is_some();
+        let full = self.lasting(FaultKind::CloudFull).is_some();
         let free = p.most.saturating_sub(self.cloud.used[pool]);
         let number = number.min(50);
         let granted = if full { 0 } else { number.min(free) };
@@ -212,12 +212,12 @@
     /// When a machine rented now is up, if ever.
     fn boot(&mut self, m: usize) -> Option<Micros> {
         let t = &self.day.types[self.machines[m].kind];
-        let slow = self.lasting(FailureKind::BootsSlow).and_then(|f| f.factor);
+        let slow = self.lasting(FaultKind::BootsSlow).and_then(|f| f.factor);
         let luck: f64 = self.rng.random();
         if self.rng.random::<f64>() < t.boot_fail {
             return None;
         }
-        if self.lasting(FailureKind::BootsEarly).is_some() {
+        if self.lasting(FaultKind::BootsEarly).is_some() {
             return Some(self.now + self.rng.random_range(100_000..2_000_000));
         }
         let times = match luck {
--- a/crates/drill/src/failures.rs
+++ b/crates/drill/src/failures.rs
@@ -2,7 +2,7 @@
 
 use crate::machine::Phase;
 use crate::network::{Ends, Host};
-use crate::scenario::{CutMode, CutSide, Failure, FailureKind, FailureTarget};
+use crate::scenario::{Fault, FaultKind, FaultTarget, PartitionMode, PartitionedFrom};
 use crate::world::{Event, World, micros};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -12,7 +12,7 @@
 
 impl World {
     pub fn fails(&mut self, n: usize) {
-        let f = self.day.failures[n].clone();
+        let f = self.day.faults[n].clone();
         self.note("fails", n as u64, 0);
         let lasts = micros(f.for_s.unwrap_or(0.0));
         let until = self.now + lasts;
@@ -20,26 +20,26 @@
             self.active.push(n);
             self.at(until, Event::Over(n));
         }
-        let mode = f.mode.unwrap_or(CutMode::Hold);
+        let mode = f.mode.unwrap_or(PartitionMode::Hold);
         match f.kind {
-            FailureKind::NodeCrash => {
+            FaultKind::NodeCrash => {
                 for n in self.chosen(&f) {
                     self.end_node(n);
                 }
             }
-            FailureKind::NodeEndsAsking => {
+            FaultKind::NodeEndsAsking => {
                 for n in self.chosen(&f) {
                     self.controllers[n].ends_asking = true;
                 }
             }
-            FailureKind::NodeLeaves => {
+            FaultKind::NodeLeaves => {
                 for n in self.chosen(&f) {
                     self.controllers[n].leave(self.now);
                     self.after(LEAVE_TIME, Event::Ends(n));
                 }
             }
-            FailureKind::NodeRoll => self.roll(&f),
-            FailureKind::NodeFreeze => {
+            FaultKind::NodeRoll => self.roll(&f),
+            FaultKind::NodeFreeze => {
                 for n in self.chosen(&f) {
                     let c = &mut self.controllers[n];
                     if f.inside {
@@ -51,22 +51,22 @@
                     }
                 }
             }
-            FailureKind::NodeCut => {
-                let side = match f.from.unwrap_or(CutSide::All) {
-                    CutSide::All => Ends::All,
-                    CutSide::State => Ends::Host(Host::State),
-                    CutSide::Workers => Ends::Machines,
-                    CutSide::Peers => Ends::Nodes,
-                    CutSide::Users => Ends::Host(Host::Users),
-                    CutSide::Cloud => Ends::Host(Host::Cloud),
+            FaultKind::NodeCut => {
+                let side = match f.from.unwrap_or(PartitionedFrom::All) {
+                    PartitionedFrom::All => Ends::All,
+                    PartitionedFrom::State => Ends::Host(Host::State),
+                    PartitionedFrom::Workers => Ends::Machines,
+                    PartitionedFrom::Peers => Ends::Nodes,
+                    PartitionedFrom::Users => Ends::Host(Host::Users),
+                    PartitionedFrom::Cloud => Ends::Host(Host::Cloud),
                 };
                 for n in self.chosen(&f) {
                     let node = Ends::Host(Host::Node(n));
                     self.network.cut(self.now, until, node, side, mode);
                 }
             }
-            FailureKind::PeersRefuse => self.network.refuse_peers(until),
-            FailureKind::ZoneCut => {
+            FaultKind::PeersRefuse => self.network.refuse_peers(until),
+            FaultKind::ZoneCut => {
                 let leaders = self.chosen(&f).first().map(|n| self.controllers[*n].zone);
                 let zone = match (&f.zone, leaders) {
                     (None, Some(zone)) => zone,
@@ -75,69 +75,69 @@
                 let zone = Ends::Zone(zone);
                 self.network.cut(self.now, until, zone, Ends::All, mode);
             }
-            FailureKind::ZonesApart => {
+            FaultKind::ZonesApart => {
                 let a = Ends::Zone(self.zone_named(f.zone.as_deref()));
                 let b = Ends::Zone(self.zone_named(f.other_zone.as_deref()));
                 self.network.cut(self.now, until, a, b, mode);
             }
-            FailureKind::StateOutage => self.state.outage(self.now, until),
-            FailureKind::StateRefuses => {
+            FaultKind::StateOutage => self.state.outage(self.now, until),
+            FaultKind::StateRefuses => {
                 for n in self.chosen(&f) {
                     self.state.refused.insert(n, until);
                 }
             }
-            FailureKind::StateForgets => self.state.forget(),
-            FailureKind::WatchesHang => {
+            FaultKind::StateForgets => self.state.forget(),
+            FaultKind::WatchesHang => {
                 for n in self.chosen(&f) {
                     self.state.hangs.insert(n, until);
                 }
             }
-            FailureKind::MachineDeaf => {
+            FaultKind::MachineDeaf => {
                 for m in self.some_machines(&f) {
                     self.machines[m].deaf_until = until;
                 }
             }
-            FailureKind::MachineMute => {
+            FaultKind::MachineMute => {
                 for m in self.some_machines(&f) {
                     self.machines[m].mute_until = until;
                 }
             }
-            FailureKind::CancelNow => self.cancel_running_jobs(&f),
-            FailureKind::OddRequests => self.send_invalid_request(until),
-            FailureKind::MirrorSpoiled => {
+            FaultKind::CancelNow => self.cancel_running_jobs(&f),
+            FaultKind::OddRequests => self.send_invalid_request(until),
+            FaultKind::MirrorSpoiled => {
                 for n in self.chosen(&f) {
                     if let Some(node) = &mut self.controllers[n].node {
                         node.corrupt_replica();
                     }
                 }
             }
-            FailureKind::MachineCut => {
+            FaultKind::MachineCut => {
                 for m in self.some_machines(&f) {
                     let machine = Ends::Host(Host::Machine(m));
                     self.network.cut(self.now, until, machine, Ends::All, mode);
                 }
             }
-            FailureKind::MachineHang => {
+            FaultKind::MachineHang => {
                 for m in self.some_machines(&f) {
                     self.hang(m, until);
                 }
             }
-            FailureKind::MachineDie => {
+            FaultKind::MachineDie => {
                 for m in self.some_machines(&f) {
                     self.machine_ends(m, false);
                 }
             }
-            FailureKind::MachineSick => {
+            FaultKind::MachineSick => {
                 for m in self.some_machines(&f) {
                     self.machines[m].sick_until = until;
                 }
             }
-            FailureKind::MachineSlow => {
+            FaultKind::MachineSlow => {
                 for m in self.some_machines(&f) {
                     self.machines[m].slow = (f.factor.unwrap_or(1.0).max(0.01), until);
                 }
             }
-            FailureKind::SpotTaken => {
+            FaultKind::SpotTaken => {
                 let share = f.share.unwrap_or(0.0);
                 for m in 0..self.machines.len() {
                     let machine = &self.machines[m];
@@ -165,31 +165,31 @@
     }
 
     /// The controllers that a failure hits, by what they do now.
-    fn chosen(&mut self, f: &Failure) -> Vec<usize> {
+    fn chosen(&mut self, f: &Fault) -> Vec<usize> {
         let mut nodes: Vec<usize> = (0..self.controllers.len()).collect();
         nodes.shuffle(&mut self.rng);
         let leads = |n: &usize| self.controllers[*n].leads();
         let leader = nodes.iter().copied().find(leads);
         let count = f.count.unwrap_or(1);
-        let chosen: Vec<usize> = match f.whom.unwrap_or(FailureTarget::Any) {
-            FailureTarget::Again => self.hit.clone(),
-            FailureTarget::All => nodes,
-            FailureTarget::Leader | FailureTarget::Holder => {
+        let chosen: Vec<usize> = match f.whom.unwrap_or(FaultTarget::Any) {
+            FaultTarget::Again => self.hit.clone(),
+            FaultTarget::All => nodes,
+            FaultTarget::Leader | FaultTarget::Holder => {
                 leader.or(nodes.first().copied()).into_iter().collect()
             }
-            FailureTarget::Standby => nodes
+            FaultTarget::Standby => nodes
                 .into_iter()
                 .filter(|n| Some(*n) != leader)
                 .take(count)
                 .collect(),
-            FailureTarget::Any => nodes.into_iter().take(count).collect(),
+            FaultTarget::Any => nodes.into_iter().take(count).collect(),
         };
         self.hit.clone_from(&chosen);
         chosen
     }
 
     /// All controllers end and come back, one after the other, each as a failure of its own.
-    fn roll(&mut self, f: &Failure) {
+    fn roll(&mut self, f: &Fault) {
         let every = micros(f.every_s.unwrap_or(15.0));
         for n in 0..self.controllers.len() {
             let at = self.now + every * n as u64;
@@ -197,7 +197,7 @@
         }
     }
 
-    fn some_machines(&mut self, f: &Failure) -> Vec<usize> {
+    fn some_machines(&mut self, f: &Fault) -> Vec<usize> {
         let zone = f.zone.as_ref().map(|z| self.zone_named(Some(z.as_str())));
         let mut up: Vec<usize> = (0..self.machines.len())
             .filter(|m| self.machines[*m].phase == Phase::Up)
--- a/crates/drill/src/machine.rs
+++ b/crates/drill/src/machine.rs
@@ -2,7 +2,7 @@
 //! direct commands, hanging. Owns what is on the machine; asks nobody what ought to be there.
 
 use crate::network::Host;
-use crate::scenario::{FailureKind, Scenario};
+use crate::scenario::{FaultKind, Scenario};
 use crate::world::{Answer, Caller, Event, MILLI, Micros, Request, SECOND, World, micros};
 use rand::Rng;
 use rand::rngs::SmallRng;
@@ -264,7 +264,7 @@
             stint,
             sent: now,
         };
-        let copied = self.lasting(FailureKind::LateReports);
+        let copied = self.lasting(FaultKind::LateReports);
         let copied = copied.map(|f| (f.share.unwrap_or(0.0), f.for_next));
         if copied.is_some_and(|(share, _)| self.rng.random::<f64>() < share) {
             // Nobody waits for what it is answered.
@@ -427,7 +427,7 @@
             },
             _ => 404,
         };
-        let lost = self.lasting(FailureKind::AnswersLost).and_then(|f| f.share);
+        let lost = self.lasting(FaultKind::AnswersLost).and_then(|f| f.share);
         let body = self.report(m);
         if lost.is_some_and(|share| self.rng.random::<f64>() < share) {
             return;
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -1,7 +1,7 @@
 //! Between any two hosts: delay, loss, cuts that hold, lose or reset, and refusal. Owns the cuts and
 //! which connections stand; knows nothing of what is sent.
 
-use crate::scenario::{CutMode, Network as Speeds};
+use crate::scenario::{Network as Speeds, PartitionMode};
 use crate::world::Micros;
 use dewramp::seeded_hash::{HashMap, HashSet};
 use rand::Rng;
@@ -31,7 +31,7 @@
 struct Cut {
     until: Micros,
     sides: (Ends, Ends),
-    mode: CutMode,
+    mode: PartitionMode,
 }
 
 /// What becomes of a packet.
@@ -77,7 +77,7 @@
         }
     }
 
-    pub fn cut(&mut self, now: Micros, until: Micros, a: Ends, b: Ends, mode: CutMode) {
+    pub fn cut(&mut self, now: Micros, until: Micros, a: Ends, b: Ends, mode: PartitionMode) {
         self.cuts.retain(|c| c.until > now);
         self.cuts.push(Cut {
             until,
@@ -92,7 +92,7 @@
         now: Micros,
         a: (Host, usize),
         b: (Host, usize),
-    ) -> Option<(Micros, CutMode)> {
+    ) -> Option<(Micros, PartitionMode)> {
         let matches = |ends: Ends, h: (Host, usize)| match ends {
             Ends::All => true,
             Ends::Zone(z) => h.1 == z,
@@ -145,9 +145,9 @@
                 return Transit::NotSent(now + CONNECT_TIME);
             }
             return match mode {
-                CutMode::Hold => Transit::Arrives(self.in_order(link, until)),
-                CutMode::Lose => Transit::Vanishes,
-                CutMode::Reset => {
+                PartitionMode::Hold => Transit::Arrives(self.in_order(link, until)),
+                PartitionMode::Lose => Transit::Vanishes,
+                PartitionMode::Reset => {
                     self.open.remove(&link);
                     Transit::Reset(now + 1)
                 }
@@ -179,7 +179,7 @@
     ) -> Option<Micros> {
         let link = (from.0, to.0);
         match self.blocked(now, from, to) {
-            Some((until, CutMode::Hold)) => Some(self.in_order(link, until)),
+            Some((until, PartitionMode::Hold)) => Some(self.in_order(link, until)),
             Some(_) => None,
             None => {
                 let delay = self.delay(from, to);
@@ -240,7 +240,7 @@
             n.request(0, a, b, Some(true)),
             Transit::Arrives(_)
         ));
-        n.cut(10, 5_000_000, Ends::Zone(0), Ends::All, CutMode::Hold);
+        n.cut(10, 5_000_000, Ends::Zone(0), Ends::All, PartitionMode::Hold);
         assert_eq!(n.request(20, a, b, Some(true)), Transit::Arrives(5_000_000));
         n.close(a.0, b.0);
         assert!(matches!(
