--- a/crates/regress/src/main.rs
+++ b/crates/regress/src/main.rs
@@ -1,10 +1,12 @@
 //! Plays the operators' deployments with their bench and compares the marks with the baseline.
 
-mod played;
+mod custom_runner;
 
 use clap::Parser;
 use comfy_table::{Table, presets};
-use dewramp_regress::{Baseline, Entry, Row, Verdict, accept, compare};
+use dewramp_regress::{
+    Baseline, JournalEntry, Row, Verdict, compare_with_baseline, update_baseline,
+};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::process::{Command, ExitCode};
@@ -23,14 +25,24 @@
     #[arg(long)]
     fleet: bool,
     /// Days of our own on the large sites, in other sizes and with quick restarts.
-    #[arg(long, conflicts_with_all = ["full", "fleet", "accept"])]
-    own: bool,
+    #[arg(long = "own", conflicts_with_all = ["full", "fleet", "accept"])]
+    custom: bool,
     /// With --own: machines, limits and arrivals as multiples of the site's.
-    #[arg(long, value_name = "X", value_delimiter = ',', default_value = "1.5")]
-    size: Vec<f64>,
+    #[arg(
+        long = "size",
+        value_name = "X",
+        value_delimiter = ',',
+        default_value = "1.5"
+    )]
+    sizes: Vec<f64>,
     /// With --own: seconds until a process that ended is started again.
-    #[arg(long, value_name = "S", value_delimiter = ',', default_value = "0.2")]
-    restart: Vec<f64>,
+    #[arg(
+        long = "restart",
+        value_name = "S",
+        value_delimiter = ',',
+        default_value = "0.2"
+    )]
+    restart_delays_s: Vec<f64>,
     /// With --own: so many zones, under other names.
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u8).range(1..=9))]
     zones: Option<u8>,
@@ -44,17 +56,17 @@
     #[arg(long, value_name = "N", default_value_t = 1, value_parser = clap::value_parser!(u8).range(1..=50))]
     seeds: u8,
     /// With --own: so many days at once.
-    #[arg(long, value_name = "N", default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=16))]
-    jobs: u8,
+    #[arg(long = "jobs", value_name = "N", default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=16))]
+    parallel_runs: u8,
     /// With --own: where the days are.
-    #[arg(long, value_name = "DIR", default_value = "scripts/days")]
-    days: PathBuf,
+    #[arg(long = "days", value_name = "DIR", default_value = "scripts/days")]
+    scenarios_dir: PathBuf,
     /// With --own: keep each run's report and log in this folder.
-    #[arg(long, value_name = "DIR")]
-    keep: Option<PathBuf>,
+    #[arg(long = "keep", value_name = "DIR")]
+    output_dir: Option<PathBuf>,
     /// What the run is to show; goes into the journal.
-    #[arg(long, default_value = "regression")]
-    why: String,
+    #[arg(long = "why", value_name = "WHY", default_value = "regression")]
+    purpose: String,
     /// Make the marks of this run the baseline.
     #[arg(long)]
     accept: bool,
@@ -66,13 +78,13 @@
     baseline: PathBuf,
 }
 
-const FLEET: [&str; 4] = [
+const FLEET_SITES: [&str; 4] = [
     "more/fleet/cscc-render-fleet",
     "more/fleet/linmsg-push-fleet",
     "more/hunt/cscc-render-hunt",
     "more/hunt/linmsg-push-hunt",
 ];
-const EARLIER: [&str; 4] = [
+const EARLIER_SITES: [&str; 4] = [
     "more/cscc-render-ops",
     "more/linmsg-push-ops",
     "change/cscc-render-next",
@@ -91,33 +103,33 @@
 }
 
 fn run(cli: &Cli) -> Result<bool, String> {
-    let mut sites = FLEET.to_vec();
+    let mut sites = FLEET_SITES.to_vec();
     if !cli.fleet {
-        sites.extend(EARLIER);
+        sites.extend(EARLIER_SITES);
     }
     let bench = cli.kit.join("more/hunt/bin/fleetbench");
     if !bench.is_file() {
         let shown = bench.display();
         return Err(format!("{shown}: no bench there; name the kit with --kit"));
     }
-    if cli.own {
-        return played::own(cli, &bench);
+    if cli.custom {
+        return custom_runner::run_custom_scenarios(cli, &bench);
     }
     let baseline = read_baseline(&cli.baseline)?;
     let files: Vec<PathBuf> = sites
         .iter()
         .map(|s| cli.kit.join(format!("{s}.toml")))
         .collect();
-    let before = journal()?;
+    let files_before = journal_files()?;
     let mut score = Command::new(&bench);
     score.arg("score").args(&files);
     if !cli.full {
         score.arg("--quick");
     }
-    play(score.arg("--why").arg(&cli.why))?;
+    run_bench(score.arg("--why").arg(&cli.purpose))?;
     if cli.full {
         for file in &files {
-            play(
+            run_bench(
                 Command::new(&bench)
                     .arg("hunt")
                     .arg(file)
@@ -125,20 +137,20 @@
             )?;
         }
     }
-    let entries = entries_since(&before)?;
+    let entries = journal_entries_since(&files_before)?;
     let names: Vec<&str> = sites.iter().filter_map(|s| s.rsplit('/').next()).collect();
-    let rows = compare(&baseline, &entries, &names);
-    println!("{}", table(&rows));
+    let rows = compare_with_baseline(&baseline, &entries, &names);
+    println!("{}", results_table(&rows));
     if cli.accept {
-        let next = serde_json::to_string_pretty(&accept(baseline, &rows));
-        let text = next.map_err(|e| e.to_string())? + "\n";
+        let updated = serde_json::to_string_pretty(&update_baseline(baseline, &rows));
+        let text = updated.map_err(|e| e.to_string())? + "\n";
         std::fs::write(&cli.baseline, text)
             .map_err(|e| format!("{}: {e}", cli.baseline.display()))?;
     }
-    Ok(!rows.iter().any(|r| r.verdict.is_bad()))
+    Ok(!rows.iter().any(|r| r.verdict.is_failure()))
 }
 
-fn play(command: &mut Command) -> Result<(), String> {
+fn run_bench(command: &mut Command) -> Result<(), String> {
     let status = command
         .status()
         .map_err(|e| format!("the bench can't be started: {e}"))?;
@@ -149,7 +161,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<String, String> {
+fn read_file(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
@@ -157,22 +169,22 @@
     if !path.exists() {
         return Ok(Baseline::default());
     }
-    serde_json::from_str(&read(path)?).map_err(|e| format!("{}: {e}", path.display()))
+    serde_json::from_str(&read_file(path)?).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 /// What the bench has entered since.
-fn entries_since(before: &BTreeSet<PathBuf>) -> Result<Vec<Entry>, String> {
+fn journal_entries_since(files_before: &BTreeSet<PathBuf>) -> Result<Vec<JournalEntry>, String> {
     let mut entries = Vec::new();
-    for path in journal()?.difference(before) {
-        let text = read(path)?;
-        let entry: Entry =
+    for path in journal_files()?.difference(files_before) {
+        let text = read_file(path)?;
+        let entry: JournalEntry =
             serde_json::from_str(&text).map_err(|e| format!("{}: {e}", path.display()))?;
         entries.push(entry);
     }
     Ok(entries)
 }
 
-fn journal() -> Result<BTreeSet<PathBuf>, String> {
+fn journal_files() -> Result<BTreeSet<PathBuf>, String> {
     let dir = std::fs::read_dir("journal")
         .map_err(|e| format!("journal: {e}; run from the root of the repository"))?;
     let paths = dir.filter_map(|e| e.ok().map(|e| e.path()));
@@ -181,27 +193,30 @@
         .collect())
 }
 
-fn table(rows: &[Row]) -> Table {
-    let mark = |m: Option<f64>| m.map_or("-".to_owned(), |m| format!("{m:.3}"));
+fn results_table(rows: &[Row]) -> Table {
+    let format_score = |s: Option<f64>| s.map_or("-".to_owned(), |s| format!("{s:.3}"));
     let mut table = Table::new();
     table.load_preset(presets::NOTHING);
     table.set_header(["site", "day", "before", "now", "fall", ""]);
     for r in rows {
-        let fall = r.before.zip(r.now).map(|(b, n)| b - n);
+        let loss = r
+            .baseline
+            .zip(r.score)
+            .map(|(baseline, score)| baseline - score);
         let verdict = match &r.verdict {
-            Verdict::Holds => String::new(),
+            Verdict::Passed => String::new(),
             Verdict::New => "new".to_owned(),
-            Verdict::Fell(_) => "FELL".to_owned(),
-            Verdict::Broken(rules) => format!("BROKEN: {rules}"),
-            Verdict::Failed(why) => format!("FAILED: {why}"),
+            Verdict::Regressed(_) => "FELL".to_owned(),
+            Verdict::RulesViolated(rules) => format!("BROKEN: {rules}"),
+            Verdict::Failed(reason) => format!("FAILED: {reason}"),
         };
-        let fall = fall.map_or("-".to_owned(), |f| format!("{f:+.3}"));
+        let loss = loss.map_or("-".to_owned(), |l| format!("{l:+.3}"));
         table.add_row([
             &r.site,
-            &r.day,
-            &mark(r.before),
-            &mark(r.now),
-            &fall,
+            &r.scenario,
+            &format_score(r.baseline),
+            &format_score(r.score),
+            &loss,
             &verdict,
         ]);
     }
