--- a/crates/drill/src/main.rs
+++ b/crates/drill/src/main.rs
@@ -81,7 +81,7 @@
     env_logger::Builder::new()
         .parse_filters(&std::env::var("LOG_LEVEL").unwrap_or_else(|_| "off".to_owned()))
         .format(|buf, record| {
-            let (at, node) = drill::speaker();
+            let (at, node) = drill::log_context();
             let (level, at) = (record.level(), at as f64 / 1e6);
             writeln!(buf, "{at:10.4} node-{node} {level} {}", record.args())
         })
