--- a/crates/drill/src/cloud.rs
+++ b/crates/drill/src/cloud.rs
@@ -3,9 +3,9 @@
 //! The capacity of a pool only shows when a rental is refused, lists of machines lag behind, and rentals are
 //! idempotent by rental id. Machines may boot late or never; spot machines are reclaimed with or without notice.
 
-use crate::day::{Day, Kind};
 use crate::machine::{Machine, Phase};
 use crate::network::Host;
+use crate::scenario::{FaultKind, Scenario};
 use crate::state_service::TokenBucket;
 use crate::world::{Event, Micros, Request, Response, SECOND, World, micros};
 use dewramp::seeded_hash::HashMap;
@@ -50,7 +50,7 @@
 }
 
 impl Cloud {
-    pub fn new(scenario: &Day) -> Self {
+    pub fn new(scenario: &Scenario) -> Self {
         Self {
             used: vec![0; scenario.pools.len()],
             rentals: HashMap::default(),
@@ -122,11 +122,11 @@
         if !self.cloud.request_budget.try_take(now, 1.0) {
             return self.cloud_responds(id, error(429, "too many requests"));
         }
-        if self.active_fault(Kind::CloudOutage).is_some() {
+        if self.active_fault(FaultKind::CloudOutage).is_some() {
             return self.cloud_responds(id, error(503, "trouble"));
         }
         let delayed_until_s = self
-            .active_fault(Kind::CloudLate)
+            .active_fault(FaultKind::CloudLate)
             .map(|f| f.at_s + f.for_s.unwrap_or(0.0));
         match (request.method.as_str(), request.path.as_str()) {
             ("GET", "/machine_types") => {
@@ -198,11 +198,11 @@
         if let Some((requested, machines)) = self.cloud.rentals.get(rental_id) {
             let (requested, machines) = (*requested, machines.clone());
             self.checker
-                .hired_again(self.now, rental_id, requested == (pool, number));
+                .rental_repeated(self.now, rental_id, requested == (pool, number));
             return Some(machines);
         }
         let p = &self.scenario.pools[pool];
-        let full = self.active_fault(Kind::CloudFull).is_some();
+        let full = self.active_fault(FaultKind::CloudFull).is_some();
         let free = p.most.saturating_sub(self.cloud.used[pool]);
         let number = number.min(50);
         let granted = if full { 0 } else { number.min(free) };
@@ -230,12 +230,14 @@
     /// Draws when a machine that is rented now has booted; `None` if it never does.
     fn draw_boot_end(&mut self, m: usize) -> Option<Micros> {
         let t = &self.scenario.types[self.machines[m].machine_type];
-        let slowdown = self.active_fault(Kind::BootsSlow).and_then(|f| f.factor);
+        let slowdown = self
+            .active_fault(FaultKind::BootsSlow)
+            .and_then(|f| f.factor);
         let draw: f64 = self.rng.random();
         if self.rng.random::<f64>() < t.boot_fail {
             return None;
         }
-        if self.active_fault(Kind::BootsEarly).is_some() {
+        if self.active_fault(FaultKind::BootsEarly).is_some() {
             return Some(self.now + self.rng.random_range(100_000..2_000_000));
         }
         let factor = match draw {
--- a/crates/drill/src/faults.rs
+++ b/crates/drill/src/faults.rs
@@ -1,8 +1,8 @@
 //! Starts the faults of a scenario and chooses the controllers and machines that they hit.
 
-use crate::day::{Failure, Kind, Mode, Side, Whom};
 use crate::machine::Phase;
 use crate::network::{Host, PartitionSide};
+use crate::scenario::{Fault, FaultKind, FaultTarget, PartitionMode, PartitionedFrom};
 use crate::world::{Event, World, micros};
 use rand::Rng;
 use rand::seq::SliceRandom;
@@ -13,7 +13,7 @@
 impl World {
     /// Starts the `n`-th fault of the scenario.
     pub fn start_fault(&mut self, n: usize) {
-        let fault = self.scenario.failures[n].clone();
+        let fault = self.scenario.faults[n].clone();
         self.record_in_digest("fails", n as u64, 0);
         let duration = micros(fault.for_s.unwrap_or(0.0));
         let until = self.now + duration;
@@ -21,26 +21,26 @@
             self.active_faults.push(n);
             self.schedule_at(until, Event::FaultEnds(n));
         }
-        let mode = fault.mode.unwrap_or(Mode::Hold);
+        let mode = fault.mode.unwrap_or(PartitionMode::Hold);
         match fault.kind {
-            Kind::NodeCrash => {
+            FaultKind::NodeCrash => {
                 for n in self.target_controllers(&fault) {
                     self.stop_controller(n);
                 }
             }
-            Kind::NodeEndsAsking => {
+            FaultKind::NodeEndsAsking => {
                 for n in self.target_controllers(&fault) {
                     self.controllers[n].stops_after_transaction = true;
                 }
             }
-            Kind::NodeLeaves => {
+            FaultKind::NodeLeaves => {
                 for n in self.target_controllers(&fault) {
                     self.controllers[n].shut_down(self.now);
                     self.schedule_after(SHUTDOWN_TIME, Event::StopController(n));
                 }
             }
-            Kind::NodeRoll => self.rolling_restart(&fault),
-            Kind::NodeFreeze => {
+            FaultKind::NodeRoll => self.rolling_restart(&fault),
+            FaultKind::NodeFreeze => {
                 for n in self.target_controllers(&fault) {
                     let c = &mut self.controllers[n];
                     if fault.inside {
@@ -52,14 +52,14 @@
                     }
                 }
             }
-            Kind::NodeCut => {
-                let side = match fault.from.unwrap_or(Side::All) {
-                    Side::All => PartitionSide::All,
-                    Side::State => PartitionSide::Host(Host::State),
-                    Side::Workers => PartitionSide::Machines,
-                    Side::Peers => PartitionSide::Controllers,
-                    Side::Users => PartitionSide::Host(Host::Users),
-                    Side::Cloud => PartitionSide::Host(Host::Cloud),
+            FaultKind::NodeCut => {
+                let side = match fault.from.unwrap_or(PartitionedFrom::All) {
+                    PartitionedFrom::All => PartitionSide::All,
+                    PartitionedFrom::State => PartitionSide::Host(Host::State),
+                    PartitionedFrom::Workers => PartitionSide::Machines,
+                    PartitionedFrom::Peers => PartitionSide::Controllers,
+                    PartitionedFrom::Users => PartitionSide::Host(Host::Users),
+                    PartitionedFrom::Cloud => PartitionSide::Host(Host::Cloud),
                 };
                 for n in self.target_controllers(&fault) {
                     let controller = PartitionSide::Host(Host::Controller(n));
@@ -67,8 +67,8 @@
                         .partition(self.now, until, controller, side, mode);
                 }
             }
-            Kind::PeersRefuse => self.network.refuse_peer_connections(until),
-            Kind::ZoneCut => {
+            FaultKind::PeersRefuse => self.network.refuse_peer_connections(until),
+            FaultKind::ZoneCut => {
                 let target_zone = self
                     .target_controllers(&fault)
                     .first()
@@ -81,70 +81,70 @@
                 self.network
                     .partition(self.now, until, zone, PartitionSide::All, mode);
             }
-            Kind::ZonesApart => {
+            FaultKind::ZonesApart => {
                 let a = PartitionSide::Zone(self.zone_index(fault.zone.as_deref()));
                 let b = PartitionSide::Zone(self.zone_index(fault.other_zone.as_deref()));
                 self.network.partition(self.now, until, a, b, mode);
             }
-            Kind::StateOutage => self.state_service.start_outage(self.now, until),
-            Kind::StateRefuses => {
+            FaultKind::StateOutage => self.state_service.start_outage(self.now, until),
+            FaultKind::StateRefuses => {
                 for n in self.target_controllers(&fault) {
                     self.state_service.refused_until.insert(n, until);
                 }
             }
-            Kind::StateForgets => self.state_service.compact_change_log(),
-            Kind::WatchesHang => {
+            FaultKind::StateForgets => self.state_service.compact_change_log(),
+            FaultKind::WatchesHang => {
                 for n in self.target_controllers(&fault) {
                     self.state_service.watches_hang_until.insert(n, until);
                 }
             }
-            Kind::MachineDeaf => {
+            FaultKind::MachineDeaf => {
                 for m in self.target_machines(&fault) {
                     self.machines[m].inbound_partitioned_until = until;
                 }
             }
-            Kind::MachineMute => {
+            FaultKind::MachineMute => {
                 for m in self.target_machines(&fault) {
                     self.machines[m].outbound_partitioned_until = until;
                 }
             }
-            Kind::CancelNow => self.cancel_now(&fault),
-            Kind::OddRequests => self.odd_request(until),
-            Kind::MirrorSpoiled => {
+            FaultKind::CancelNow => self.cancel_running_jobs(&fault),
+            FaultKind::OddRequests => self.send_invalid_request(until),
+            FaultKind::MirrorSpoiled => {
                 for n in self.target_controllers(&fault) {
                     if let Some(controller) = &mut self.controllers[n].controller {
                         controller.corrupt_replica();
                     }
                 }
             }
-            Kind::MachineCut => {
+            FaultKind::MachineCut => {
                 for m in self.target_machines(&fault) {
                     let machine = PartitionSide::Host(Host::Machine(m));
                     self.network
                         .partition(self.now, until, machine, PartitionSide::All, mode);
                 }
             }
-            Kind::MachineHang => {
+            FaultKind::MachineHang => {
                 for m in self.target_machines(&fault) {
                     self.hang_machine(m, until);
                 }
             }
-            Kind::MachineDie => {
+            FaultKind::MachineDie => {
                 for m in self.target_machines(&fault) {
                     self.stop_machine(m, false);
                 }
             }
-            Kind::MachineSick => {
+            FaultKind::MachineSick => {
                 for m in self.target_machines(&fault) {
                     self.machines[m].tasks_fail_until = until;
                 }
             }
-            Kind::MachineSlow => {
+            FaultKind::MachineSlow => {
                 for m in self.target_machines(&fault) {
                     self.machines[m].slowdown = (fault.factor.unwrap_or(1.0).max(0.01), until);
                 }
             }
-            Kind::SpotTaken => {
+            FaultKind::SpotTaken => {
                 let share = fault.share.unwrap_or(0.0);
                 for m in 0..self.machines.len() {
                     let machine = &self.machines[m];
@@ -174,32 +174,32 @@
     }
 
     /// Returns the controllers that a fault hits, by their present roles.
-    fn target_controllers(&mut self, fault: &Failure) -> Vec<usize> {
+    fn target_controllers(&mut self, fault: &Fault) -> Vec<usize> {
         let mut controllers: Vec<usize> = (0..self.controllers.len()).collect();
         controllers.shuffle(&mut self.rng);
         let leads = |n: &usize| self.controllers[*n].is_leading();
         let leader = controllers.iter().copied().find(leads);
         let count = fault.count.unwrap_or(1);
-        let chosen: Vec<usize> = match fault.whom.unwrap_or(Whom::Any) {
-            Whom::Again => self.last_fault_targets.clone(),
-            Whom::All => controllers,
-            Whom::Leader | Whom::Holder => leader
+        let chosen: Vec<usize> = match fault.whom.unwrap_or(FaultTarget::Any) {
+            FaultTarget::Again => self.last_fault_targets.clone(),
+            FaultTarget::All => controllers,
+            FaultTarget::Leader | FaultTarget::Holder => leader
                 .or(controllers.first().copied())
                 .into_iter()
                 .collect(),
-            Whom::Standby => controllers
+            FaultTarget::Standby => controllers
                 .into_iter()
                 .filter(|n| Some(*n) != leader)
                 .take(count)
                 .collect(),
-            Whom::Any => controllers.into_iter().take(count).collect(),
+            FaultTarget::Any => controllers.into_iter().take(count).collect(),
         };
         self.last_fault_targets.clone_from(&chosen);
         chosen
     }
 
     /// Restarts all controllers, one after the other.
-    fn rolling_restart(&mut self, fault: &Failure) {
+    fn rolling_restart(&mut self, fault: &Fault) {
         let every = micros(fault.every_s.unwrap_or(15.0));
         for n in 0..self.controllers.len() {
             let at = self.now + every * n as u64;
@@ -208,7 +208,7 @@
     }
 
     /// Returns the running machines that a fault hits.
-    fn target_machines(&mut self, fault: &Failure) -> Vec<usize> {
+    fn target_machines(&mut self, fault: &Fault) -> Vec<usize> {
         let zone = fault
             .zone
             .as_ref()
--- a/crates/drill/src/lib.rs
+++ b/crates/drill/src/lib.rs
@@ -1,27 +1,27 @@
 //! A deterministic simulator: runs scenarios with several controllers, hundreds of machines and injected faults on a
 //! simulated clock.
 //!
-//! - `day` describes a scenario, `generate` draws scenarios at random.
+//! - `scenario` describes a scenario, `generate` draws scenarios at random.
 //! - `world` runs a scenario. Its controllers (`controller`) are the production code; everything around them is a
 //!   model after the operators' published descriptions: `state_service`, `cloud`, `machine` and its `tasks`, `users`,
 //!   `balancer` and `network`.
 //! - `faults` injects the scenario's faults. `check` judges, from outside the controllers, whether they break a rule;
 //!   `tamper` alters messages so that tests can show that the checks find violations.
-//! - `outcome` and `picture` report the results, `shrink` reduces a failing scenario.
+//! - `outcome` and `chart` report the results, `shrink` reduces a failing scenario.
 //!
 //! `docs/drill.md` says what is modelled and what is not. All figures are of simulated machines.
 
 mod balancer;
+pub mod chart;
 pub mod check;
 mod cloud;
 mod controller;
-pub mod day;
 mod faults;
 pub mod generate;
 mod machine;
 mod network;
 pub mod outcome;
-pub mod picture;
+pub mod scenario;
 pub mod shrink;
 mod state_service;
 pub mod tamper;
@@ -29,8 +29,8 @@
 mod users;
 pub mod world;
 
-use day::Day;
 use outcome::Outcome;
+use scenario::Scenario;
 use std::cell::Cell;
 use world::{Micros, World};
 
@@ -48,6 +48,6 @@
 }
 
 /// Runs a scenario and returns its results.
-pub fn play(scenario: &Day) -> Outcome {
+pub fn play(scenario: &Scenario) -> Outcome {
     World::new(scenario.clone()).play(|_| {})
 }
--- a/crates/drill/src/network.rs
+++ b/crates/drill/src/network.rs
@@ -3,7 +3,7 @@
 //! It tracks the partitions and the open connections, and decides when a packet arrives or how it fails; it does not
 //! know what a packet contains. Below, a host with its zone is a pair `(Host, zone index)`.
 
-use crate::day::{Mode, Network as NetworkSettings};
+use crate::scenario::{Network as NetworkSettings, PartitionMode};
 use crate::world::Micros;
 use dewramp::seeded_hash::{HashMap, HashSet};
 use rand::Rng;
@@ -34,7 +34,7 @@
 struct Partition {
     until: Micros,
     sides: (PartitionSide, PartitionSide),
-    mode: Mode,
+    mode: PartitionMode,
 }
 
 /// What happens to a request in transit.
@@ -88,7 +88,7 @@
         until: Micros,
         a: PartitionSide,
         b: PartitionSide,
-        mode: Mode,
+        mode: PartitionMode,
     ) {
         self.partitions.retain(|c| c.until > now);
         self.partitions.push(Partition {
@@ -104,7 +104,7 @@
         now: Micros,
         a: (Host, usize),
         b: (Host, usize),
-    ) -> Option<(Micros, Mode)> {
+    ) -> Option<(Micros, PartitionMode)> {
         let matches = |side: PartitionSide, h: (Host, usize)| match side {
             PartitionSide::All => true,
             PartitionSide::Zone(z) => h.1 == z,
@@ -160,9 +160,9 @@
                 return Transit::NotSent(now + CONNECT_TIMEOUT);
             }
             return match mode {
-                Mode::Hold => Transit::Arrives(self.in_order(link, until)),
-                Mode::Lose => Transit::Lost,
-                Mode::Reset => {
+                PartitionMode::Hold => Transit::Arrives(self.in_order(link, until)),
+                PartitionMode::Lose => Transit::Lost,
+                PartitionMode::Reset => {
                     self.connections.remove(&link);
                     Transit::Reset(now + 1)
                 }
@@ -194,7 +194,7 @@
     ) -> Option<Micros> {
         let link = (from.0, to.0);
         match self.longest_partition(now, from, to) {
-            Some((until, Mode::Hold)) => Some(self.in_order(link, until)),
+            Some((until, PartitionMode::Hold)) => Some(self.in_order(link, until)),
             Some(_) => None,
             None => {
                 let delay = self.draw_delay(from, to);
@@ -237,7 +237,7 @@
     use rand::SeedableRng;
 
     fn network() -> Network {
-        let settings = crate::day::Network {
+        let settings = crate::scenario::Network {
             loss: 0.0,
             ..Default::default()
         };
@@ -261,7 +261,7 @@
             5_000_000,
             PartitionSide::Zone(0),
             PartitionSide::All,
-            Mode::Hold,
+            PartitionMode::Hold,
         );
         assert_eq!(
             n.send_request(20, a, b, Some(true)),
--- a/crates/drill/src/state_service.rs
+++ b/crates/drill/src/state_service.rs
@@ -4,7 +4,7 @@
 //! budgets. After an outage every lease gets its full TTL again. Faults: outages, refusal of single controllers,
 //! and watches that hang.
 
-use crate::day::StateService as Limits;
+use crate::scenario::StateService as Limits;
 use crate::world::Micros;
 use dewramp::replica::{Checksum, REPLICATED_PREFIXES};
 use serde::Deserialize;
